--- a/yarrowloom/cli.py
+++ b/yarrowloom/cli.py
@@ -98,13 +98,19 @@
         sys.exit(0 if good else 1)
 
     def simulate(
-        self, seed: int | None = None, seconds: float | None = None, size: int | None = None, faults: str = ""
+        self,
+        seed: int | None = None,
+        seconds: float | None = None,
+        size: int | None = None,
+        faults: str = "",
+        digest: bool = False,
     ) -> None:
         """Play one simulated run of SIZE core nodes with faults from a file (TOML) or drawn from the seed; exits 1 if
-        a rule was broken."""
+        a rule was broken. --digest also prints, as the last line, a SHA-256 over all frames, disk records and HTTP
+        responses of the run."""
         from .sim.command import simulate
 
-        sys.exit(simulate(seed=seed, seconds=seconds, size=size, faults=faults))
+        sys.exit(simulate(seed=seed, seconds=seconds, size=size, faults=faults, digest=digest))
 
     def hunt(
         self,
--- a/yarrowloom/sim/cluster.py
+++ b/yarrowloom/sim/cluster.py
@@ -11,6 +11,7 @@
 from ..wire.frame import LANES, Kind, Lane
 from ..wire.http import Request, Response
 from ..wire.peer import MARK_S, OWED
+from .digest import NO_KIND
 from .errors import SimError
 from .frames import Header
 from .machines import BOUNDS, BUSY, PORTS, Machines
@@ -93,6 +94,7 @@
                 proc.owing.add(dst)
                 self.at(delay=MARK_S, fn=lambda: self._mark(ip, proc, dst, left - 1))
             else:
+                self._digest_frame(ip=ip, dst=dst, kind=NO_KIND, body=b"")
                 self._send(ip, proc, dst, None, b"")
 
     def http(
@@ -122,6 +124,7 @@
             if proc is None or not proc.up or (src, ip) in self.cuts:
                 return
             self.calls[key] = answered
+            self.callers[key] = src
             self.post(ip, proc, lambda: proc.node.http(call=key, req=req), rank=Rank.AGENT, mark=(0, len(raw), 1))
 
         self.at(delay=0.002, fn=arrive)
--- a/yarrowloom/sim/command.py
+++ b/yarrowloom/sim/command.py
@@ -5,6 +5,7 @@
 from typing import Any
 
 from ..base.errs import Finding, UsageError
+from .digest import RunDigest
 from .draw import draw
 from .faults import MOST_S, MOST_SIZE, Plan, dump, load
 from .hunt import hunt, plan_of, shrunk, tale
@@ -60,8 +61,16 @@
     return Settings(seed=settings.seed, seconds=settings.seconds, size=settings.size, faults=plan.faults)
 
 
-def simulate(*, seed: Any, seconds: Any, size: Any, faults: Any) -> int:
-    """Play one run and print its report; return the exit code."""
+def _switch(*, name: str, value: Any) -> bool:
+    """A flag without a value; another value is refused."""
+    if not isinstance(value, bool):
+        _refuse(bad=[Finding(place=f"--{name}", text=f"{value!r} is neither True nor False")])
+    return bool(value)
+
+
+def simulate(*, seed: Any, seconds: Any, size: Any, faults: Any, digest: Any = False) -> int:
+    """Play one run and print its report, and its digest if asked to; return the exit code."""
+    run_digest = RunDigest() if _switch(name="digest", value=digest) else None
     if faults:
         settings = _from_plan(plan=load(path=str(faults)), seed=seed, seconds=seconds, size=size)
     else:
@@ -72,8 +81,10 @@
             size=settings.size,
             faults=draw(seed=settings.seed, shape=settings.shape),
         )
-    report = play(settings=settings)
+    report = play(settings=settings, digest=run_digest)
     print("\n".join(report.lines()))
+    if run_digest is not None:
+        print(run_digest.hexdigest())
     return 1 if report.breaches else 0
 
 
--- a/yarrowloom/sim/machines.py
+++ b/yarrowloom/sim/machines.py
@@ -17,6 +17,7 @@
 from ..store import END
 from ..wire.frame import Kind, Lane
 from ..wire.http import Response
+from .digest import RunDigest
 from .errors import SimError
 from .process import Disk, Proc
 from .processor import Meter, cost
@@ -39,9 +40,11 @@
         sync_s: float = 0.005,
         speed: float = 0.0,
         losses: int = 1,
+        digest: RunDigest | None = None,
     ) -> None:
         """`speed`: of the processor that each core process has for itself; 0: steps take no time. `losses`: disks
-        that may be lost at once."""
+        that may be lost at once. `digest`: takes all that processes send, write and answer."""
+        self.digest = digest
         self.speed = speed
         self.losses = losses
         self.meter = Meter()
@@ -62,7 +65,7 @@
         self.last: dict[tuple[str, str, Lane], float] = {}
         self.lives = 0
         self.calls: dict[int, Callable[[Response], None]] = {}
-        self.owner_of_call: dict[int, str] = {}
+        self.callers: dict[int, str] = {}  # by call: who waits for its response
         self.ncall = 0
         self.sites = [f"z{i}" for i in range(sites)]
         self.core_ips = [f"10.{i % sites}.0.{i + 1}" for i in range(cores)]
@@ -147,6 +150,7 @@
             )
             uid = node.uid
             disk.synced = [*node.checkpoint(), END]
+            self._digest_records(ip=ip, bodies=disk.synced)
         else:
             uid = f"{ip}:7001#{self.lives:x}"
             node = EdgeNode(startup=st, uid=uid, incarnation=FIRST, log=log)
@@ -271,14 +275,18 @@
         out = node.out
         sends, out.sends = out.sends, []
         for addr, kind, body in sends:
-            self._send(ip, proc, addr.split(":")[0], kind, body)
+            dst = addr.split(":")[0]
+            self._digest_frame(ip=ip, dst=dst, kind=kind, body=body)
+            self._send(ip, proc, dst, kind, body)
         if out.writes:
+            self._digest_records(ip=ip, bodies=[body for body, _ in out.writes])
             proc.disk += out.writes
             self.disks[ip].pending += [b for b, _ in out.writes]
             out.writes = []
             self._sync(ip, proc)
         answers, out.answers = out.answers, []
         for key, res in answers:
+            self._digest_response(ip=ip, call=key, res=res)
             back = self.calls.pop(key, None)
             if back is not None:
                 self.at(delay=0.002, fn=lambda back=back, res=res: back(res))  # type: ignore[misc]
@@ -310,6 +318,30 @@
 
         self.at(delay=wait, fn=synced)
 
+    # -- the digest of the run
+
+    def _digest_frame(self, *, ip: str, dst: str, kind: int, body: bytes) -> None:
+        if self.digest is not None:
+            self.digest.frame(at_s=self.now, source=ip, destination=dst, kind=kind, body=body)
+
+    def _digest_records(self, *, ip: str, bodies: list[bytes]) -> None:
+        if self.digest is not None:
+            for body in bodies:
+                self.digest.record(at_s=self.now, machine=ip, body=body)
+
+    def _digest_response(self, *, ip: str, call: int, res: Response) -> None:
+        if self.digest is not None:
+            self.digest.response(
+                at_s=self.now,
+                source=ip,
+                destination=self.callers.get(call, ""),
+                status=res.status,
+                headers=res.headers,
+                body=res.body,
+            )
+
+    # -- what `cluster` carries out
+
     def _send(self, ip: str, proc: Proc, dst: str, kind: Kind | None, body: bytes) -> None:
         """Carry a message of a process to another machine."""
         raise NotImplementedError
--- a/yarrowloom/sim/play.py
+++ b/yarrowloom/sim/play.py
@@ -3,6 +3,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from .digest import RunDigest
 from .draw import Shape, draw
 from .errors import SimError
 from .events import Check, Story
@@ -81,7 +82,7 @@
 class Run:
     """Sets a run up and plays it."""
 
-    def __init__(self, *, settings: Settings, checks: tuple[Check, ...] = ()) -> None:
+    def __init__(self, *, settings: Settings, checks: tuple[Check, ...] = (), digest: RunDigest | None = None) -> None:
         self.settings = settings
         self.story = Story()
         self.checks = checks
@@ -93,6 +94,7 @@
             edges=shape.edges,
             losses=shape.losses,
             checks=(self.story, *checks),
+            digest=digest,
         )
         self.sim.started_s = self.sim.now + SETUP_S
         self.judge = TellingJudge(sim=self.sim)
@@ -175,6 +177,6 @@
             self.operator.read_back()
 
 
-def play(*, settings: Settings, checks: tuple[Check, ...] = ()) -> Report:
-    """Play one run."""
-    return Run(settings=settings, checks=checks).play()
+def play(*, settings: Settings, checks: tuple[Check, ...] = (), digest: RunDigest | None = None) -> Report:
+    """Play one run; `digest` takes all that its processes send, write and answer."""
+    return Run(settings=settings, checks=checks, digest=digest).play()
--- a/yarrowloom/sim/troubled.py
+++ b/yarrowloom/sim/troubled.py
@@ -148,6 +148,7 @@
         if written > JOURNAL_RECORDS:
             written = 0
             head = [*self.core(ip).checkpoint(), END]
+            self._digest_records(ip=ip, bodies=head)
             proc.disk = [(body, ("none",)) for body in head] + proc.disk
             self.disks[ip].pending[:0] = head
         self.journal[ip, proc.life] = written
