--- a/tests/test_lives_wire.py
+++ b/tests/test_lives_wire.py
@@ -1,8 +1,8 @@
 """Which frames a receiver takes: lives, connections and their order; the challenge; the count of lives on disk."""
 
+import math
 import pathlib
 import random
-from functools import partial
 from typing import Any, cast
 
 import orjson
@@ -214,36 +214,36 @@
 
 
 def test_two_lives_at_one_address_over_real_sockets() -> None:
-    """Each life listens at the address of the one before, and is heard at once."""
+    """Each life listens at the address of the one before as soon as that has ended, and is heard at once."""
     here, there = (f"{ADDR}:{port}" for port in ports(2))
+    lives = [(f"{here}#{uid}", range(100 * number, 100 * number + 20)) for number, uid in enumerate("abc")]
+    arrived, arrivals = trio.open_memory_channel[tuple[str, Any]](math.inf)
     got: list[tuple[str, Any]] = []
 
     def sink(uid: str, lane: Lane, rows: list[tuple[Kind, Any]], lost: bool) -> None:
-        got.extend((uid, m) for _, m in rows)
+        for _, message in rows:
+            arrived.send_nowait((uid, message))
 
-    async def life(*, uid: str, first: int, task_status: trio.TaskStatus[trio.CancelScope]) -> None:
-        peers = Peers(addr=here, uid=f"{here}#{uid}", incarnation=1, sink=lambda *_: None, log=LOG)
-        async with trio.open_nursery() as nursery:
-            nursery.start_soon(peers.run)
-            while peers._nursery is None:
-                await trio.lowlevel.checkpoint()
-            task_status.started(nursery.cancel_scope)
-            for m in range(first, first + 20):
-                peers.send(addr=there, kind=Kind.ORDER, body=b"%d" % m)
+    async def start(*, nursery: trio.Nursery, peers: Peers) -> None:
+        nursery.start_soon(peers.run)
+        while peers._nursery is None:
+            await trio.lowlevel.checkpoint()
 
     async def main() -> None:
         receiver = Peers(addr=there, uid=f"{there}#0", incarnation=1, sink=sink, log=LOG)
         with trio.fail_after(20):
-            async with trio.open_nursery() as nursery:
-                nursery.start_soon(receiver.run)
-                while receiver._nursery is None:
-                    await trio.lowlevel.checkpoint()
-                for number, uid in enumerate(("a", "b", "c")):
-                    scope = await nursery.start(partial(life, uid=uid, first=100 * number))
-                    while len(got) < 20 * (number + 1):
-                        await trio.lowlevel.checkpoint()
-                    scope.cancel()
-                nursery.cancel_scope.cancel()
+            async with trio.open_nursery() as receiving:
+                await start(nursery=receiving, peers=receiver)
+                for uid, messages in lives:
+                    peers = Peers(addr=here, uid=uid, incarnation=1, sink=lambda *_: None, log=LOG)
+                    async with trio.open_nursery() as life:  # left once all tasks of this life have ended
+                        await start(nursery=life, peers=peers)
+                        for message in messages:
+                            peers.send(addr=there, kind=Kind.ORDER, body=b"%d" % message)
+                        got.extend([await arrivals.receive() for _ in messages])
+                        life.cancel_scope.cancel()
+                receiving.cancel_scope.cancel()
 
     trio.run(main)
-    assert got == [(f"{here}#{uid}", 100 * n + i) for n, uid in enumerate(("a", "b", "c")) for i in range(20)]
+    assert got == [(uid, message) for uid, messages in lives for message in messages]
+    assert arrivals.statistics().current_buffer_used == 0
