--- a/tests/test_accept.py
+++ b/tests/test_accept.py
@@ -54,13 +54,13 @@
             await trio.lowlevel.checkpoint()
 
     async def main() -> None:
-        listener = accept.open_listener(addr="127.0.0.1:0")
-        clients = dialled(listener=listener, count=RUSH)
-        async with trio.open_nursery() as nursery:
-            nursery.start_soon(partial(accept.serve, listener=listener, handler=handler))
-            with trio.fail_after(10):
-                await other_work()
-            nursery.cancel_scope.cancel()
+        with accept.open_listener(addr="127.0.0.1:0") as listener:
+            clients = dialled(listener=listener, count=RUSH)
+            async with trio.open_nursery() as nursery:
+                nursery.start_soon(partial(accept.serve, listener=listener, handler=handler))
+                with trio.fail_after(10):
+                    await other_work()
+                nursery.cancel_scope.cancel()
         for sock in clients:
             sock.close()
 
