--- a/yarrowloom/wire/accept.py
+++ b/yarrowloom/wire/accept.py
@@ -53,17 +53,17 @@
 
 
 async def serve(*, listener: socket.socket, handler: StreamHandler) -> None:
-    """Accept connections for ever; `handler` owns each of them in a task of its own."""
-    with listener:
-        async with trio.open_nursery() as nursery:
-            while True:
-                await trio.lowlevel.wait_readable(listener)
-                try:
-                    accepted = accept_waiting(listener=listener)
-                except OSError:
-                    await trio.sleep(PAUSE_S)
-                    continue
-                for connection in accepted:
-                    stream = trio.SocketStream(trio.socket.from_stdlib_socket(connection))
-                    nursery.start_soon(handler, stream)
-                await trio.lowlevel.checkpoint()
+    """Accept connections for ever; `handler` owns each of them in a task of its own. Whoever opened the listener
+    closes it, once this has ended."""
+    async with trio.open_nursery() as nursery:
+        while True:
+            await trio.lowlevel.wait_readable(listener)
+            try:
+                accepted = accept_waiting(listener=listener)
+            except OSError:
+                await trio.sleep(PAUSE_S)
+                continue
+            for connection in accepted:
+                stream = trio.SocketStream(trio.socket.from_stdlib_socket(connection))
+                nursery.start_soon(handler, stream)
+            await trio.lowlevel.checkpoint()
--- a/yarrowloom/wire/http.py
+++ b/yarrowloom/wire/http.py
@@ -240,5 +240,6 @@
 
 
 async def listen(*, addr: str, server: Server) -> None:
-    """Accept connections at HOST:PORT for ever."""
-    await accept.serve(listener=accept.open_listener(addr=addr), handler=server.serve)
+    """Accept connections at HOST:PORT for ever. The listener is closed once this has ended, however it ends."""
+    with accept.open_listener(addr=addr) as listener:
+        await accept.serve(listener=listener, handler=server.serve)
--- a/yarrowloom/wire/peer.py
+++ b/yarrowloom/wire/peer.py
@@ -193,12 +193,12 @@
         wake.set()
 
     async def run(self) -> None:
-        """Serve for ever."""
-        listener = accept.open_listener(addr=self.addr)
-        async with trio.open_nursery() as nursery:
-            self._nursery = nursery
-            nursery.start_soon(partial(accept.serve, listener=listener, handler=self._take))
-            nursery.start_soon(self._mark)
+        """Serve for ever. The listener is closed once this has ended, however it ends: the address is free again."""
+        with accept.open_listener(addr=self.addr) as listener:
+            async with trio.open_nursery() as nursery:
+                self._nursery = nursery
+                nursery.start_soon(partial(accept.serve, listener=listener, handler=self._take))
+                nursery.start_soon(self._mark)
 
     async def _mark(self) -> None:
         """Wake lanes of work that fell silent."""
