--- a/docs/experiments/growth.py
+++ b/docs/experiments/growth.py
@@ -19,14 +19,14 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[2]))
 
-from yarrowloom.place.evict import Evictor  # noqa: E402
-
-from yarrowloom.node.core import CoreNode  # noqa: E402
-from yarrowloom.place.leases import Pool  # noqa: E402
-from yarrowloom.place.placer import Placer  # noqa: E402
-from yarrowloom.sim.cluster import Sim  # noqa: E402
-from yarrowloom.sim.minions import SimCaller, cluster, config  # noqa: E402
-from yarrowloom.wire.frame import Kind  # noqa: E402
+from yarrowloom.scheduling.evict import Evictor
+
+from yarrowloom.node.core import CoreNode
+from yarrowloom.scheduling.lease_cache import Pool
+from yarrowloom.scheduling.scheduler import Placer
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.minions import SimCaller, cluster, config
+from yarrowloom.transport.envelope import Kind
 
 WORK_S = 2.0
 CAP = (4000, 8000, 8)
--- a/docs/experiments/growth_collapse.py
+++ b/docs/experiments/growth_collapse.py
@@ -28,18 +28,18 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent))
 
 from growth import CAP, NARROW, WORK_S, Meter, install, submit  # noqa: E402
-from yarrowloom.place.evict import Evictor  # noqa: E402
-
-from yarrowloom.node import calls  # noqa: E402
-from yarrowloom.node.core import CoreNode  # noqa: E402
-from yarrowloom.place.desk import Desk  # noqa: E402
-from yarrowloom.place.placer import Placer  # noqa: E402
-from yarrowloom.record.kinds import RECORD_KINDS  # noqa: E402
-from yarrowloom.record.replica import Replica  # noqa: E402
-from yarrowloom.sim.cluster import Sim  # noqa: E402
-from yarrowloom.sim.minions import cluster  # noqa: E402
-from yarrowloom.sim.process import Proc
-from yarrowloom.wire.frame import Kind  # noqa: E402
+from yarrowloom.scheduling.evict import Evictor
+
+from yarrowloom.node import group_calls as calls
+from yarrowloom.node.core import CoreNode
+from yarrowloom.replication.messages import RECORD_KINDS
+from yarrowloom.replication.replica import Replica
+from yarrowloom.scheduling.job_queue import Desk
+from yarrowloom.scheduling.scheduler import Placer
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.machines.process import Proc
+from yarrowloom.simulator.minions import cluster
+from yarrowloom.transport.envelope import Kind
 
 STATE: dict[str, Any] = {"on": False, "share": 0.62}
 WAIT: dict[int, deque[Callable[[], None]]] = {}
--- a/docs/experiments/growth_recover.py
+++ b/docs/experiments/growth_recover.py
@@ -17,7 +17,7 @@
 from growth import CAP, NARROW, WORK_S, submit  # noqa: E402
 from growth_collapse import BUSY, EVENTS, STATE, TICK, WAIT, charge, listen, without  # noqa: E402
 
-from yarrowloom.sim.minions import cluster  # noqa: E402
+from yarrowloom.simulator.minions import cluster
 
 
 def scene(*, minions: int, waiting: float, down: float, limit: float, most: float) -> None:
--- a/docs/experiments/growth_state.py
+++ b/docs/experiments/growth_state.py
@@ -15,9 +15,9 @@
 
 import orjson  # noqa: E402
 
-from yarrowloom.job.state import Jobs  # noqa: E402
-from yarrowloom.store import Ring  # noqa: E402
-from yarrowloom.wire.frame import Frame, Kind, Splitter, dump, pack  # noqa: E402
+from yarrowloom.jobs.state_machine import Jobs
+from yarrowloom.storage import Ring
+from yarrowloom.transport.envelope import Frame, Kind, Splitter, dump, pack
 
 
 def fill(*, live: int, ended: int, tasks: int) -> Jobs:
--- a/docs/experiments/recover.py
+++ b/docs/experiments/recover.py
@@ -2,7 +2,7 @@
 
     target/v/bin/python docs/experiments/recover.py [--minions 100,300,750,1500] [--edges 30] [--speed 0.5] [--for-s 6]
 
-Simulated cluster (`yarrowloom/sim/`): five core nodes, processor time of each input charged, divided by `--speed`;
+Simulated cluster (`yarrowloom/simulator/`): five core nodes, processor time of each input charged over the speed;
 sockets and the start of a process are left out. Minions keep running. Times are simulated seconds from the return of
 the processes.
 """
@@ -14,8 +14,8 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[2]))
 
-from yarrowloom.sim.cluster import Sim  # noqa: E402
-from yarrowloom.sim.minions import Oracle, SimCaller, SimMinion, cluster  # noqa: E402
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.minions import Oracle, SimCaller, SimMinion, cluster
 
 CORES = 5
 CAPACITY = (32_000, 131_072, 8)  # thousandths of a core, megabytes, accelerators
--- a/tests/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -6,8 +6,8 @@
 import orjson
 
 from yarrowloom.agent import Agent
-from yarrowloom.wire.frame import Kind
-from yarrowloom.wire.http import Response
+from yarrowloom.transport.envelope import Kind
+from yarrowloom.transport.http_server import Response
 
 
 class FakeHub:
--- a/tests/test_leaving_minions.py
+++ b/tests/agent/test_draining_minions.py
@@ -2,11 +2,10 @@
 
 from typing import Any
 
-from yarrowloom.agent.care import CLOCK, SLACK_S
+from tests.agent.test_agent import TASK, Rig
+from yarrowloom.agent.failure_detector import CLOCK, SLACK_S
 from yarrowloom.agent.minion import Phase
-from yarrowloom.wire.frame import Kind
-
-from .test_agent import TASK, Rig
+from yarrowloom.transport.envelope import Kind
 
 HOLD_S = 4.0 * CLOCK + SLACK_S
 
--- a/tests/test_delta.py
+++ b/tests/cluster_state/test_config_delta.py
@@ -6,11 +6,11 @@
 import orjson
 import pytest
 
-from yarrowloom.base.errs import StampError, StartupError
-from yarrowloom.base.startup import check
-from yarrowloom.fleet.conf import Table
-from yarrowloom.fleet.delta import History, diff, digest, merge, small
-from yarrowloom.fleet.registry import Registry
+from yarrowloom.cluster_state.config import Table
+from yarrowloom.cluster_state.config_delta import History, diff, digest, merge, small
+from yarrowloom.cluster_state.registry import Registry
+from yarrowloom.common.errors import StampError, StartupError
+from yarrowloom.common.settings import check
 
 Doc = dict[str, Any]
 
--- a/tests/test_orders_values.py
+++ b/tests/cluster_state/test_config_values.py
@@ -6,9 +6,9 @@
 import orjson
 import pytest
 
-from yarrowloom.base.errs import InvalidError
-from yarrowloom.fleet.conf import check
-from yarrowloom.sim.minions import cluster, config
+from yarrowloom.cluster_state.config import check
+from yarrowloom.common.errors import InvalidError
+from yarrowloom.simulator.minions import cluster, config
 
 HUGE, OVER = 1e308, 2**53
 TASK: dict[str, Any] = {"task-count": 3, "cpus": 1000, "mem-mb": 100, "estimate-ms": 500}
--- a/tests/test_orders.py
+++ b/tests/cluster_state/test_operator_requests.py
@@ -6,10 +6,10 @@
 import orjson
 import pytest
 
-from yarrowloom.base.errs import InvalidError, StampError, UnclearError, YarrowError
-from yarrowloom.fleet.orders import CHANGES_MOST, ZONES_MOST
-from yarrowloom.fleet.registry import Registry
-from yarrowloom.sim.minions import config
+from yarrowloom.cluster_state.operator_requests import CHANGES_MOST, ZONES_MOST
+from yarrowloom.cluster_state.registry import Registry
+from yarrowloom.common.errors import InvalidError, StampError, UnclearError, YarrowError
+from yarrowloom.simulator.minions import config
 
 DEEP = "[" * 300 + "]" * 300
 
--- a/tests/test_orders_cluster.py
+++ b/tests/cluster_state/test_operator_requests_cluster.py
@@ -5,9 +5,9 @@
 import orjson
 import pytest
 
-from yarrowloom.sim.cluster import Sim
-from yarrowloom.sim.minions import config
-from yarrowloom.wire.http import Response
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.minions import config
+from yarrowloom.transport.http_server import Response
 
 UNCLEAR = (0, 503)
 
--- a/tests/test_cluster.py
+++ b/tests/integration/test_cluster.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from yarrowloom.node.base import JOB_GROUPS
-from yarrowloom.sim.cluster import Sim
-from yarrowloom.sim.minions import Oracle, SimCaller, SimMinion, cluster
+from yarrowloom.node.node_base import JOB_GROUPS
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.minions import Oracle, SimCaller, SimMinion, cluster
 
 TASK: dict[str, Any] = {"task-count": 3, "cpus": 1000, "mem-mb": 100, "estimate-ms": 500}
 
@@ -208,7 +208,7 @@
 
 
 def test_beyond_the_most_jobs_in_hand_is_refused_at_once_and_never_runs(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("yarrowloom.place.desk.LIVE_MOST", 3)
+    monkeypatch.setattr("yarrowloom.scheduling.job_queue.LIVE_MOST", 3)
     sim, oracle, caller, _ = cluster(seed=51, work=3.0)
     jids = []
     for _ in range(6):
--- a/tests/test_days.py
+++ b/tests/integration/test_fault_days.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.simwork import Day, Worker, task
+from tests.support.simulated_work import Day, Worker, task
 
 
 def load(*, day: Day, seconds: float, each: float = 0.25, more: float = 1.0) -> None:
--- a/tests/test_found.py
+++ b/tests/integration/test_found_faults.py
@@ -2,15 +2,15 @@
 
 import pytest
 
-from tests.simwork import Day, task
-from tests.test_days import load
+from tests.integration.test_fault_days import load
+from tests.support.simulated_work import Day, task
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_task_that_fails_is_tried_elsewhere(seed: int) -> None:
     """One idle cluster, one minion that fails all it starts, one small job after the other: none may use all its tries
     up there. Cause: the lease of a failed run goes back to the pool and the same task is bound to it at once
-    (place/desk.py `ends` and `_idle`, then `pump`), and nothing counts a minion's failures."""
+    (scheduling/job_queue.py `ends` and `_idle`, then `pump`), and nothing counts a minion's failures."""
     day = Day(seed=2200 + seed, minions=9, tries=3)
     day.fleet[seed].sick = "grey"
     for _ in range(12):
@@ -61,7 +61,7 @@
 def test_placing_and_agent_do_not_go_round_without_end() -> None:
     """A late job of the first rank and a fresh one of the second want one shape, and a gang of the second has booked
     the minion whose room comes free. The request is made for the late job, which the booking does not bind; the lease
-    is offered to the fresh one first, which may not take it, and goes back (place/placer.py `_start`, `pump`), and at
+    is offered to the fresh one first, which may not take it, and goes back (scheduling/scheduler.py), and at
     once the next request goes out: a busy loop of the processor where both are one node."""
     day = Day(seed=1, minions=2, work=11.0)
     day.job(task(n=8))
--- a/tests/test_size.py
+++ b/tests/integration/test_large_clusters.py
@@ -6,17 +6,16 @@
 import orjson
 import pytest
 
-from yarrowloom.fleet.conf import Table
+from tests.agent.test_agent import JOB, TASK, Rig
+from yarrowloom.cluster_state.config import Table
 from yarrowloom.node.core import OVERLOADED, CoreNode
-from yarrowloom.node.relays import FANOUT, LOOK_S, EdgeRelays
-from yarrowloom.place import cycle
-from yarrowloom.place.cycle import Ask
-from yarrowloom.place.room import Room, Size, Spot
-from yarrowloom.sim.cluster import Sim
-from yarrowloom.sim.minions import cluster, config
-from yarrowloom.wire.frame import Kind
-
-from .test_agent import JOB, TASK, Rig
+from yarrowloom.node.edge_relays import FANOUT, LOOK_S, EdgeRelays
+from yarrowloom.scheduling import scheduling_cycle as cycle
+from yarrowloom.scheduling.capacity import Room, Size, Spot
+from yarrowloom.scheduling.scheduling_cycle import Ask
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.minions import cluster, config
+from yarrowloom.transport.envelope import Kind
 
 RACK = 20
 MEMBER = Size(10_000, 31_000, 1)
--- a/tests/test_loopback.py
+++ b/tests/integration/test_loopback.py
@@ -12,12 +12,12 @@
 import pytest
 import trio
 
-from yarrowloom.base.errs import UsageError
-from yarrowloom.base.log import Log
-from yarrowloom.base.startup import ENV, check
-from yarrowloom.load import Load, report
-from yarrowloom.node.shell import open_core, open_edge
-from yarrowloom.sim.minions import HOST, config
+from yarrowloom.common.errors import UsageError
+from yarrowloom.common.log import Log
+from yarrowloom.common.settings import ENV, check
+from yarrowloom.loadgen import Load, report
+from yarrowloom.node.runtime import open_core, open_edge
+from yarrowloom.simulator.minions import HOST, config
 
 ADDR = f"127.{os.getpid() % 200 + 2}.{os.getpid() // 200 % 250}.2"  # of this process alone: ports are let go again
 
@@ -148,7 +148,7 @@
 def test_unusable_settings_end_the_start_with_all_findings(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "local.json"
     path.write_text('{"node-name": 3, "internal-ports": [9, 1], "seed-nodes": ["x"]}')
-    root = pathlib.Path(__file__).resolve().parent.parent
+    root = pathlib.Path(__file__).resolve().parents[2]
     res = subprocess.run(
         [sys.executable, "yarrowloom.py", "core"],
         cwd=root,
--- a/tests/test_mixed.py
+++ b/tests/integration/test_mixed_faults.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from tests.simwork import Day, Worker, task
-from tests.test_days import boot, hush, load
+from tests.integration.test_fault_days import boot, hush, load
+from tests.support.simulated_work import Day, Worker, task
 
 
 def some(day: Day) -> Worker:
--- a/tests/test_overload.py
+++ b/tests/integration/test_overload.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from yarrowloom.node.base import JOB_GROUPS
-from yarrowloom.sim.cluster import Sim
-from yarrowloom.sim.minions import Oracle, SimCaller, SimMinion, cluster
+from yarrowloom.node.node_base import JOB_GROUPS
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.minions import Oracle, SimCaller, SimMinion, cluster
 
 JOB: dict[str, Any] = {"task-count": 4, "cpus": 1000, "mem-mb": 100, "estimate-ms": 500}
 SPEED = 0.1  # of this project's development machine: a tenth of the jobs makes the same backlog
--- a/tests/test_rules.py
+++ b/tests/integration/test_rules.py
@@ -1,6 +1,6 @@
 """The rules on quiet and on odd work; the proofs that the judge sees each guard's absence are in `test_mutants`."""
 
-from tests.simwork import Day, task
+from tests.support.simulated_work import Day, task
 
 
 def test_steps_gangs_and_checkpoints_on_a_quiet_day() -> None:
--- a/tests/test_jobs.py
+++ b/tests/jobs/test_state_machine.py
@@ -6,8 +6,8 @@
 import orjson
 import pytest
 
-from yarrowloom.job import Jobs, parse
-from yarrowloom.job.state import ENDED
+from yarrowloom.jobs import Jobs, parse
+from yarrowloom.jobs.state_machine import ENDED
 
 
 def job(*, stages: list[dict[str, Any]], **more: Any) -> dict[str, Any]:
--- a/tests/limits.py
+++ b/tests/limits.py
@@ -10,7 +10,7 @@
 def main() -> int:
     """Report every file over the limit."""
     bad = []
-    for path in sorted([*ROOT.glob("*.py"), *ROOT.glob("yarrowloom/**/*.py"), *ROOT.glob("tests/*.py")]):
+    for path in sorted([*ROOT.glob("*.py"), *ROOT.glob("yarrowloom/**/*.py"), *ROOT.glob("tests/**/*.py")]):
         n = len(path.read_text().splitlines())
         if n > MOST:
             bad.append(f"{path.relative_to(ROOT)}: {n} lines, the limit is {MOST}")
--- a/tests/test_mutants_agent.py
+++ b/tests/mutants/test_agent_mutants.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from tests.simproof import proof, settle, stream
-from tests.simwork import Day, task
+from tests.support.mutant_proof import proof, settle, stream
+from tests.support.simulated_work import Day, task
 from yarrowloom.agent import agent as agent_mod
-from yarrowloom.agent import answer as answer_mod
-from yarrowloom.agent import care as care_mod
+from yarrowloom.agent import failure_detector as care_mod
+from yarrowloom.agent import heartbeat_response as answer_mod
 from yarrowloom.agent.agent import Agent
 from yarrowloom.agent.minion import Minion
 from yarrowloom.node.core import CoreNode
--- a/tests/test_mutants_orders.py
+++ b/tests/mutants/test_operator_request_mutants.py
@@ -6,15 +6,25 @@
 import orjson
 import pytest
 
-from tests.simops import OrdersRun
-from tests.test_operators import BUSY, EVACUATING, Fault, closing, closing_cut, cut, doomed, lost_answers, quiet
-from yarrowloom.base.errs import StampError, YarrowError
-from yarrowloom.fleet.orders import AcceptedChanges
-from yarrowloom.fleet.registry import Registry
-from yarrowloom.node import control
+from tests.simulator.test_operators import (
+    BUSY,
+    EVACUATING,
+    Fault,
+    closing,
+    closing_cut,
+    cut,
+    doomed,
+    lost_answers,
+    quiet,
+)
+from tests.support.two_operators import OrdersRun
+from yarrowloom.cluster_state.operator_requests import AcceptedChanges
+from yarrowloom.cluster_state.registry import Registry
+from yarrowloom.common.errors import StampError, YarrowError
+from yarrowloom.node import http_routes as control
 from yarrowloom.node.core import CoreNode
-from yarrowloom.record import Replica
-from yarrowloom.wire.http import Response
+from yarrowloom.replication import Replica
+from yarrowloom.transport.http_server import Response
 
 SEEDS = 20  # at most; the first that shows it ends the search
 
@@ -25,7 +35,7 @@
 
 def forgets_at_once(patch: pytest.MonkeyPatch) -> None:
     """As it was: only the last orders are known, and what isn't known is refused."""
-    patch.setattr("yarrowloom.fleet.orders.CHANGES_MOST", 8)
+    patch.setattr("yarrowloom.cluster_state.operator_requests.CHANGES_MOST", 8)
     patch.setattr(AcceptedChanges, "unknown", lambda self, version: False)
 
 
@@ -90,7 +100,7 @@
 
 
 def any_body_is_good(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr("yarrowloom.fleet.conf._route", lambda **_: None)
+    patch.setattr("yarrowloom.cluster_state.config._route", lambda **_: None)
 
 
 def no_fence_for_evacuations(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_mutants_place.py
+++ b/tests/mutants/test_scheduling_mutants.py
@@ -4,19 +4,19 @@
 
 import pytest
 
-from tests.simproof import proof, settle, stream
-from tests.simwork import Day, task
+from tests.support.mutant_proof import proof, settle, stream
+from tests.support.simulated_work import Day, task
 from yarrowloom.agent import agent as agent_mod
-from yarrowloom.agent import choice
+from yarrowloom.agent import lease_selection as choice
 from yarrowloom.agent.agent import Agent
 from yarrowloom.agent.minion import Minion
-from yarrowloom.place import binding as binding_mod
-from yarrowloom.place import cycle
-from yarrowloom.place.binding import Binding
-from yarrowloom.place.desk import Desk
-from yarrowloom.place.group import Backlog
-from yarrowloom.place.placer import Placer
-from yarrowloom.place.room import Room
+from yarrowloom.scheduling import binding as binding_mod
+from yarrowloom.scheduling import scheduling_cycle as cycle
+from yarrowloom.scheduling.binding import Binding
+from yarrowloom.scheduling.capacity import Room
+from yarrowloom.scheduling.job_queue import Desk
+from yarrowloom.scheduling.pod_group import Backlog
+from yarrowloom.scheduling.scheduler import Placer
 
 
 def without(*, name: str) -> tuple[tuple[str, cycle.Filter], ...]:
--- a/tests/test_mutants.py
+++ b/tests/mutants/test_state_mutants.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from tests.simproof import proof, settle
-from tests.simwork import Day, Worker, task
-from yarrowloom.job.state import Jobs
+from tests.support.mutant_proof import proof, settle
+from tests.support.simulated_work import Day, Worker, task
+from yarrowloom.jobs.state_machine import Jobs
 from yarrowloom.node.edge import EdgeNode
-from yarrowloom.record.replica import Replica
+from yarrowloom.replication.replica import Replica
 
 # -- ORDER
 
--- a/tests/test_busy.py
+++ b/tests/node/test_busy_process.py
@@ -5,13 +5,13 @@
 import orjson
 import pytest
 
-from yarrowloom.node.base import JOB_GROUPS
-from yarrowloom.record import ballot
-from yarrowloom.record.parts import Reducer, decode, encode
-from yarrowloom.record.timing import DOUBT_S
-from yarrowloom.sim.cluster import Sim
-from yarrowloom.sim.minions import cluster
-from yarrowloom.wire.frame import Kind
+from yarrowloom.node.node_base import JOB_GROUPS
+from yarrowloom.replication import election as ballot
+from yarrowloom.replication.environment import Reducer, decode, encode
+from yarrowloom.replication.timing import DOUBT_S
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.minions import cluster
+from yarrowloom.transport.envelope import Kind
 
 
 def epochs(sim: Sim) -> list[int]:
--- a/tests/test_call_identity.py
+++ b/tests/node/test_call_identity.py
@@ -4,11 +4,11 @@
 
 import orjson
 
-from yarrowloom.base.log import Log
+from yarrowloom.common.log import Log
 from yarrowloom.node.core import CoreNode
-from yarrowloom.sim.cluster import Sim
-from yarrowloom.sim.minions import cluster
-from yarrowloom.wire.frame import Kind
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.minions import cluster
+from yarrowloom.transport.envelope import Kind
 
 ADDR = "10.9.0.9:7000"
 
--- a/tests/test_call_repeats.py
+++ b/tests/node/test_call_repeats.py
@@ -5,11 +5,11 @@
 import orjson
 import pytest
 
-from yarrowloom.fleet.registry import Registry
+from yarrowloom.cluster_state.registry import Registry
 from yarrowloom.node.core import CoreNode
-from yarrowloom.sim.cluster import Sim
-from yarrowloom.sim.minions import cluster
-from yarrowloom.wire.frame import Kind
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.minions import cluster
+from yarrowloom.transport.envelope import Kind
 
 CALLER = "10.9.0.9:7000#0"
 STEP = {"task-count": 2, "cpus": 500, "mem-mb": 64, "estimate-ms": 500}
--- a/tests/test_news.py
+++ b/tests/node/test_config_dissemination.py
@@ -3,9 +3,9 @@
 from typing import Any
 
 from yarrowloom.node.edge import EdgeNode
-from yarrowloom.node.relays import FANOUT
-from yarrowloom.sim.cluster import Sim
-from yarrowloom.sim.minions import HOST, SimMinion, cluster, config
+from yarrowloom.node.edge_relays import FANOUT
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.minions import HOST, SimMinion, cluster, config
 
 
 def edges(sim: Sim) -> list[EdgeNode]:
--- a/tests/test_tree.py
+++ b/tests/node/test_config_dissemination_tree.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from yarrowloom.node.relays import FANOUT
-from yarrowloom.sim.links import LinkSim, large, patched, put
-from yarrowloom.wire.frame import Kind
+from yarrowloom.node.edge_relays import FANOUT
+from yarrowloom.simulator.link_cluster import LinkSim, large, patched, put
+from yarrowloom.transport.envelope import Kind
 
 
 def ready(*, seed: int, cores: int = 5, edges: int = 33, **kw: Any) -> LinkSim:
--- a/tests/test_fresh.py
+++ b/tests/node/test_config_freshness.py
@@ -6,10 +6,10 @@
 import pytest
 
 from yarrowloom.node.edge import EdgeNode
-from yarrowloom.sim.cluster import Sim
-from yarrowloom.sim.links import LinkSim, put
-from yarrowloom.sim.minions import HOST, cluster, config
-from yarrowloom.wire.frame import Kind
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.link_cluster import LinkSim, put
+from yarrowloom.simulator.minions import HOST, cluster, config
+from yarrowloom.transport.envelope import Kind
 
 APPLY_S = 2.0  # `config-apply-ms` where the settings name none
 CUT_S = 20.0
--- a/tests/test_fresh_core.py
+++ b/tests/node/test_config_freshness_core.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from tests.test_fresh import APPLY_S, CUT_S, bystander, change, edge, island, settled
-from yarrowloom.node.chief import LEASE_S
+from tests.node.test_config_freshness import APPLY_S, CUT_S, bystander, change, edge, island, settled
+from yarrowloom.node.config_freshness import Freshness
+from yarrowloom.node.controller import LEASE_S
 from yarrowloom.node.edge import EdgeNode
-from yarrowloom.node.fresh import Freshness
-from yarrowloom.sim.cluster import Sim
-from yarrowloom.sim.links import LinkSim, put
-from yarrowloom.sim.minions import HOST, SimMinion, cluster, config
-from yarrowloom.wire.frame import Kind
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.link_cluster import LinkSim, put
+from yarrowloom.simulator.minions import HOST, SimMinion, cluster, config
+from yarrowloom.transport.envelope import Kind
 
 
 @pytest.mark.parametrize("seed", range(310, 318))
--- a/tests/test_chief.py
+++ b/tests/node/test_controller.py
@@ -5,14 +5,14 @@
 
 import pytest
 
-import yarrowloom.node.chief as chief
+import yarrowloom.node.controller as chief
 from yarrowloom.agent.minion import Phase, Run
-from yarrowloom.fleet.owners import Owners, Picker, Place, place, total
-from yarrowloom.fleet.registry import Registry
-from yarrowloom.node.hub import CoreHub
-from yarrowloom.sim.cluster import Sim
-from yarrowloom.sim.herd import attached, back, herd, loads, serves
-from yarrowloom.sim.minions import Oracle, SimCaller
+from yarrowloom.cluster_state.minion_ownership import Owners, Picker, Place, place, total
+from yarrowloom.cluster_state.registry import Registry
+from yarrowloom.node.core_environment import CoreHub
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.minion_population import attached, back, herd, loads, serves
+from yarrowloom.simulator.minions import Oracle, SimCaller
 
 TASK: dict[str, Any] = {"task-count": 3, "cpus": 1000, "mem-mb": 100, "estimate-ms": 500}
 
--- a/tests/test_edge.py
+++ b/tests/node/test_edge.py
@@ -5,10 +5,10 @@
 import pytest
 
 from yarrowloom.node.edge import EdgeNode
-from yarrowloom.sim.links import LinkSim, put
-from yarrowloom.sim.minions import HOST, config
-from yarrowloom.wire.frame import Kind
-from yarrowloom.wire.http import Response
+from yarrowloom.simulator.link_cluster import LinkSim, put
+from yarrowloom.simulator.minions import HOST, config
+from yarrowloom.transport.envelope import Kind
+from yarrowloom.transport.http_server import Response
 
 JOB: dict[str, Any] = {"task-spec": "s", "stages": [{"task-count": 1, "cpus": 10, "mem-mb": 1}]}
 
--- a/tests/test_turns.py
+++ b/tests/node/test_input_scheduler.py
@@ -2,7 +2,7 @@
 
 from functools import partial
 
-from yarrowloom.node.turns import Rank, Turns
+from yarrowloom.node.input_scheduler import Rank, Turns
 
 
 def test_calls_get_their_share_of_the_time_however_long_placing_takes() -> None:
--- a/tests/test_recovery.py
+++ b/tests/node/test_recovery.py
@@ -7,18 +7,18 @@
 import orjson
 import pytest
 
-from tests.ringsim import RingSim
-from yarrowloom.base.log import Log
+from tests.support.ring_cluster import RingSim
+from yarrowloom.common.log import Log
 from yarrowloom.node.core import CoreNode
 from yarrowloom.node.recovery import counted, last_snapshot, recover
-from yarrowloom.record import Replica
-from yarrowloom.record.parts import Role
-from yarrowloom.record.replay import ReplayError
-from yarrowloom.record.stored import StoredCopy
-from yarrowloom.sim import minions
-from yarrowloom.sim.cluster import Sim
-from yarrowloom.sim.minions import Oracle, SimCaller, cluster, config
-from yarrowloom.store import END
+from yarrowloom.replication import Replica
+from yarrowloom.replication.environment import Role
+from yarrowloom.replication.log_replay import ReplayError
+from yarrowloom.replication.replica_storage import StoredCopy
+from yarrowloom.simulator import minions
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.minions import Oracle, SimCaller, cluster, config
+from yarrowloom.storage import END
 
 STAGES = [{"task-count": 3, "cpus": 300, "mem-mb": 100, "estimate-ms": 300}]
 Held = dict[tuple[int, int, int], bytes]
--- a/tests/test_refused_calls.py
+++ b/tests/node/test_refused_calls.py
@@ -5,10 +5,10 @@
 import orjson
 import pytest
 
-from yarrowloom.node.calls import NOT_PRIMARY, Calls
-from yarrowloom.sim.cluster import Sim
-from yarrowloom.sim.minions import HOST, cluster
-from yarrowloom.wire.http import Response
+from yarrowloom.node.group_calls import NOT_PRIMARY, Calls
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.minions import HOST, cluster
+from yarrowloom.transport.http_server import Response
 
 JOB = {"task-spec": "s", "stages": [{"task-count": 1, "cpus": 500, "mem-mb": 64, "estimate-ms": 300}]}
 JOB_ID = "5c0e7a21d94b36f8"
--- a/tests/test_learn_fill.py
+++ b/tests/prediction/test_backfill.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from yarrowloom.learn import Filler, Form, Minion, Reservation, Run, in_the_way, may_fill, reserve
-from yarrowloom.learn.fill import OVERDUE_MS
+from yarrowloom.prediction import Filler, Form, Minion, Reservation, Run, in_the_way, may_fill, reserve
+from yarrowloom.prediction.backfill import OVERDUE_MS
 
 
 def form(*, rng: random.Random, most: int = 3) -> Form:
--- a/tests/test_learn_calls.py
+++ b/tests/prediction/test_call_times.py
@@ -7,12 +7,12 @@
 import orjson
 import pytest
 
-from yarrowloom.job.spec import Step, parse
-from yarrowloom.learn import History, Prediction, Why, queue_key
-from yarrowloom.learn import calls as calls_mod
-from yarrowloom.learn import follow as follow_mod
-from yarrowloom.learn import history as hist_mod
-from yarrowloom.learn.score import Score
+from yarrowloom.jobs.submission import Step, parse
+from yarrowloom.prediction import History, Prediction, Why, queue_key
+from yarrowloom.prediction import call_times as calls_mod
+from yarrowloom.prediction import history as hist_mod
+from yarrowloom.prediction import successor_jobs as follow_mod
+from yarrowloom.prediction.accuracy import Score
 
 T0 = 1_700_000_000_000
 
--- a/tests/test_learn_runs.py
+++ b/tests/prediction/test_run_times.py
@@ -7,10 +7,10 @@
 import orjson
 import pytest
 
-from yarrowloom.job.spec import Step, parse
-from yarrowloom.learn import History
-from yarrowloom.learn import runs as runs_mod
-from yarrowloom.learn import slow as slow_mod
+from yarrowloom.jobs.submission import Step, parse
+from yarrowloom.prediction import History
+from yarrowloom.prediction import run_times as runs_mod
+from yarrowloom.prediction import slow_minions as slow_mod
 
 
 def step(**more: Any) -> Step:
--- a/tests/test_learn_warm.py
+++ b/tests/prediction/test_warm_plan.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from yarrowloom.learn import Bounds, Form, Prediction, Room, Warm, Why
-from yarrowloom.learn import warm as warm_mod
+from yarrowloom.prediction import Bounds, Form, Prediction, Room, Warm, Why
+from yarrowloom.prediction import warm_plan as warm_mod
 
 ON = Bounds(on=True, core_s=1200.0, tasks=16, expiry_ms=4000.0, lead_ms=400.0, least=0.6)
 
--- a/tests/test_deploy.py
+++ b/tests/project/test_deploy_file.py
@@ -4,7 +4,7 @@
 import re
 import tomllib
 
-ROOT = pathlib.Path(__file__).parent.parent
+ROOT = pathlib.Path(__file__).parents[2]
 DEBIAN_NAME = re.compile(r"[a-z0-9][a-z0-9+.-]+")
 # What a program of the build or of a role is, and the system package that brings it.
 BROUGHT_BY = {"python3": "python3", "pip": "python3-pip"}
--- a/tests/test_leaving.py
+++ b/tests/replication/test_handover.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from tests.test_contact import holders, newest
-from yarrowloom.node.base import JOB_GROUPS
-from yarrowloom.node.shell import DRAIN_LEAST_S, GRACE_SPARE_S
-from yarrowloom.sim.cluster import Sim
-from yarrowloom.sim.minions import HOST, cluster, config
+from tests.replication.test_quorum_contact import holders, newest
+from yarrowloom.node.node_base import JOB_GROUPS
+from yarrowloom.node.runtime import DRAIN_LEAST_S, GRACE_SPARE_S
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.minions import HOST, cluster, config
 
 SETTLE_S = 6.0
 GRACE_S = 6.0
--- a/tests/test_install.py
+++ b/tests/replication/test_install.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from yarrowloom.record.parts import Role
-from yarrowloom.record.timing import PROMISE_S
-from yarrowloom.sim.minions import cluster
-from yarrowloom.sim.process import Proc
-from yarrowloom.wire.frame import Kind
+from yarrowloom.replication.environment import Role
+from yarrowloom.replication.timing import PROMISE_S
+from yarrowloom.simulator.machines.process import Proc
+from yarrowloom.simulator.minions import cluster
+from yarrowloom.transport.envelope import Kind
 
 LATE_S = 0.76  # the witnesses' answers come after the fourth INSTALL
 
--- a/tests/test_record_model.py
+++ b/tests/replication/test_model.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from tests.record_explore import ALL, FAULTS, Search, calm, do, ready, walk
-from tests.record_model import Op, World
+from tests.support.replication_explorer import ALL, FAULTS, Search, calm, do, ready, walk
+from tests.support.replication_model import Op, World
 
 SCRIPT = (
     Op(commit=True),
--- a/tests/test_record_found.py
+++ b/tests/replication/test_model_found.py
@@ -1,8 +1,8 @@
 """Faults that the model of replication found: each with the steps that bring it about."""
 
-from tests.model import Choice
-from tests.record_explore import calm, do, ready, replay
-from tests.record_model import Line, Op, World
+from tests.support.binding_model import Choice
+from tests.support.replication_explorer import calm, do, ready, replay
+from tests.support.replication_model import Line, Op, World
 
 SCRIPT = (
     Op(commit=True),
--- a/tests/test_record_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -6,15 +6,16 @@
 
 import pytest
 
-from tests.record_adapter import Member
-from tests.record_explore import ALL, Search, calm, do, ready, replay
-from tests.record_model import Op, World
-from yarrowloom.record import ballot, replica
-from yarrowloom.record.ballot import Campaign
-from yarrowloom.record.epoch import Epoch, Witness
-from yarrowloom.record.parts import Role
-from yarrowloom.record.replica import Replica
-from yarrowloom.wire.frame import Kind
+from tests.support.replication_adapter import Member
+from tests.support.replication_explorer import ALL, Search, calm, do, ready, replay
+from tests.support.replication_model import Op, World
+from yarrowloom.replication import election as ballot
+from yarrowloom.replication import replica
+from yarrowloom.replication.election import Campaign
+from yarrowloom.replication.environment import Role
+from yarrowloom.replication.epoch import Epoch, Witness
+from yarrowloom.replication.replica import Replica
+from yarrowloom.transport.envelope import Kind
 
 TWO_COMMITS = (Op(commit=True), Op(commit=True), Op(commit=True, last=True), Op(commit=False, last=True))
 READ_EARLY = (Op(commit=True), Op(commit=False), Op(commit=True, last=True), Op(commit=False, last=True))
--- a/tests/test_contact.py
+++ b/tests/replication/test_quorum_contact.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from yarrowloom.node.base import JOB_GROUPS
-from yarrowloom.record.epoch import Epoch
-from yarrowloom.sim.cluster import Sim
-from yarrowloom.sim.minions import cluster, config
+from yarrowloom.node.node_base import JOB_GROUPS
+from yarrowloom.replication.epoch import Epoch
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.minions import cluster, config
 
 SETTLE_S = 6.0
 
@@ -109,7 +109,7 @@
 
 def test_cost_of_contact(monkeypatch: pytest.MonkeyPatch) -> None:
     """Frames of contact stay below 2.5 a second for each witness and group, both ways counted once."""
-    from yarrowloom.wire.frame import Kind
+    from yarrowloom.transport.envelope import Kind
 
     sim, _, _, _ = cluster(seed=10, cores=9)
     sim.run(seconds=SETTLE_S)
--- a/tests/test_lone.py
+++ b/tests/replication/test_single_core.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from yarrowloom.sim.minions import cluster
-from yarrowloom.sim.process import Proc
-from yarrowloom.wire.frame import Kind
+from yarrowloom.simulator.machines.process import Proc
+from yarrowloom.simulator.minions import cluster
+from yarrowloom.transport.envelope import Kind
 
 
 def test_hanging_disk_of_a_lone_core_sends_nothing_to_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_snapshot.py
+++ b/tests/replication/test_snapshot.py
@@ -3,9 +3,9 @@
 import orjson
 import pytest
 
-from tests.replica_cell import Cell, Member, Role
-from yarrowloom.record.replay import ReplayError
-from yarrowloom.wire.frame import Kind
+from tests.support.replica_cell import Cell, Member, Role
+from yarrowloom.replication.log_replay import ReplayError
+from yarrowloom.transport.envelope import Kind
 
 
 def holders(cell: Cell) -> list[Member]:
--- a/tests/test_snapshot_any.py
+++ b/tests/replication/test_snapshot_any_order.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from tests.replica_cell import Cell, Member, Role
-from yarrowloom.record.ballot import Campaign
-from yarrowloom.record.replay import unapplied
-from yarrowloom.record.stored import StoredCopy
+from tests.support.replica_cell import Cell, Member, Role
+from yarrowloom.replication.election import Campaign
+from yarrowloom.replication.log_replay import unapplied
+from yarrowloom.replication.replica_storage import StoredCopy
 
 STEPS = 1500
 SEEDS = 30
@@ -154,7 +154,7 @@
 
     with monkeypatch.context() as patch:
         if guard == "replay passes over what it has":
-            patch.setattr("yarrowloom.record.stored.unapplied", again)
+            patch.setattr("yarrowloom.replication.replica_storage.unapplied", again)
         elif guard == "a snapshot names the last event applied":
             patch.setattr(StoredCopy, "records", sent)
         elif guard == "a backup that began to take over confirms nothing more":
--- a/tests/test_standstill.py
+++ b/tests/replication/test_stalled_process.py
@@ -7,12 +7,12 @@
 import orjson
 import pytest
 
-from tests.test_contact import holders, newest
-from yarrowloom.sim.cluster import Sim
-from yarrowloom.sim.minions import SimMinion, cluster, config
-from yarrowloom.sim.process import Proc
-from yarrowloom.wire.frame import Kind
-from yarrowloom.wire.http import Response
+from tests.replication.test_quorum_contact import holders, newest
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.machines.process import Proc
+from yarrowloom.simulator.minions import SimMinion, cluster, config
+from yarrowloom.transport.envelope import Kind
+from yarrowloom.transport.http_server import Response
 
 STILL_S = 5.0
 SETTLE_S = 6.0
--- a/tests/test_losses.py
+++ b/tests/replication/test_successive_losses.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from tests.test_contact import holders, newest
-from tests.test_leaving import CATCH_UP_S, change, served, version
-from yarrowloom.node.base import JOB_GROUPS
-from yarrowloom.record.timing import DOUBT_S, PING_S, SILENCE_S, TURN_S
-from yarrowloom.sim import minions
-from yarrowloom.sim.cluster import Sim
-from yarrowloom.sim.minions import cluster
-from yarrowloom.sim.process import Proc
-from yarrowloom.wire.frame import Kind
+from tests.replication.test_handover import CATCH_UP_S, change, served, version
+from tests.replication.test_quorum_contact import holders, newest
+from yarrowloom.node.node_base import JOB_GROUPS
+from yarrowloom.replication.timing import DOUBT_S, PING_S, SILENCE_S, TURN_S
+from yarrowloom.simulator import minions
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.machines.process import Proc
+from yarrowloom.simulator.minions import cluster
+from yarrowloom.transport.envelope import Kind
 
 SETTLE_S = 6.0
 TICK_S = 0.06
--- a/tests/test_two_disks.py
+++ b/tests/replication/test_two_disks_lost.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from yarrowloom.sim.cluster import Sim
-from yarrowloom.sim.minions import HOST, cluster, config
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.minions import HOST, cluster, config
 
 
 def holders(sim: Sim, *, g: int, which: tuple[int, int]) -> list[str]:
--- a/tests/test_zones.py
+++ b/tests/replication/test_zones.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from tests.test_contact import holders, newest
-from yarrowloom.node.base import JOB_GROUPS
-from yarrowloom.node.members import spread
-from yarrowloom.sim.cluster import Sim
-from yarrowloom.sim.minions import cluster, config
+from tests.replication.test_quorum_contact import holders, newest
+from yarrowloom.node.membership import spread
+from yarrowloom.node.node_base import JOB_GROUPS
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.minions import cluster, config
 
 SETTLE_S = 6.0
 MEND_S = 6.0  # after the return of a zone: seen (0.3 s), enrolled, wished for 2 s, once a second looked at
--- a/tests/test_binding.py
+++ b/tests/scheduling/test_binding.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from yarrowloom.sim.cluster import Sim
-from yarrowloom.sim.minions import Oracle, SimCaller, cluster
-from yarrowloom.sim.process import Proc
-from yarrowloom.wire.frame import Kind
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.machines.process import Proc
+from yarrowloom.simulator.minions import Oracle, SimCaller, cluster
+from yarrowloom.transport.envelope import Kind
 
 TASK: dict[str, Any] = {"task-count": 3, "cpus": 1000, "mem-mb": 100, "estimate-ms": 500}
 STEPS = [Kind.LEASE, Kind.GRANT, Kind.LOG, Kind.ORDER, Kind.RETURN, Kind.ENDS, Kind.ENDSOK]
--- a/tests/test_model.py
+++ b/tests/scheduling/test_binding_model.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from tests.explore import Found, Search, attached, choices, do, replay
-from tests.model import ONE, TWO, Choice, Rep
+from tests.support.binding_explorer import Found, Search, attached, choices, do, replay
+from tests.support.binding_model import ONE, TWO, Choice, Rep
 from yarrowloom.agent.agent import Agent
 from yarrowloom.agent.minion import Minion
-from yarrowloom.place.leases import Pool
-from yarrowloom.place.placer import Placer
+from yarrowloom.scheduling.lease_cache import Pool
+from yarrowloom.scheduling.scheduler import Placer
 
 TASK: dict[str, Any] = {"mem-mb": 10, "estimate-ms": 500}
 GANG: dict[str, Any] = {**TASK, "task-count": 2, "cpus": 3000, "gang": True}
--- a/tests/test_model_found.py
+++ b/tests/scheduling/test_binding_model_found.py
@@ -1,8 +1,8 @@
 """What the model checker found: each the shortest way to it, as the choices that are not the calm ones."""
 
-from tests.explore import attached, choices, do, left
-from tests.model import TWO, Choice
-from tests.test_model import GANG
+from tests.scheduling.test_binding_model import GANG
+from tests.support.binding_explorer import attached, choices, do, left
+from tests.support.binding_model import TWO, Choice
 
 
 def test_a_placing_node_forgets_the_lease_of_a_gang_member_whose_order_was_lost() -> None:
--- a/tests/test_lease_identity.py
+++ b/tests/scheduling/test_lease_identity.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from yarrowloom.place.binding import LeaseAsk
-from yarrowloom.place.room import Size
-from yarrowloom.sim.minions import cluster
+from yarrowloom.scheduling.binding import LeaseAsk
+from yarrowloom.scheduling.capacity import Size
+from yarrowloom.simulator.minions import cluster
 
 
 def test_a_grant_of_an_agent_that_was_not_asked_leaves_the_ask_open(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_cycle.py
+++ b/tests/scheduling/test_scheduling_cycle.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from yarrowloom.place import cycle
-from yarrowloom.place.cycle import Ask, Decision
-from yarrowloom.place.group import Backlog, Group, Phase, Walk
-from yarrowloom.place.room import Room, Size, Spot
+from yarrowloom.scheduling import scheduling_cycle as cycle
+from yarrowloom.scheduling.capacity import Room, Size, Spot
+from yarrowloom.scheduling.pod_group import Backlog, Group, Phase, Walk
+from yarrowloom.scheduling.scheduling_cycle import Ask, Decision
 
 RACKS = ("r0", "r1", "r2")
 
--- a/tests/test_warm.py
+++ b/tests/scheduling/test_warm_capacity.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from yarrowloom.base.defaults import SHIPPED, Defaults
-from yarrowloom.learn import History
-from yarrowloom.place.placer import Placer
-from yarrowloom.sim.cluster import Sim
-from yarrowloom.sim.minions import HOST, Oracle, SimCaller, SimMinion, cluster
+from yarrowloom.common.defaults import SHIPPED, Defaults
+from yarrowloom.prediction import History
+from yarrowloom.scheduling.scheduler import Placer
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.minions import HOST, Oracle, SimCaller, SimMinion, cluster
 
 URGENT: dict[str, Any] = {"task-count": 2, "cpus": 4000, "mem-mb": 100, "estimate-ms": 500, "gang": True}
 FILL: dict[str, Any] = {"task-count": 4, "cpus": 2000, "mem-mb": 100, "estimate-ms": 3000}
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def warm(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("yarrowloom.node.hub.SHIPPED", ON)
+    monkeypatch.setattr("yarrowloom.node.core_environment.SHIPPED", ON)
 
 
 def placer_of(sim: Sim) -> Placer:
@@ -170,7 +170,7 @@
     """The same seeded jobs, warming off and on, with a core killed and a minion lost: all end, no rule is broken."""
     got: list[tuple[int, int]] = []
     for row in (SHIPPED, ON):
-        monkeypatch.setattr("yarrowloom.node.hub.SHIPPED", row)
+        monkeypatch.setattr("yarrowloom.node.core_environment.SHIPPED", row)
         sim, oracle, caller, fleet = cluster(seed=8500 + seed, minions=6, work=0.5, edges=2)
         for i in range(30):
             caller.submit(stages=[URGENT] if i % 3 == 0 else [FILL], queue="fast" if i % 3 == 0 else "slow")
--- a/tests/test_same.py
+++ b/tests/simulator/test_determinism.py
@@ -5,10 +5,10 @@
 import subprocess
 import sys
 
-from tests.simwork import Day, task
-from yarrowloom.sim.cluster import Sim
+from tests.support.simulated_work import Day, task
+from yarrowloom.simulator.cluster import Sim
 
-ASK = "from tests.test_same import mark; print(mark())"
+ASK = "from tests.simulator.test_determinism import mark; print(mark())"
 
 
 def mark() -> str:
--- a/tests/test_digest.py
+++ b/tests/simulator/test_digest.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from yarrowloom.sim.digest import NO_KIND, RunDigest
-from yarrowloom.sim.play import Settings, play
-from yarrowloom.wire.frame import Kind
+from yarrowloom.simulator.digest import NO_KIND, RunDigest
+from yarrowloom.simulator.run import Settings, play
+from yarrowloom.transport.envelope import Kind
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 BODY = b'{"g":1,"n":[2.5,"a"],"ttl":30.0}'
 JSON_TYPE = ("content-type", "application/json")
 RETRY_AFTER = ("retry-after", "1")
--- a/tests/test_sim_disk.py
+++ b/tests/simulator/test_disk.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from yarrowloom.sim.disk import Operation, Outcome, PowerCutError, SimDisk, Trouble
+from yarrowloom.simulator.machines.disk import Operation, Outcome, PowerCutError, SimDisk, Trouble
 
 PATH = "/data/a"
 
--- a/tests/test_sim_faults.py
+++ b/tests/simulator/test_faults.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from yarrowloom.sim.draw import CATCH_UP_S, Shape, draw
-from yarrowloom.sim.errors import FaultsError, SimError
-from yarrowloom.sim.faults import RULES, Fault, FaultKind, Plan, Role, check, dump, load
-from yarrowloom.sim.network import Cut, Cuts
-from yarrowloom.sim.play import Run, Settings
+from yarrowloom.simulator.errors import FaultsError, SimError
+from yarrowloom.simulator.faults.generator import CATCH_UP_S, Shape, draw
+from yarrowloom.simulator.faults.model import RULES, Fault, FaultKind, Plan, Role, check, dump, load
+from yarrowloom.simulator.machines.network import Cut, Cuts
+from yarrowloom.simulator.run import Run, Settings
 
 LOST = {k for k, rule in RULES.items() if Role.CORE in rule.roles} - {FaultKind.CLOCK_STEP, FaultKind.CLOCK_DRIFT}
 
--- a/tests/test_sim_found.py
+++ b/tests/simulator/test_found_plans.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from yarrowloom.sim.faults import load
-from yarrowloom.sim.play import Settings, play
+from yarrowloom.simulator.faults.model import load
+from yarrowloom.simulator.run import Settings, play
 
 FOUND = sorted((Path(__file__).parent / "found").glob("*.toml"))
 
--- a/tests/test_history_jobs.py
+++ b/tests/simulator/test_history_checks.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from tests.simbook import Book
-from yarrowloom.sim.history import Evacuate, JobCall, JobVerb
-from yarrowloom.sim.judged import check_answers, check_evacuations, check_jobs
+from tests.support.handwritten_history import Book
+from yarrowloom.simulator.judges.history import Evacuate, JobCall, JobVerb
+from yarrowloom.simulator.judges.history_checks import check_answers, check_evacuations, check_jobs
 
 
 def job(book: Book, verb: JobVerb, start: float, end: float, status: int, state: str = "", **more: Any) -> None:
--- a/tests/test_history_runs.py
+++ b/tests/simulator/test_history_runs.py
@@ -6,12 +6,12 @@
 import orjson
 import pytest
 
-from yarrowloom.node.calls import Calls
-from yarrowloom.sim.cluster import Sim
-from yarrowloom.sim.history import Breach, History, JobCall, JobVerb, Operation, Outcome, outcome_of
-from yarrowloom.sim.judged import check_answers, check_jobs
-from yarrowloom.sim.minions import HOST, Oracle, cluster
-from yarrowloom.wire.http import Response
+from yarrowloom.node.group_calls import Calls
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.judges.history import Breach, History, JobCall, JobVerb, Operation, Outcome, outcome_of
+from yarrowloom.simulator.judges.history_checks import check_answers, check_jobs
+from yarrowloom.simulator.minions import HOST, Oracle, cluster
+from yarrowloom.transport.http_server import Response
 
 PATIENCE_S = 3.0
 TASK: dict[str, Any] = {"task-count": 2, "cpus": 500, "mem-mb": 100, "estimate-ms": 500}
--- a/tests/test_history.py
+++ b/tests/simulator/test_linearizability.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from tests.simbook import Book
-from yarrowloom.sim.history import NEVER_S, AnyOperation, History, Operation, Order, Outcome, ReadConfig
-from yarrowloom.sim.linear import check_configuration
+from tests.support.handwritten_history import Book
+from yarrowloom.simulator.judges.history import NEVER_S, AnyOperation, History, Operation, Order, Outcome, ReadConfig
+from yarrowloom.simulator.judges.linearizability import check_configuration
 
 
 def test_a_clean_history_with_races_repeats_and_lost_answers() -> None:
--- a/tests/test_operators.py
+++ b/tests/simulator/test_operators.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from tests.simops import OrdersRun
-from yarrowloom.sim.history import Outcome
-from yarrowloom.sim.operators import Answer, Habits
+from tests.support.two_operators import OrdersRun
+from yarrowloom.simulator.judges.history import Outcome
+from yarrowloom.simulator.operators import Answer, Habits
 
 BUSY = Habits(pause_s=0.12)
 EVACUATING = Habits(pause_s=0.3, evacuation=0.5)
--- a/tests/test_simulator.py
+++ b/tests/simulator/test_simulator.py
@@ -10,14 +10,14 @@
 import pytest
 
 from yarrowloom.node.core import CoreNode
-from yarrowloom.sim import shrink as shrinking
-from yarrowloom.sim.events import Answer, Event, Invocation, JobEvent, Story
-from yarrowloom.sim.faults import Fault, FaultKind, Plan, load
-from yarrowloom.sim.hunt import hunt, plan_of, tale
-from yarrowloom.sim.play import Report, Run, Settings, play
-
-ROOT = Path(__file__).resolve().parent.parent
-ASK = "from tests.test_simulator import digest; print(digest())"
+from yarrowloom.simulator.events import Answer, Event, Invocation, JobEvent, Story
+from yarrowloom.simulator.faults import shrink as shrinking
+from yarrowloom.simulator.faults.model import Fault, FaultKind, Plan, load
+from yarrowloom.simulator.hunt import hunt, plan_of, tale
+from yarrowloom.simulator.run import Report, Run, Settings, play
+
+ROOT = Path(__file__).resolve().parents[2]
+ASK = "from tests.simulator.test_simulator import digest; print(digest())"
 
 
 def kill(*, at_s: float, where: str = "core-0", for_s: float = 1.0) -> Fault:
--- a/tests/storage/stored_data.py
+++ b/tests/storage/stored_data.py
@@ -13,15 +13,15 @@
 
 import orjson
 
-from yarrowloom.base.defaults import SHIPPED, Defaults
-from yarrowloom.base.log import Log
-from yarrowloom.base.startup import Startup
-from yarrowloom.fleet.registry import Registry
-from yarrowloom.job.state import Jobs
+from yarrowloom.cluster_state.registry import Registry
+from yarrowloom.common.defaults import SHIPPED, Defaults
+from yarrowloom.common.log import Log
+from yarrowloom.common.settings import Startup
+from yarrowloom.jobs.state_machine import Jobs
 from yarrowloom.node.core import NODE_RECORDS, CoreNode
 from yarrowloom.node.recovery import recover
-from yarrowloom.record.stored import StoredCopy
-from yarrowloom.store import Ring, Verdict
+from yarrowloom.replication.replica_storage import StoredCopy
+from yarrowloom.storage import Ring, Verdict
 
 DATA = pathlib.Path(__file__).parent / "data"
 RING_FILES = 4
--- a/tests/test_store_proof.py
+++ b/tests/storage/test_crash_proof.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from tests.storeproof import Bounds, Life, explore, walk
-from yarrowloom.sim.disk import Operation, Trouble
+from tests.support.storage_proof import Bounds, Life, explore, walk
+from yarrowloom.simulator.machines.disk import Operation, Trouble
 
 FIRST = Life(batches=(1, 3, 2, 1, 4, 2, 3, 1, 2, 4, 1, 2))
 SECOND = Life(batches=(2, 3, 1))
--- a/tests/test_store_mutants.py
+++ b/tests/storage/test_mutants.py
@@ -5,12 +5,12 @@
 
 import pytest
 
-from tests.storeproof import Bounds, Breach, Life, Oracle, explore, make_ring, play, replay, walk
-from tests.test_store import DAMAGES, damage, path
-from tests.test_store_proof import FIRST, SECOND, troubles
-from yarrowloom.sim.disk import Operation, SimDisk, Trouble
-from yarrowloom.store import Ring, Verdict
-from yarrowloom.store.layout import HEADER_BYTES, Header, Slot
+from tests.storage.test_crash_proof import FIRST, SECOND, troubles
+from tests.storage.test_storage import DAMAGES, damage, path
+from tests.support.storage_proof import Bounds, Breach, Life, Oracle, explore, make_ring, play, replay, walk
+from yarrowloom.simulator.machines.disk import Operation, SimDisk, Trouble
+from yarrowloom.storage import Ring, Verdict
+from yarrowloom.storage.record_format import HEADER_BYTES, Header, Slot
 
 
 def ends() -> None:
--- a/tests/test_ring.py
+++ b/tests/storage/test_ring_journal.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from yarrowloom.store import END, Ring
+from yarrowloom.storage import END, Ring
 
 
 def fill(*, rng: random.Random, ring: Ring, kept: list[bytes], n: int) -> None:
@@ -145,7 +145,7 @@
         def refuse(_fd: int, _data: bytes) -> int:
             raise OSError("refused")
 
-        patch.setattr("yarrowloom.store.files.os.write", refuse)
+        patch.setattr("yarrowloom.storage.filesystem.os.write", refuse)
         with pytest.raises(OSError, match="refused"):
             ring.append(bodies=[b"b"])
     ring.close()
@@ -166,6 +166,6 @@
     def record(handle: int) -> None:
         seen.append(os.readlink(f"/proc/self/fd/{handle}"))
 
-    monkeypatch.setattr("yarrowloom.store.files.os.fsync", record)
+    monkeypatch.setattr("yarrowloom.storage.filesystem.os.fsync", record)
     Ring(folder=str(tmp_path), files=4, size=4096).load()
     assert sorted(seen) == sorted([str(tmp_path), *(str(tmp_path / f"ring-{slot}") for slot in range(4))])
--- a/tests/test_store.py
+++ b/tests/storage/test_storage.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from tests.storeproof import FILE_BYTES, FOLDER, Life, Oracle, Process, checkpoint, make_ring, play, replay
-from yarrowloom.base.errs import StoreError
-from yarrowloom.base.log import Log
-from yarrowloom.base.startup import Startup
-from yarrowloom.node.shell import Shell, open_core
-from yarrowloom.sim.disk import Operation, Outcome, PowerCutError, SimDisk, Trouble
-from yarrowloom.store import END, Ring, Verdict, file_sizes, until_taken
-from yarrowloom.store.layout import HEADER_BYTES
+from tests.support.storage_proof import FILE_BYTES, FOLDER, Life, Oracle, Process, checkpoint, make_ring, play, replay
+from yarrowloom.common.errors import StoreError
+from yarrowloom.common.log import Log
+from yarrowloom.common.settings import Startup
+from yarrowloom.node.runtime import Shell, open_core
+from yarrowloom.simulator.machines.disk import Operation, Outcome, PowerCutError, SimDisk, Trouble
+from yarrowloom.storage import END, Ring, Verdict, file_sizes, until_taken
+from yarrowloom.storage.record_format import HEADER_BYTES
 
 MIB = 1 << 20
 LOG = Log(name="test", level="error")
--- a/tests/storage/test_stored_data.py
+++ b/tests/storage/test_stored_data.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from .stored_data import cases, expectation, known_kinds, open_folder, unpack
+from tests.storage.stored_data import cases, expectation, known_kinds, open_folder, unpack
 
 REGISTRY_GROUP = 0
 CASES = ["cluster-0", "cluster-1", "cluster-2", "events", "lost", "older", "proposer", "snapshots", "torn", "unused"]
--- a/tests/test_store_writer.py
+++ b/tests/storage/test_writer.py
@@ -7,10 +7,10 @@
 import pytest
 import trio
 
-from tests.test_store import lose_all, start_node
-from yarrowloom.node.shell import Shell
-from yarrowloom.sim.disk import Operation, Outcome, SimDisk, Trouble
-from yarrowloom.store import Ring, Verdict
+from tests.storage.test_storage import lose_all, start_node
+from yarrowloom.node.runtime import Shell
+from yarrowloom.simulator.machines.disk import Operation, Outcome, SimDisk, Trouble
+from yarrowloom.storage import Ring, Verdict
 
 BATCHES = 5
 
--- a/tests/storage/write_data.py
+++ b/tests/storage/write_data.py
@@ -16,15 +16,14 @@
 
 import orjson
 
-from tests.ringsim import RingSim
-from yarrowloom.fleet.registry import Registry
-from yarrowloom.job.spec import parse
+from tests.storage.stored_data import RING_BYTES, RING_FILES, SEEDS, open_folder, start_node
+from tests.support.ring_cluster import RingSim
+from yarrowloom.cluster_state.registry import Registry
+from yarrowloom.jobs.submission import parse
 from yarrowloom.node.core import CoreNode
-from yarrowloom.sim import minions
-from yarrowloom.store import END, Ring
-from yarrowloom.wire.frame import Kind
-
-from .stored_data import RING_BYTES, RING_FILES, SEEDS, open_folder, start_node
+from yarrowloom.simulator import minions
+from yarrowloom.storage import END, Ring
+from yarrowloom.transport.envelope import Kind
 
 START_MS = 1_700_000_000_000
 UIDS = tuple(f"{ip}:7000#0" for ip in SEEDS)
--- a/tests/explore.py
+++ b/tests/support/binding_explorer.py
@@ -1,4 +1,4 @@
-"""What may happen next in the small world of `tests/model.py`, and the search through it.
+"""What may happen next in the small world of `tests/support/binding_model.py`, and the search through it.
 
 The first of the choices is what a calm cluster would do: the oldest message, a write, a beat that is due, a task's
 end, else time goes on. Each other choice is a swap or a fault. All ways with at most so many swaps and faults within a
@@ -13,9 +13,9 @@
 
 import orjson
 
-from tests.model import CAP, DT, Broken, Choice, World, need
+from tests.support.binding_model import CAP, DT, Broken, Choice, World, need
 from yarrowloom.agent import Agent
-from yarrowloom.job.state import ENDED
+from yarrowloom.jobs.state_machine import ENDED
 
 FAULTS = ("lose", "die")
 WORK_S = 0.7  # a calm task runs this long
--- a/tests/model.py
+++ b/tests/support/binding_model.py
@@ -7,13 +7,13 @@
 import orjson
 
 from yarrowloom.agent import Agent, AgentEnvironment
-from yarrowloom.base.defaults import SHIPPED
-from yarrowloom.job.spec import parse
-from yarrowloom.job.state import ENDED, Jobs, task_name
-from yarrowloom.place.placer import Placer
-from yarrowloom.record.replica import Replica
-from yarrowloom.wire.frame import Kind
-from yarrowloom.wire.http import Response
+from yarrowloom.common.defaults import SHIPPED
+from yarrowloom.jobs.state_machine import ENDED, Jobs, task_name
+from yarrowloom.jobs.submission import parse
+from yarrowloom.replication.replica import Replica
+from yarrowloom.scheduling.scheduler import Placer
+from yarrowloom.transport.envelope import Kind
+from yarrowloom.transport.http_server import Response
 
 DT = 0.4  # one tick; every timer of the protocol is a few of them
 HOLD_MS, STOP_MS, LAG_MS = 4000, 400, 1400
--- a/tests/simbook.py
+++ b/tests/support/handwritten_history.py
@@ -2,8 +2,8 @@
 
 from typing import Any
 
-from yarrowloom.sim.history import History, Operation, Order, ReadConfig, Seen, outcome_of
-from yarrowloom.sim.linear import check_configuration
+from yarrowloom.simulator.judges.history import History, Operation, Order, ReadConfig, Seen, outcome_of
+from yarrowloom.simulator.judges.linearizability import check_configuration
 
 
 class Book:
--- a/tests/simproof.py
+++ b/tests/support/mutant_proof.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.simwork import Day, task
+from tests.support.simulated_work import Day, task
 
 Patch = Callable[[pytest.MonkeyPatch], None]
 
--- a/tests/learn_trial.py
+++ b/tests/support/prediction_trial.py
@@ -1,6 +1,6 @@
 """A trial by hand, no test: seeded streams of calls against `History` and `Warm`, no cluster; figures of docs/warm.md.
 
-python -m tests.learn_trial
+python -m tests.support.prediction_trial
 """
 
 import random
@@ -8,8 +8,8 @@
 
 import orjson
 
-from yarrowloom.job.spec import Step, parse
-from yarrowloom.learn import Bounds, History, Warm, kind_key
+from yarrowloom.jobs.submission import Step, parse
+from yarrowloom.prediction import Bounds, History, Warm, kind_key
 
 T0 = 1_700_000_000_000
 SECS = 600.0
--- a/tests/replica_cell.py
+++ b/tests/support/replica_cell.py
@@ -7,11 +7,11 @@
 import orjson
 
 from yarrowloom.node.recovery import counted, last_snapshot
-from yarrowloom.record.epoch import Epoch
-from yarrowloom.record.parts import Role
-from yarrowloom.record.replica import Replica
-from yarrowloom.store import END
-from yarrowloom.wire.frame import Kind
+from yarrowloom.replication.environment import Role
+from yarrowloom.replication.epoch import Epoch
+from yarrowloom.replication.replica import Replica
+from yarrowloom.storage import END
+from yarrowloom.transport.envelope import Kind
 
 Effect = tuple[Any, ...]
 Built = Callable[..., Replica]
--- a/tests/record_adapter.py
+++ b/tests/support/replication_adapter.py
@@ -1,27 +1,27 @@
 """All that the model of replication knows of the product's interface: members made of the real `Replica`, `Witness` and
-`Campaign`, their node's surroundings, restarts from disk as `node/core.py` and `node/shell.py` do them."""
+`Campaign`, their node's surroundings, restarts from disk as `node/core.py` and `node/runtime.py` do them."""
 
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any, cast
 
 import orjson
 
-from tests.model import Broken
-from yarrowloom.fleet.registry import Registry
-from yarrowloom.record.epoch import Epoch, addr_of
-from yarrowloom.record.parts import Hub, Reducer, Role
-from yarrowloom.record.relief import may_end
-from yarrowloom.record.replay import ReplayError
-from yarrowloom.record.replica import Replica
-from yarrowloom.record.timing import DOUBT_S, SILENCE_S, SUSPECT_S
-from yarrowloom.wire.frame import LANES, Kind, Lane
+from tests.support.binding_model import Broken
+from yarrowloom.cluster_state.registry import Registry
+from yarrowloom.replication.environment import Hub, Reducer, Role
+from yarrowloom.replication.epoch import Epoch, addr_of
+from yarrowloom.replication.handover import may_end
+from yarrowloom.replication.log_replay import ReplayError
+from yarrowloom.replication.replica import Replica
+from yarrowloom.replication.timing import DOUBT_S, SILENCE_S, SUSPECT_S
+from yarrowloom.transport.envelope import LANES, Kind, Lane
 
 if TYPE_CHECKING:
-    from tests.record_model import World
+    from tests.support.replication_model import World
 
 GROUP = 0
-ALIVE_S = 1.2  # as in `node/base.py`
-WITNESSES_MOST = 9  # as in `node/hub.py`
+ALIVE_S = 1.2  # as in `node/node_base.py`
+WITNESSES_MOST = 9  # as in `node/core_environment.py`
 ROLES_WITH_STATE = frozenset({Role.PRIMARY, Role.BACKUP, Role.LAPSED, Role.TAKING})
 
 
--- a/tests/record_explore.py
+++ b/tests/support/replication_explorer.py
@@ -1,4 +1,4 @@
-"""What may happen next in the world of `tests/record_model.py`, and the search through it.
+"""What may happen next in the world of `tests/support/replication_model.py`, and the search through it.
 
 The first choice of each state is what a calm cluster would do: what is due by time, a call, a sync, the oldest message,
 else time goes on. Each other one is a swap or a fault. All ways with at most so many of both in a window of steps are
@@ -14,9 +14,9 @@
 
 import orjson
 
-from tests.explore import Found
-from tests.model import Broken, Choice, need
-from tests.record_model import Cut, Line, World
+from tests.support.binding_explorer import Found
+from tests.support.binding_model import Broken, Choice, need
+from tests.support.replication_model import Cut, Line, World
 
 DT_S = 0.2
 EDGE_S = 0.002
@@ -24,7 +24,7 @@
 CUT_S = 2.6
 FREEZES_S = (0.6, 2.0)
 KILLED_S, POWER_S, LEFT_S = 0.3, 2.0, 1.0
-DRAIN_S, DRAIN_MOST_S = 0.6, 5.0  # as in `node/shell.py`
+DRAIN_S, DRAIN_MOST_S = 0.6, 5.0  # as in `node/runtime.py`
 SWAPS = frozenset({"sync", "deliver", "op", "tick", "edge", "rotate"})
 FAULTS = frozenset({"lose", "repeat", "kill", "power", "disk", "replace", "cut", "freeze", "leave"})
 ALL = SWAPS | FAULTS
--- a/tests/record_model.py
+++ b/tests/support/replication_model.py
@@ -5,10 +5,10 @@
 from itertools import pairwise
 from typing import Any
 
-from tests.model import need
-from tests.record_adapter import Member, copy_of
-from yarrowloom.record.epoch import Epoch, majority
-from yarrowloom.wire.frame import Kind, dump
+from tests.support.binding_model import need
+from tests.support.replication_adapter import Member, copy_of
+from yarrowloom.replication.epoch import Epoch, majority
+from yarrowloom.transport.envelope import Kind, dump
 
 START_S = 1000.0
 ANSWERS = (Kind.PROMISE, Kind.ACCEPTED, Kind.CKPTOK, Kind.LOGOK)
@@ -129,7 +129,7 @@
         for old in [
             x for x in self.lines if (x.src, x.dst) == (line.src, line.dst) and x.incarnation < line.incarnation
         ]:
-            del self.lines[old]  # as `wire/peer.py`: nothing of an earlier process counts any more
+            del self.lines[old]  # as `transport/peer_connections.py`: nothing of an earlier process counts any more
         there.take(uid=message.uid, kind=message.kind, body=copy_of(message.body))
 
     def drop(self, *, line: Line) -> None:
--- a/tests/ringsim.py
+++ b/tests/support/ring_cluster.py
@@ -4,10 +4,10 @@
 from typing import Any
 
 from yarrowloom.node.core import CoreNode
-from yarrowloom.node.turns import Rank
-from yarrowloom.sim.cluster import Sim
-from yarrowloom.sim.process import Disk, Proc
-from yarrowloom.store import END, Ring
+from yarrowloom.node.input_scheduler import Rank
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.machines.process import Disk, Proc
+from yarrowloom.storage import END, Ring
 
 SIZE_BYTES = 256 << 10
 MOST_BYTES = 1 << 20
--- a/tests/simwork.py
+++ b/tests/support/simulated_work.py
@@ -1,8 +1,8 @@
 """Simulated work, under the name that tests know; a day's end is asserted here."""
 
-from yarrowloom.sim import workload
-from yarrowloom.sim.worker import Worker, World
-from yarrowloom.sim.workload import Client, plan, task
+from yarrowloom.simulator import workload
+from yarrowloom.simulator.worker import Worker, World
+from yarrowloom.simulator.workload import Client, plan, task
 
 __all__ = ["Client", "Day", "Worker", "World", "plan", "task"]
 
--- a/tests/storeproof.py
+++ b/tests/support/storage_proof.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field, replace
 
-from yarrowloom.base.errs import StoreError
-from yarrowloom.sim.disk import PowerCutError, SimDisk, Trouble
-from yarrowloom.store import END, Ring, Verdict
-from yarrowloom.store.layout import HEADER_BYTES, RECORD_BYTES
+from yarrowloom.common.errors import StoreError
+from yarrowloom.simulator.machines.disk import PowerCutError, SimDisk, Trouble
+from yarrowloom.storage import END, Ring, Verdict
+from yarrowloom.storage.record_format import HEADER_BYTES, RECORD_BYTES
 
 FOLDER = "/data"
 FILE_BYTES = 360
--- a/tests/simops.py
+++ b/tests/support/two_operators.py
@@ -3,13 +3,13 @@
 import random
 from collections.abc import Callable
 
-from yarrowloom.sim.cluster import Sim
-from yarrowloom.sim.history import Breach
-from yarrowloom.sim.judged import check_evacuations
-from yarrowloom.sim.linear import check_configuration
-from yarrowloom.sim.minions import config
-from yarrowloom.sim.operators import Answer, Habits, Operator, Recorder
-from yarrowloom.wire.http import Response
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.judges.history import Breach
+from yarrowloom.simulator.judges.history_checks import check_evacuations
+from yarrowloom.simulator.judges.linearizability import check_configuration
+from yarrowloom.simulator.minions import config
+from yarrowloom.simulator.operators import Answer, Habits, Operator, Recorder
+from yarrowloom.transport.http_server import Response
 
 
 class SimNetwork:
--- a/tests/test_plan.py
+++ b/tests/testbed/test_plan.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from tests.test_rig import BOUND_S, ROOT, rig
-from yarrowloom.rig.plan import PlanError, check, load
+from tests.testbed.test_testbed import BOUND_S, ROOT, rig
+from yarrowloom.testbed.plan import PlanError, check, load
 
 GOOD: dict[str, Any] = {"name": "one", "duration-s": 20}
 
--- a/tests/test_hollow.py
+++ b/tests/testbed/test_simulated_minion.py
@@ -6,13 +6,13 @@
 import orjson
 import pytest
 
-from tests.test_cluster import TASK, finish
-from yarrowloom.rig.hollow import Bounds, Hollow, How, Yard, mark
-from yarrowloom.rig.judge import Judge
-from yarrowloom.rig.work import write
-from yarrowloom.sim.cluster import Sim
-from yarrowloom.sim.minions import Oracle, SimCaller, cluster
-from yarrowloom.wire.http import Response
+from tests.integration.test_cluster import TASK, finish
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.minions import Oracle, SimCaller, cluster
+from yarrowloom.testbed.judge import Judge
+from yarrowloom.testbed.simulated_minion import Bounds, Hollow, How, Yard, mark
+from yarrowloom.testbed.work import write
+from yarrowloom.transport.http_server import Response
 
 JID = "5c0e7a21d94b36f8"
 
--- a/tests/test_rig.py
+++ b/tests/testbed/test_testbed.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from tests.test_loopback import ports
-from yarrowloom.base.errs import UsageError
-from yarrowloom.rig.cluster import Cluster, Shape
+from tests.integration.test_loopback import ports
+from yarrowloom.common.errors import UsageError
+from yarrowloom.testbed.cluster import Cluster, Shape
 
-ROOT = pathlib.Path(__file__).resolve().parent.parent
+ROOT = pathlib.Path(__file__).resolve().parents[2]
 SMALL = ["--cores=1", "--edges=1", "--minions=3", "--rate=50"]
 BOUND_S = 180
 
--- a/tests/test_bed.py
+++ b/tests/testbed/test_virtual_testbed.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from yarrowloom.base.errs import UsageError
-from yarrowloom.rig.slopes import beats, changes, checkpoint, gang, http_call, slopes, starts
-from yarrowloom.rig.state_cost import jobs_state, routes_state
+from yarrowloom.common.errors import UsageError
+from yarrowloom.testbed.slopes import beats, changes, checkpoint, gang, http_call, slopes, starts
+from yarrowloom.testbed.state_cost import jobs_state, routes_state
 
 
 def test_idle_minions_cost_their_agents() -> None:
--- a/tests/test_codec.py
+++ b/tests/transport/test_codec.py
@@ -6,12 +6,12 @@
 import orjson
 import pytest
 
-from yarrowloom.base.errs import InvalidError, StampError, StartupError, YarrowError
-from yarrowloom.base.startup import check as check_startup
-from yarrowloom.fleet import conf
-from yarrowloom.fleet.registry import Registry
-from yarrowloom.job import parse
-from yarrowloom.wire.frame import Frame, Lane, Sealer, Splitter, pack
+from yarrowloom.cluster_state import config as conf
+from yarrowloom.cluster_state.registry import Registry
+from yarrowloom.common.errors import InvalidError, StampError, StartupError, YarrowError
+from yarrowloom.common.settings import check as check_startup
+from yarrowloom.jobs import parse
+from yarrowloom.transport.envelope import Frame, Lane, Sealer, Splitter, pack
 
 
 def noise(*, rng: random.Random, doc: Any, depth: int = 0) -> Any:
--- a/tests/test_http_exchange.py
+++ b/tests/transport/test_http_exchange.py
@@ -8,11 +8,11 @@
 import pytest
 import trio
 
-from tests.test_loopback import ADDR, settings
-from yarrowloom.base.log import Log
-from yarrowloom.base.startup import check
-from yarrowloom.node.shell import Shell, open_edge
-from yarrowloom.wire.http import Request, Response, Server
+from tests.integration.test_loopback import ADDR, settings
+from yarrowloom.common.log import Log
+from yarrowloom.common.settings import check
+from yarrowloom.node.runtime import Shell, open_edge
+from yarrowloom.transport.http_server import Request, Response, Server
 
 SILENT_TICKS_S = 100.0  # later than any call waits
 Handler = Callable[[Request], Awaitable[Response]]
--- a/tests/test_http.py
+++ b/tests/transport/test_http_server.py
@@ -8,9 +8,9 @@
 import trio
 import trio.testing
 
-from yarrowloom.wire import http
-from yarrowloom.wire.http import Limits, Request, Response, Server
-from yarrowloom.wire.plain import write_head
+from yarrowloom.transport import http_server as http
+from yarrowloom.transport.http_head import write_head
+from yarrowloom.transport.http_server import Limits, Request, Response, Server
 
 
 async def echo(req: Request) -> Response:
--- a/tests/test_lives_wire.py
+++ b/tests/transport/test_incarnations_wire.py
@@ -10,14 +10,14 @@
 import trio
 import trio.testing
 
-from tests.test_loopback import ADDR, ports, settings
-from yarrowloom.base.log import Log
-from yarrowloom.base.startup import check
+from tests.integration.test_loopback import ADDR, ports, settings
+from yarrowloom.common.log import Log
+from yarrowloom.common.settings import check
 from yarrowloom.node.identity import last_life
-from yarrowloom.node.shell import open_core, open_edge
-from yarrowloom.store import Ring
-from yarrowloom.wire.frame import Frame, Kind, Lane, bundle, pack
-from yarrowloom.wire.peer import CHALLENGE_BYTES, RETIRED_MOST, Peers, Seen
+from yarrowloom.node.runtime import open_core, open_edge
+from yarrowloom.storage import Ring
+from yarrowloom.transport.envelope import Frame, Kind, Lane, bundle, pack
+from yarrowloom.transport.peer_connections import CHALLENGE_BYTES, RETIRED_MOST, Peers, Seen
 
 SRC = "10.0.0.1:7000"
 LOG = Log(name="t", level="error")
--- a/tests/test_lanes.py
+++ b/tests/transport/test_lanes.py
@@ -9,12 +9,12 @@
 import trio
 import trio.testing
 
-from yarrowloom.base.log import Log
-from yarrowloom.node.calls import RESEND_MOST_S, Calls
-from yarrowloom.node.turns import SHARES, Rank, Repeats, Turns, rank_of
-from yarrowloom.sim.minions import cluster
-from yarrowloom.wire.frame import Frame, Kind, Lane, bundle, pack, unbundle
-from yarrowloom.wire.peer import FRAME_BYTES, OWED, QUEUE_MOST, TRAIL, Line, Peers, Seen
+from yarrowloom.common.log import Log
+from yarrowloom.node.group_calls import RESEND_MOST_S, Calls
+from yarrowloom.node.input_scheduler import SHARES, Rank, Repeats, Turns, rank_of
+from yarrowloom.simulator.minions import cluster
+from yarrowloom.transport.envelope import Frame, Kind, Lane, bundle, pack, unbundle
+from yarrowloom.transport.peer_connections import FRAME_BYTES, OWED, QUEUE_MOST, TRAIL, Line, Peers, Seen
 
 
 def take(seen: Seen, *, incarnation: int, seq: int) -> tuple[bool, bool]:
--- a/tests/test_accept.py
+++ b/tests/transport/test_listener.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 
-from yarrowloom.wire import accept
+from yarrowloom.transport import listener as accept
 
 RUSH = 300
 
--- a/tests/test_frames_fuzz.py
+++ b/tests/transport/test_malformed_frames.py
@@ -10,12 +10,12 @@
 import trio
 import trio.testing
 
-from yarrowloom.base.log import Log
-from yarrowloom.node.shell import Shell
-from yarrowloom.sim.cluster import Sim
-from yarrowloom.sim.minions import cluster
-from yarrowloom.wire.frame import MAX_FRAME, Frame, Kind, Lane, bundle, pack
-from yarrowloom.wire.peer import Peers
+from yarrowloom.common.log import Log
+from yarrowloom.node.runtime import Shell
+from yarrowloom.simulator.cluster import Sim
+from yarrowloom.simulator.minions import cluster
+from yarrowloom.transport.envelope import MAX_FRAME, Frame, Kind, Lane, bundle, pack
+from yarrowloom.transport.peer_connections import Peers
 
 SRC = "10.0.0.1:7000"
 BODY = bundle(rows=[(int(Kind.ORDER), b'"bad"')])
--- a/yarrowloom/agent/agent.py
+++ b/yarrowloom/agent/agent.py
@@ -2,16 +2,16 @@
 
 from typing import Any
 
-from ..job.spec import group_of
-from ..job.state import split_name
-from ..wire.frame import Kind
-from ..wire.http import Response
-from .answer import LATE_S, answer, settle
-from .care import care
-from .choice import fits, named, pick
+from ..jobs.state_machine import split_name
+from ..jobs.submission import group_of
+from ..transport.envelope import Kind
+from ..transport.http_server import Response
+from .capacity_reports import Share
 from .environment import AgentEnvironment
+from .failure_detector import care
+from .heartbeat_response import LATE_S, answer, settle
+from .lease_selection import fits, named, pick
 from .minion import Call, Lease, Minion, Phase, Run
-from .share import Share
 
 RETELL_S = 0.5
 LEFT_S = 1.5
--- a/yarrowloom/agent/share.py
+++ b/yarrowloom/agent/capacity_reports.py
@@ -2,7 +2,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from ..wire.frame import Kind
+from ..transport.envelope import Kind
 
 if TYPE_CHECKING:
     from .agent import Agent
--- a/yarrowloom/agent/environment.py
+++ b/yarrowloom/agent/environment.py
@@ -2,8 +2,8 @@
 
 from typing import Any, Protocol
 
-from ..wire.frame import Kind
-from ..wire.http import Response
+from ..transport.envelope import Kind
+from ..transport.http_server import Response
 
 
 class AgentEnvironment(Protocol):
--- a/yarrowloom/agent/care.py
+++ b/yarrowloom/agent/failure_detector.py
@@ -2,8 +2,8 @@
 
 from typing import TYPE_CHECKING, Any
 
-from ..wire.frame import Kind
-from .answer import answer
+from ..transport.envelope import Kind
+from .heartbeat_response import answer
 from .minion import Minion, Phase
 
 if TYPE_CHECKING:
--- a/yarrowloom/agent/answer.py
+++ b/yarrowloom/agent/heartbeat_response.py
@@ -2,7 +2,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from ..wire.http import Response
+from ..transport.http_server import Response
 from .minion import Minion, Phase, Run
 
 if TYPE_CHECKING:
--- a/yarrowloom/cli.py
+++ b/yarrowloom/cli.py
@@ -4,7 +4,7 @@
 import sys
 from typing import Any
 
-from .base.errs import YarrowError
+from .common.errors import YarrowError
 
 EXITS = """Exit codes: 0 done, 1 something was lost or a rule broken, 2 flags that cannot be read, 64 wrong use,
 unreachable target, port in use or missing dependency, 70 internal, 74 disk unusable, 78 settings, experiment or faults
@@ -16,19 +16,19 @@
 
     def edge(self, level: str = "info") -> None:
         """Serve callers; settings from the file named by YARROWLOOM_NODE_FILE."""
-        from .node.shell import serve
+        from .node.runtime import serve
 
         serve(kind="edge", level=level)
 
     def core(self, level: str = "info") -> None:
         """Serve control: records, agent, placing."""
-        from .node.shell import serve
+        from .node.runtime import serve
 
         serve(kind="core", level=level)
 
     def check(self, path: str) -> str:
         """Check a settings file and report all findings."""
-        from .base.startup import load
+        from .common.settings import load
 
         startup = load(path=path)
         return f"{path}: fit for use by {startup.name}"
@@ -37,7 +37,7 @@
         """Check the project's own settings (deploy/defaults.toml) and show them."""
         import orjson
 
-        from .base.defaults import load
+        from .common.defaults import load
 
         return orjson.dumps(load(), option=orjson.OPT_INDENT_2).decode()
 
@@ -58,9 +58,9 @@
         """Send a seeded mix of jobs to front addresses and report latencies, losses and repeats."""
         import trio
 
-        from .base.errs import UsageError
-        from .base.log import pair
-        from .load import Load, report
+        from .common.errors import UsageError
+        from .common.log import pair
+        from .loadgen import Load, report
 
         if not addrs or jobs < 1 or rate <= 0 or not str(prefix).startswith("/"):
             raise UsageError(text="give front addresses, --host, a --prefix that begins with /, jobs and rate above 0")
@@ -80,7 +80,7 @@
         keep: bool = False,
     ) -> None:
         """Start a small cluster on loopback, run a mix of jobs to its end, clean up; exits 0 if nothing was lost."""
-        from .rig.local import lines, local
+        from .testbed.local import lines, local
 
         out, good = local(
             cores=cores, edges=edges, minions=minions, jobs=jobs, seed=seed, rate=rate, port=port, keep=keep
@@ -90,8 +90,8 @@
 
     def experiment(self, path: str, out: str = "target/experiments") -> None:
         """Run the experiment that a file (TOML) describes; the report and its raw figures go to a folder of OUT."""
-        from .rig.experiment import experiment
-        from .rig.local import lines
+        from .testbed.experiment import experiment
+        from .testbed.local import lines
 
         figs, good = experiment(path=str(path), out=str(out))
         print("\n".join(lines(out=figs)))
@@ -108,7 +108,7 @@
         """Play one simulated run of SIZE core nodes with faults from a file (TOML) or drawn from the seed; exits 1 if
         a rule was broken. --digest also prints, as the last line, a SHA-256 over all frames, disk records and HTTP
         responses of the run."""
-        from .sim.command import simulate
+        from .simulator.command import simulate
 
         sys.exit(simulate(seed=seed, seconds=seconds, size=size, faults=faults, digest=digest))
 
@@ -125,8 +125,8 @@
     ) -> None:
         """Play many simulated runs until MOST of them broke a rule, shrink and tell these, keep them as files in OUT;
         or REPLAY such a file step by step. Exits 1 if a rule was broken."""
-        from .sim.command import hunting
-        from .sim.command import replay as again
+        from .simulator.command import hunting
+        from .simulator.command import replay as again
 
         sys.exit(
             again(path=str(replay))
@@ -136,8 +136,8 @@
 
     def slopes(self, *runs: str, reps: int = 5, out: str = "") -> None:
         """Measure on this machine what a beat, a start, a change, a checkpoint and a job cost; all runs, or some."""
-        from .rig.local import lines
-        from .rig.slopes import slopes
+        from .testbed.local import lines
+        from .testbed.slopes import slopes
 
         print("\n".join(lines(out=slopes(reps=reps, out=str(out), only=tuple(map(str, runs))))))
 
@@ -153,7 +153,7 @@
     import httpcore
     import orjson
 
-    from .base.errs import UsageError
+    from .common.errors import UsageError
 
     try:
         for _ in range(3):
--- a/yarrowloom/fleet/conf.py
+++ b/yarrowloom/cluster_state/config.py
@@ -2,7 +2,7 @@
 
 from typing import Any, TypedDict
 
-from ..base.errs import Finding, InvalidError
+from ..common.errors import Finding, InvalidError
 
 
 class Route(TypedDict, total=False):
--- a/yarrowloom/fleet/owners.py
+++ b/yarrowloom/cluster_state/minion_ownership.py
@@ -3,7 +3,7 @@
 from typing import Any, NamedTuple
 from zlib import crc32
 
-from ..agent.choice import rack
+from ..agent.lease_selection import rack
 
 Row = dict[str, Any]
 GAP = 8  # agents of a site whose minions differ by less, or by less than a quarter, stay as they are
--- a/yarrowloom/fleet/registry.py
+++ b/yarrowloom/cluster_state/registry.py
@@ -6,10 +6,11 @@
 
 import orjson
 
-from ..base.errs import Finding, InvalidError, StampError, UnclearError
-from . import conf, delta
-from .orders import AcceptedChanges, ZoneVersions
-from .owners import Owners
+from ..common.errors import Finding, InvalidError, StampError, UnclearError
+from . import config as conf
+from . import config_delta as delta
+from .minion_ownership import Owners
+from .operator_requests import AcceptedChanges, ZoneVersions
 
 _IF_MATCH = re.compile(r'\s*("?)([0-9]{1,40})\1\s*')
 
--- a/yarrowloom/base/defaults.py
+++ b/yarrowloom/common/defaults.py
@@ -1,14 +1,14 @@
 """The project's own settings: what an installation may switch, with the defaults that ship.
 
 They stand in `deploy/defaults.toml`; a process reads them at its start. The operator's configuration and the settings
-file of a process are other things: see fleet/conf.py and startup.py.
+file of a process are other things: see cluster_state/config.py and startup.py.
 """
 
 import tomllib
 from pathlib import Path
 from typing import Any, TypedDict
 
-from .errs import Finding, StartupError
+from .errors import Finding, StartupError
 
 PATH = Path(__file__).resolve().parents[2] / "deploy" / "defaults.toml"
 
--- a/yarrowloom/base/startup.py
+++ b/yarrowloom/common/settings.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from .errs import Finding, StartupError
+from .errors import Finding, StartupError
 
 ENV = "YARROWLOOM_NODE_FILE"
 MOST_LOSSES = 4  # more backups than that are not kept, whatever the budget
--- a/yarrowloom/job/state.py
+++ b/yarrowloom/jobs/state_machine.py
@@ -3,7 +3,7 @@
 import enum
 from typing import Any
 
-from ..learn import History
+from ..prediction import History
 
 Effect = tuple[Any, ...]
 
--- a/yarrowloom/job/spec.py
+++ b/yarrowloom/jobs/submission.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from ..base.errs import Finding, InvalidError
+from ..common.errors import Finding, InvalidError
 
 MAX_TASKS = 20_000
 MAX_STEPS = 256
--- a/yarrowloom/load/run.py
+++ b/yarrowloom/loadgen/generator.py
@@ -8,7 +8,7 @@
 import orjson
 import trio
 
-from ..base.errs import Finding, UsageError
+from ..common.errors import Finding, UsageError
 
 DEADLINE_S = 3.0
 POLL_S = 0.2
--- a/yarrowloom/node/chief.py
+++ b/yarrowloom/node/controller.py
@@ -2,12 +2,12 @@
 
 from typing import TYPE_CHECKING, Any
 
-from ..fleet.owners import Picker, place
-from ..record.epoch import addr_of
-from ..wire.frame import Kind
+from ..cluster_state.minion_ownership import Picker, place
+from ..replication.epoch import addr_of
+from ..transport.envelope import Kind
 
 if TYPE_CHECKING:
-    from .hub import CoreHub
+    from .core_environment import CoreHub
 
 LEASE_S = 1.5  # how long one word of the chief lets an agent act
 DEAD_S = LEASE_S * 1.05 + 0.3  # silence after which its minions go to others
--- a/yarrowloom/node/core.py
+++ b/yarrowloom/node/core.py
@@ -3,22 +3,22 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..base.defaults import Defaults
-from ..base.log import Log
-from ..base.startup import Startup
-from ..fleet.owners import total
-from ..record.kinds import RECORD_KINDS
-from ..record.relief import copied_elsewhere, may_end
-from ..record.replay import ReplayError
-from ..wire.frame import Kind, dump
-from ..wire.http import Request
-from .base import NodeBase
-from .calls import NOT_PRIMARY, REFUSALS, InHand
-from .chief import LEASE_S
-from .control import dispatch
-from .hub import CoreHub
-from .relays import EdgeRelays
-from .turns import Input, Rank
+from ..cluster_state.minion_ownership import total
+from ..common.defaults import Defaults
+from ..common.log import Log
+from ..common.settings import Startup
+from ..replication.handover import copied_elsewhere, may_end
+from ..replication.log_replay import ReplayError
+from ..replication.messages import RECORD_KINDS
+from ..transport.envelope import Kind, dump
+from ..transport.http_server import Request
+from .controller import LEASE_S
+from .core_environment import CoreHub
+from .edge_relays import EdgeRelays
+from .group_calls import NOT_PRIMARY, REFUSALS, InHand
+from .http_routes import dispatch
+from .input_scheduler import Input, Rank
+from .node_base import NodeBase
 
 NODE_RECORDS = frozenset({"id", "none"})  # the kinds of records that are of no group
 THAW_S = 0.3
--- a/yarrowloom/node/hub.py
+++ b/yarrowloom/node/core_environment.py
@@ -4,21 +4,21 @@
 
 from ..agent import Agent
 from ..agent.agent import DRAIN_MS
-from ..base.defaults import SHIPPED, Defaults
-from ..base.errs import YarrowError
-from ..base.log import Log
-from ..base.startup import Startup
-from ..fleet.registry import Registry
-from ..job.state import Jobs
-from ..place import Placer
-from ..record import Epoch, Replica
-from ..wire.frame import Kind, dump
-from ..wire.http import Response
-from .base import JOB_GROUPS
-from .calls import first_number
-from .chief import Chief
-from .control import BEAT_TTL, refusal
-from .members import MemberView
+from ..cluster_state.registry import Registry
+from ..common.defaults import SHIPPED, Defaults
+from ..common.errors import YarrowError
+from ..common.log import Log
+from ..common.settings import Startup
+from ..jobs.state_machine import Jobs
+from ..replication import Epoch, Replica
+from ..scheduling import Placer
+from ..transport.envelope import Kind, dump
+from ..transport.http_server import Response
+from .controller import Chief
+from .group_calls import first_number
+from .http_routes import BEAT_TTL, refusal
+from .membership import MemberView
+from .node_base import JOB_GROUPS
 
 OWNER_S = 3.0
 
--- a/yarrowloom/node/tally.py
+++ b/yarrowloom/node/counters.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..wire.frame import Kind
+from ..transport.envelope import Kind
 
 
 @dataclass(kw_only=True)
--- a/yarrowloom/node/edge.py
+++ b/yarrowloom/node/edge.py
@@ -6,14 +6,14 @@
 from typing import Any
 from urllib.parse import urlsplit
 
-from ..base.errs import InvalidError
-from ..base.log import Log
-from ..base.startup import Startup
-from ..job.spec import group_of, job_id, parse
-from ..wire.frame import Kind
-from ..wire.http import Limits, Request, Response
-from .base import ALIVE_S, JOB_GROUPS, NodeBase
-from .relays import FANOUT
+from ..common.errors import InvalidError
+from ..common.log import Log
+from ..common.settings import Startup
+from ..jobs.submission import group_of, job_id, parse
+from ..transport.envelope import Kind
+from ..transport.http_server import Limits, Request, Response
+from .edge_relays import FANOUT
+from .node_base import ALIVE_S, JOB_GROUPS, NodeBase
 
 MARGIN_S = 0.2  # an answer leaves this long before its caller's deadline, or a third of what is left before
 HAND_MIN, HAND_MAX = 64, 1024
--- a/yarrowloom/node/calls.py
+++ b/yarrowloom/node/group_calls.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from ..wire.frame import Kind
+from ..transport.envelope import Kind
 
 RESEND_S = 0.4  # doubles with each repeat, up to
 RESEND_MOST_S = 1.6
--- a/yarrowloom/node/control.py
+++ b/yarrowloom/node/http_routes.py
@@ -6,13 +6,13 @@
 
 import orjson
 
-from ..base.errs import YarrowError
-from ..job.spec import group_of, job_id
-from ..wire.http import JSON, Request, Response
-from .base import JOB_GROUPS
+from ..common.errors import YarrowError
+from ..jobs.submission import group_of, job_id
+from ..transport.http_server import JSON, Request, Response
+from .node_base import JOB_GROUPS
 
 if TYPE_CHECKING:
-    from .hub import CoreHub
+    from .core_environment import CoreHub
 
 Handler = Callable[["CoreHub", Any, Request, str], None]
 CALLS: list[tuple[str, re.Pattern[str], Handler]] = []
--- a/yarrowloom/node/turns.py
+++ b/yarrowloom/node/input_scheduler.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..wire.frame import LANES, Kind, Lane
-from .load import Load
+from ..transport.envelope import LANES, Kind, Lane
+from .busy_time import Load
 
 Input = Callable[[], None]
 
@@ -26,7 +26,7 @@
 
 # Shares of the time while all have a backlog. Beats are cheap and must not wait for placing. Calls are cheap too, and
 # whoever calls gives up after seconds: a share of turns in place of time starved them while placing took long, so that
-# most callers got no answer at all. What is too much is refused when it is looked at (`place/admission.py`).
+# most callers got no answer at all. What is too much is refused when it is looked at (`scheduling/admission.py`).
 SHARES = {Rank.AGENT: 2.0, Rank.PLACE: 1.0, Rank.LATE: 0.5}
 _PLACE = frozenset({Kind.CLAIM, Kind.ENDS, Kind.GRANT, Kind.LOST, Kind.NAK, Kind.VERDICT})
 
--- a/yarrowloom/node/members.py
+++ b/yarrowloom/node/membership.py
@@ -1,9 +1,9 @@
 """Core members as a node knows them: who is up, who may hold copies, who should keep epochs."""
 
-from ..base.log import Log
-from ..base.startup import Startup
-from ..record.epoch import addr_of
-from .base import NodeBase
+from ..common.log import Log
+from ..common.settings import Startup
+from ..replication.epoch import addr_of
+from .node_base import NodeBase
 
 WITNESSES = 9  # more are not asked to keep epochs
 ROSTER_S = 1.5  # a member that the controller counts as live is up this long
--- a/yarrowloom/node/base.py
+++ b/yarrowloom/node/node_base.py
@@ -4,15 +4,15 @@
 
 import orjson
 
-from ..base.log import Log
-from ..base.startup import Startup
-from ..fleet.conf import Table
-from ..fleet.delta import Delta, History
-from ..record.epoch import Epoch, addr_of, check_epoch
-from ..wire.frame import Kind, dump
-from ..wire.http import Response
-from .calls import Calls, first_number
-from .fresh import Freshness
+from ..cluster_state.config import Table
+from ..cluster_state.config_delta import Delta, History
+from ..common.log import Log
+from ..common.settings import Startup
+from ..replication.epoch import Epoch, addr_of, check_epoch
+from ..transport.envelope import Kind, dump
+from ..transport.http_server import Response
+from .config_freshness import Freshness
+from .group_calls import Calls, first_number
 from .outputs import Outbox, Sent, ring
 
 JOB_GROUPS = 1
--- a/yarrowloom/node/outputs.py
+++ b/yarrowloom/node/outputs.py
@@ -5,8 +5,8 @@
 from functools import lru_cache
 from typing import Any
 
-from ..wire.frame import Kind
-from ..wire.http import Response
+from ..transport.envelope import Kind
+from ..transport.http_server import Response
 
 
 @dataclass(kw_only=True, slots=True)
--- a/yarrowloom/node/recovery.py
+++ b/yarrowloom/node/recovery.py
@@ -6,11 +6,11 @@
 that are left admit and refill it under the new one.
 """
 
-from ..base.defaults import Defaults
-from ..base.log import Log
-from ..base.startup import Startup
-from ..record.replay import ReplayError
-from ..store import END
+from ..common.defaults import Defaults
+from ..common.log import Log
+from ..common.settings import Startup
+from ..replication.log_replay import ReplayError
+from ..storage import END
 from .core import CoreNode
 from .identity import FIRST, last_life
 
--- a/yarrowloom/node/shell.py
+++ b/yarrowloom/node/runtime.py
@@ -13,22 +13,22 @@
 
 import trio
 
-from ..base.defaults import load as load_defaults
-from ..base.errs import StartupError, YarrowError
-from ..base.log import Log
-from ..base.startup import Startup, load
-from ..store import END, FileSystem, Ring, Verdict, file_sizes, until_taken
-from ..store.retry import RETRY_S
-from ..wire.frame import Kind, Lane, dump
-from ..wire.http import Request, Response, Server, listen
-from ..wire.peer import Peers, Rows
+from ..common.defaults import load as load_defaults
+from ..common.errors import StartupError, YarrowError
+from ..common.log import Log
+from ..common.settings import Startup, load
+from ..storage import END, FileSystem, Ring, Verdict, file_sizes, until_taken
+from ..storage.startup_retry import RETRY_S
+from ..transport.envelope import Kind, Lane, dump
+from ..transport.http_server import Request, Response, Server, listen
+from ..transport.peer_connections import Peers, Rows
+from .admission_deadline import patience_s
 from .core import CoreNode
+from .counters import Tally
 from .edge import EdgeNode
 from .identity import FIRST
-from .patience import patience_s
+from .input_scheduler import Input, Rank, Repeats, Turns, rank_of
 from .recovery import recover
-from .tally import Tally
-from .turns import Input, Rank, Repeats, Turns, rank_of
 
 TICK_CORE_S = 0.05
 TICK_EDGE_S = 0.1
--- a/yarrowloom/learn/__init__.py
+++ b/yarrowloom/prediction/__init__.py
@@ -3,11 +3,11 @@
 Pure: no sockets, no clocks. `History` is state of the jobs' reducer; `Warm`, `Filler`, `reserve`, `may_fill` and
 `in_the_way` are for placing nodes."""
 
-from .fill import Filler, Minion, Reservation, Run, in_the_way, may_fill, reserve
+from .backfill import Filler, Minion, Reservation, Run, in_the_way, may_fill, reserve
 from .history import History
-from .kind import Form, Prediction, Why, kind_key, queue_key
-from .runs import Times
-from .warm import Bounds, Room, Warm
+from .job_kind import Form, Prediction, Why, kind_key, queue_key
+from .run_times import Times
+from .warm_plan import Bounds, Room, Warm
 
 __all__ = [
     "Bounds",
--- a/yarrowloom/learn/fill.py
+++ b/yarrowloom/prediction/backfill.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from .hist import Hist
-from .kind import Form
+from .histogram import Hist
+from .job_kind import Form
 
 OVERDUE_MS = 500.0  # a run past its predicted end is taken to end this long from now
 
--- a/yarrowloom/learn/calls.py
+++ b/yarrowloom/prediction/call_times.py
@@ -3,8 +3,8 @@
 import math
 from typing import Any
 
-from .kind import Form
-from .score import Score
+from .accuracy import Score
+from .job_kind import Form
 
 BURST_MS = 250  # what comes within this of a call's first job belongs to the same call
 GAPS = 16
--- a/yarrowloom/learn/history.py
+++ b/yarrowloom/prediction/history.py
@@ -3,13 +3,13 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING, Any
 
-from .calls import JOBS_MOST, Calls
-from .follow import Follow, What
-from .kind import Form, Prediction, Why, kind_key, queue_key, root
-from .runs import Runs, Times
+from .call_times import JOBS_MOST, Calls
+from .job_kind import Form, Prediction, Why, kind_key, queue_key, root
+from .run_times import Runs, Times
+from .successor_jobs import Follow, What
 
 if TYPE_CHECKING:
-    from ..job.spec import Step
+    from ..jobs.submission import Step
 
 FRESH = 192  # kinds on probation
 KINDS = 128  # kinds that were called PROVEN times
--- a/yarrowloom/learn/kind.py
+++ b/yarrowloom/prediction/job_kind.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
-    from ..job.spec import Step
+    from ..jobs.submission import Step
 
 SIGNED = 16  # steps past this many count only by their number
 
--- a/yarrowloom/learn/runs.py
+++ b/yarrowloom/prediction/run_times.py
@@ -5,11 +5,11 @@
 import zlib
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from .kind import RunKey, run_key
-from .slow import Slow
+from .job_kind import RunKey, run_key
+from .slow_minions import Slow
 
 if TYPE_CHECKING:
-    from ..job.spec import Step
+    from ..jobs.submission import Step
 
 KEEP = 32  # runs kept for each key
 KEYS = 256
--- a/yarrowloom/learn/follow.py
+++ b/yarrowloom/prediction/successor_jobs.py
@@ -4,8 +4,8 @@
 import math
 from typing import Any, NamedTuple
 
-from .kind import related
-from .score import Score
+from .accuracy import Score
+from .job_kind import related
 
 WITHIN_MS = 20_000  # what comes later than this follows nothing
 RECENT = 12  # triggers that may still be followed
--- a/yarrowloom/learn/warm.py
+++ b/yarrowloom/prediction/warm_plan.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from .hist import Hist
-from .kind import Form, Prediction, queue_key
+from .histogram import Hist
+from .job_kind import Form, Prediction, queue_key
 
 KINDS = 256  # kinds with a back-off or figures
 BACK_MOST_MS = 600_000.0
--- a/yarrowloom/record/ballot.py
+++ b/yarrowloom/replication/election.py
@@ -3,9 +3,9 @@
 import enum
 from typing import TYPE_CHECKING, Any
 
-from ..wire.frame import Kind
+from ..transport.envelope import Kind
+from .environment import encode
 from .epoch import Ballot, Epoch, majority
-from .parts import encode
 from .timing import PING_S
 
 if TYPE_CHECKING:
--- a/yarrowloom/record/parts.py
+++ b/yarrowloom/replication/environment.py
@@ -5,7 +5,7 @@
 
 import orjson
 
-from ..wire.frame import Kind, dump
+from ..transport.envelope import Kind, dump
 from .epoch import Epoch
 
 # makes all minions attach anew
--- a/yarrowloom/record/relief.py
+++ b/yarrowloom/replication/handover.py
@@ -2,10 +2,10 @@
 
 from typing import Protocol
 
-from ..wire.frame import Kind
+from ..transport.envelope import Kind
+from .environment import Hub, Role
 from .epoch import Epoch, Witness
-from .lease import Lease
-from .parts import Hub, Role
+from .leader_lease import Lease
 from .timing import LEAVE_S, RELIEF_S
 
 
--- a/yarrowloom/record/lease.py
+++ b/yarrowloom/replication/leader_lease.py
@@ -2,10 +2,10 @@
 
 from typing import Any
 
-from ..wire.frame import Kind
-from .contact import Contact
+from ..transport.envelope import Kind
+from .environment import Hub
 from .epoch import Epoch
-from .parts import Hub
+from .quorum_contact import Contact
 from .timing import CONTACT_PING_S, CONTACT_WAIT_S, DOUBT_S, PING_S, PROMISE_S
 
 NEVER_S = -9.0  # steady clocks start at 0, so this is before anything
--- a/yarrowloom/record/replay.py
+++ b/yarrowloom/replication/log_replay.py
@@ -6,7 +6,7 @@
 
 from typing import Any
 
-from ..base.errs import YarrowError
+from ..common.errors import YarrowError
 
 
 class ReplayError(YarrowError):
@@ -29,7 +29,7 @@
     >>> unapplied(first=4, events=["d"], applied=2)
     Traceback (most recent call last):
     ...
-    yarrowloom.record.replay.ReplayError: event 4 follows event 2
+    yarrowloom.replication.log_replay.ReplayError: event 4 follows event 2
     """
     if first > applied + 1:
         raise ReplayError(text=f"event {first} follows event {applied}")
--- a/yarrowloom/record/kinds.py
+++ b/yarrowloom/replication/messages.py
@@ -1,6 +1,6 @@
 """The kinds of messages that members of a group exchange about its record."""
 
-from ..wire.frame import Kind
+from ..transport.envelope import Kind
 
 RECORD_KINDS = frozenset(
     {
--- a/yarrowloom/record/renewal.py
+++ b/yarrowloom/replication/reconfiguration.py
@@ -1,7 +1,7 @@
 """When a primary asks for another set of witnesses or backups although all that it has answer."""
 
+from .environment import Hub
 from .epoch import Epoch
-from .parts import Hub
 from .timing import RISK_S, WANT_S
 
 SHORT_MOST = 5
--- a/yarrowloom/record/replica.py
+++ b/yarrowloom/replication/replica.py
@@ -2,16 +2,16 @@
 
 from typing import Any
 
-from ..wire.frame import Kind
-from .ballot import Campaign
+from ..transport.envelope import Kind
 from .batch import Batch
+from .election import Campaign
+from .environment import MOVES, Hub, Reducer, Role
 from .epoch import Epoch, check_epoch
-from .lease import Lease
-from .parts import MOVES, Hub, Reducer, Role
-from .relief import Relief
-from .renewal import Renewal
-from .replay import ReplayError, unapplied
-from .stored import StoredCopy
+from .handover import Relief
+from .leader_lease import Lease
+from .log_replay import ReplayError, unapplied
+from .reconfiguration import Renewal
+from .replica_storage import StoredCopy
 from .timing import DOUBT_S, RENEW_S, RESEND_S, REST_S, SILENCE_S, SUSPECT_S, TURN_S
 
 
--- a/yarrowloom/record/stored.py
+++ b/yarrowloom/replication/replica_storage.py
@@ -2,9 +2,9 @@
 
 from typing import Any
 
+from .environment import Reducer, decode
 from .epoch import Epoch, Witness
-from .parts import Reducer, decode
-from .replay import ReplayError, unapplied, witness_rank
+from .log_replay import ReplayError, unapplied, witness_rank
 from .timing import SPARES
 
 
--- a/yarrowloom/place/admission.py
+++ b/yarrowloom/scheduling/admission.py
@@ -2,10 +2,10 @@
 
 from typing import Any
 
-from ..job.state import ENDED
-from . import desk
+from ..jobs.state_machine import ENDED
+from . import job_queue as desk
 from .binding import Binding
-from .desk import LATE
+from .job_queue import LATE
 
 
 class Admission(Binding):
--- a/yarrowloom/place/binding.py
+++ b/yarrowloom/scheduling/binding.py
@@ -3,13 +3,13 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..job.state import ENDED, RUN, WAIT, task_name
-from ..wire.frame import Kind
-from .cycle import Decision
-from .desk import Desk
-from .group import Group, Phase
-from .leases import Held
-from .room import Size
+from ..jobs.state_machine import ENDED, RUN, WAIT, task_name
+from ..transport.envelope import Kind
+from .capacity import Size
+from .job_queue import Desk
+from .lease_cache import Held
+from .pod_group import Group, Phase
+from .scheduling_cycle import Decision
 
 ASK_S = 0.6
 ASKS_PER_EPOCH = 1 << 32
--- a/yarrowloom/place/environment.py
+++ b/yarrowloom/scheduling/environment.py
@@ -2,7 +2,7 @@
 
 from typing import Any, Protocol
 
-from ..wire.frame import Kind
+from ..transport.envelope import Kind
 
 
 class PlacerHub(Protocol):
--- a/yarrowloom/place/desk.py
+++ b/yarrowloom/scheduling/job_queue.py
@@ -5,14 +5,14 @@
 from collections import deque
 from typing import Any
 
-from ..job.state import ENDED, RUN, WAIT, Jobs, split_name, task_name
-from ..record.replica import Replica
-from ..wire.frame import Kind
+from ..jobs.state_machine import ENDED, RUN, WAIT, Jobs, split_name, task_name
+from ..replication.replica import Replica
+from ..transport.envelope import Kind
+from .capacity import Room, Size, Spot
 from .environment import PlacerHub
-from .group import Backlog, Group, Phase, Prio
-from .leases import Held, Pool
-from .preempt import CRAWL_S, CRAWL_X, Nominator, Preemptor, Victim
-from .room import Room, Size, Spot
+from .lease_cache import Held, Pool
+from .pod_group import Backlog, Group, Phase, Prio
+from .preemption import CRAWL_S, CRAWL_X, Nominator, Preemptor, Victim
 
 LIVE_MOST = 5000  # jobs in hand; what comes beyond is refused at once and never runs
 LATE = 3.0  # past this many aims a job earns nothing any more
--- a/yarrowloom/place/leases.py
+++ b/yarrowloom/scheduling/lease_cache.py
@@ -3,7 +3,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from .room import Room, Size
+from .capacity import Room, Size
 
 IDLE_S = 0.5  # the design's default: an idle lease goes back after this long
 
--- a/yarrowloom/place/group.py
+++ b/yarrowloom/scheduling/pod_group.py
@@ -5,7 +5,7 @@
 from bisect import insort
 from dataclasses import dataclass, field
 
-from .room import Size
+from .capacity import Size
 
 
 class Phase(enum.Enum):
--- a/yarrowloom/place/preempt.py
+++ b/yarrowloom/scheduling/preemption.py
@@ -7,8 +7,8 @@
 import math
 from dataclasses import dataclass, field
 
-from .group import Group
-from .room import Room, Size
+from .capacity import Room, Size
+from .pod_group import Group
 
 AFTER_S = 0.3  # a group that has waited this long may push others out
 AGAIN_S = 2.5  # a run asked to stop is counted as room to come for this long
--- a/yarrowloom/place/placer.py
+++ b/yarrowloom/scheduling/scheduler.py
@@ -4,17 +4,17 @@
 import math
 from typing import Any
 
-from ..base.defaults import Defaults
-from ..job.state import ENDED, RUN, WAIT, State, split_name
-from ..learn import kind_key
-from . import cycle
+from ..common.defaults import Defaults
+from ..jobs.state_machine import ENDED, RUN, WAIT, State, split_name
+from ..prediction import kind_key
+from . import scheduling_cycle as cycle
 from .admission import Admission
-from .cycle import Ask, Decision
-from .desk import STOP_AGAIN_S
-from .group import Group, Phase, Walk
-from .leases import Held
-from .preempt import AFTER_S, NOMINATE_AFTER_S
-from .warm import Warmer
+from .job_queue import STOP_AGAIN_S
+from .lease_cache import Held
+from .pod_group import Group, Phase, Walk
+from .preemption import AFTER_S, NOMINATE_AFTER_S
+from .scheduling_cycle import Ask, Decision
+from .warm_capacity import Warmer
 
 PASS_S = 0.008  # slices of passes are at least this far apart
 CYCLE_COST_S = 0.0003  # what a cycle takes, with what follows from it,
--- a/yarrowloom/place/cycle.py
+++ b/yarrowloom/scheduling/scheduling_cycle.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from .room import Room, Size, Spot
+from .capacity import Room, Size, Spot
 
 
 @dataclass(slots=True, kw_only=True)
--- a/yarrowloom/place/warm.py
+++ b/yarrowloom/scheduling/warm_capacity.py
@@ -3,12 +3,12 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..base.defaults import WarmRow
-from ..learn import Bounds, History, Room, Warm
-from . import cycle
-from .cycle import Ask
-from .room import NONE, Size
-from .room import Room as Table
+from ..common.defaults import WarmRow
+from ..prediction import Bounds, History, Room, Warm
+from . import scheduling_cycle as cycle
+from .capacity import NONE, Size
+from .capacity import Room as Table
+from .scheduling_cycle import Ask
 
 EVERY_S = 0.25
 
--- a/yarrowloom/sim/cluster.py
+++ b/yarrowloom/simulator/cluster.py
@@ -7,15 +7,15 @@
 import orjson
 
 from ..node.core import CoreNode
-from ..node.turns import Rank, rank_of
-from ..wire.frame import LANES, Kind, Lane
-from ..wire.http import Request, Response
-from ..wire.peer import MARK_S, OWED
+from ..node.input_scheduler import Rank, rank_of
+from ..transport.envelope import LANES, Kind, Lane
+from ..transport.http_server import Request, Response
+from ..transport.peer_connections import MARK_S, OWED
 from .digest import NO_KIND
 from .errors import SimError
-from .frames import Header
-from .machines import BOUNDS, BUSY, PORTS, Machines
-from .process import Proc
+from .machines.frames import Header
+from .machines.machine_set import BOUNDS, BUSY, PORTS, Machines
+from .machines.process import Proc
 
 __all__ = ["BOUNDS", "BUSY", "PORTS", "Sim"]
 
--- a/yarrowloom/sim/command.py
+++ b/yarrowloom/simulator/command.py
@@ -4,12 +4,12 @@
 from pathlib import Path
 from typing import Any
 
-from ..base.errs import Finding, UsageError
+from ..common.errors import Finding, UsageError
 from .digest import RunDigest
-from .draw import draw
-from .faults import MOST_S, MOST_SIZE, Plan, dump, load
+from .faults.generator import draw
+from .faults.model import MOST_S, MOST_SIZE, Plan, dump, load
 from .hunt import hunt, plan_of, shrunk, tale
-from .play import Report, Settings, play
+from .run import Report, Settings, play
 
 MOST_SEED = (1 << 63) - 1
 MOST_RUNS = 1_000_000
--- a/yarrowloom/sim/errors.py
+++ b/yarrowloom/simulator/errors.py
@@ -1,6 +1,6 @@
 """Errors of the simulator itself; a rule that the simulated system breaks is no error but a result."""
 
-from ..base.errs import YarrowError
+from ..common.errors import YarrowError
 
 
 class SimError(YarrowError):
--- a/yarrowloom/sim/events.py
+++ b/yarrowloom/simulator/events.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from ..wire.http import Response
+from ..transport.http_server import Response
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/yarrowloom/sim/draw.py
+++ b/yarrowloom/simulator/faults/generator.py
@@ -3,7 +3,7 @@
 import random
 from dataclasses import dataclass
 
-from .faults import Fault, FaultKind
+from .model import Fault, FaultKind
 
 CATCH_UP_S = 4.0  # a machine counts as lost for so long after its return
 FIRST_S = 1.0  # no fault comes sooner
--- a/yarrowloom/sim/inject.py
+++ b/yarrowloom/simulator/faults/injector.py
@@ -3,16 +3,16 @@
 from collections.abc import Callable
 from functools import partial
 
-from ..node.core import CoreNode
-from ..node.edge import EdgeNode
-from .errors import SimError
-from .faults import Fault, FaultKind
-from .judge import EARLY_S
-from .network import Cut
-from .process import Disk
-from .troubled import TroubledSim
-from .worker import Worker
-from .workload import Day
+from ...node.core import CoreNode
+from ...node.edge import EdgeNode
+from ..errors import SimError
+from ..faulty_cluster import TroubledSim
+from ..judges.job_rules import EARLY_S
+from ..machines.network import Cut
+from ..machines.process import Disk
+from ..worker import Worker
+from ..workload import Day
+from .model import Fault, FaultKind
 
 RESET_S = 0.01  # what is on its way when connections are reset is lost
 LEAVE_CORE_S = 0.6  # what a core process has after SIGTERM
--- a/yarrowloom/sim/faults.py
+++ b/yarrowloom/simulator/faults/model.py
@@ -6,8 +6,8 @@
 from enum import StrEnum
 from typing import Any
 
-from ..base.errs import Finding
-from .errors import FaultsError
+from ...common.errors import Finding
+from ..errors import FaultsError
 
 MOST_S = 3600.0
 MOST_SIZE = 99
--- a/yarrowloom/sim/shrink.py
+++ b/yarrowloom/simulator/faults/shrink.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable, Iterator
 from dataclasses import replace
 
-from .faults import Fault
-from .play import Report, play
+from ..run import Report, play
+from .model import Fault
 
 MOST_RUNS = 80
 SHORTEST_S = 0.05
--- a/yarrowloom/sim/troubled.py
+++ b/yarrowloom/simulator/faulty_cluster.py
@@ -7,14 +7,14 @@
 
 import orjson
 
-from ..store import END
-from ..wire.frame import LANES, Kind, Lane
-from ..wire.http import Response
+from ..storage import END
+from ..transport.envelope import LANES, Kind, Lane
+from ..transport.http_server import Response
 from .cluster import Sim
 from .errors import SimError
 from .events import Answer, Check, Event, Invocation
-from .network import Cut, Cuts, Hold
-from .process import Proc
+from .machines.network import Cut, Cuts, Hold
+from .machines.process import Proc
 
 JOURNAL_RECORDS = 120  # a journal moves on to its next file after so many; a small disk's does under load
 RESTART_S = 1.0  # a process that ended by itself is started again after this long
--- a/yarrowloom/sim/hunt.py
+++ b/yarrowloom/simulator/hunt.py
@@ -6,9 +6,9 @@
 from concurrent.futures import Future, ProcessPoolExecutor, wait
 from dataclasses import dataclass, replace
 
-from .faults import Plan, dump
-from .play import Report, Settings, play
-from .shrink import shrink
+from .faults.model import Plan, dump
+from .faults.shrink import shrink
+from .run import Report, Settings, play
 
 STORY_LINES = 60
 AHEAD = 2  # runs planned for each process
--- a/yarrowloom/sim/judge.py
+++ b/yarrowloom/simulator/judges/job_rules.py
@@ -2,8 +2,8 @@
 
 from typing import Any
 
-from .cluster import Sim
-from .minions import Oracle, SimMinion
+from ..cluster import Sim
+from ..minions import Oracle, SimMinion
 
 CANCEL_S = 4.0
 VISIBLE_S = 3.0
--- a/yarrowloom/sim/links.py
+++ b/yarrowloom/simulator/link_cluster.py
@@ -6,13 +6,13 @@
 
 import orjson
 
-from ..base.startup import Startup
+from ..common.settings import Startup
 from ..node.edge import EdgeNode
-from ..wire.frame import LANES, Kind, Lane
+from ..transport.envelope import LANES, Kind, Lane
 from .cluster import Sim
 from .errors import SimError
+from .machines.process import Proc
 from .minions import HOST
-from .process import Proc
 
 HEAD = 80  # bytes of envelope and of TCP that come with each frame
 
--- /dev/null
+++ b/yarrowloom/simulator/machines/__init__.py
@@ -0,0 +1,1 @@
+"""Simulated machines: processes, disks, network links, frames and processor time."""
--- a/yarrowloom/sim/frames.py
+++ b/yarrowloom/simulator/machines/frames.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass
 
-from ..wire.frame import Lane
-from ..wire.peer import Seen
+from ...transport.envelope import Lane
+from ...transport.peer_connections import Seen
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/yarrowloom/sim/machines.py
+++ b/yarrowloom/simulator/machines/machine_set.py
@@ -6,19 +6,19 @@
 from collections.abc import Callable
 from functools import partial
 
-from ..base.log import Log
-from ..base.startup import Startup
-from ..node.core import CoreNode
-from ..node.edge import EdgeNode
-from ..node.identity import FIRST
-from ..node.recovery import recover
-from ..node.shell import TICK_CORE_S
-from ..node.turns import Input, Rank, Turns
-from ..store import END
-from ..wire.frame import Kind, Lane
-from ..wire.http import Response
-from .digest import RunDigest
-from .errors import SimError
+from ...common.log import Log
+from ...common.settings import Startup
+from ...node.core import CoreNode
+from ...node.edge import EdgeNode
+from ...node.identity import FIRST
+from ...node.input_scheduler import Input, Rank, Turns
+from ...node.recovery import recover
+from ...node.runtime import TICK_CORE_S
+from ...storage import END
+from ...transport.envelope import Kind, Lane
+from ...transport.http_server import Response
+from ..digest import RunDigest
+from ..errors import SimError
 from .process import Disk, Proc
 from .processor import Meter, cost
 
--- a/yarrowloom/sim/process.py
+++ b/yarrowloom/simulator/machines/process.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..node.core import CoreNode
-from ..node.edge import EdgeNode
-from ..node.turns import Repeats, Turns
-from ..wire.peer import Seen
+from ...node.core import CoreNode
+from ...node.edge import EdgeNode
+from ...node.input_scheduler import Repeats, Turns
+from ...transport.peer_connections import Seen
 
 
 class Disk:
--- a/yarrowloom/sim/minions.py
+++ b/yarrowloom/simulator/minions.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from ..wire.http import Response
+from ..transport.http_server import Response
 from .cluster import Sim
 from .errors import SimError
 
--- a/yarrowloom/sim/watch.py
+++ b/yarrowloom/simulator/observers.py
@@ -4,12 +4,12 @@
 
 import orjson
 
-from ..node.base import JOB_GROUPS
-from ..wire.http import Response
+from ..node.node_base import JOB_GROUPS
+from ..transport.http_server import Response
 from .events import JobEvent
-from .judge import Judge
+from .faulty_cluster import TroubledSim
+from .judges.job_rules import Judge
 from .minions import HOST, SimMinion
-from .troubled import TroubledSim
 
 LOOK_S = 0.1
 CHANGE_S = (0.5, 3.0)  # an operator rests this long between changes
--- a/yarrowloom/sim/operators.py
+++ b/yarrowloom/simulator/operators.py
@@ -13,7 +13,7 @@
 
 import orjson
 
-from .history import (
+from .judges.history import (
     NEVER_S,
     Argument,
     Evacuate,
--- a/yarrowloom/sim/play.py
+++ b/yarrowloom/simulator/run.py
@@ -4,13 +4,13 @@
 from typing import Any
 
 from .digest import RunDigest
-from .draw import Shape, draw
 from .errors import SimError
 from .events import Check, Story
-from .faults import Fault
-from .inject import Injector
-from .troubled import TroubledSim
-from .watch import Operator, ServingCheck, TellingJudge
+from .faults.generator import Shape, draw
+from .faults.injector import Injector
+from .faults.model import Fault
+from .faulty_cluster import TroubledSim
+from .observers import Operator, ServingCheck, TellingJudge
 from .workload import Day, task
 
 SITES = 3
--- a/yarrowloom/sim/worker.py
+++ b/yarrowloom/simulator/worker.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from .cluster import Sim
-from .judge import Judge, owner
+from .judges.job_rules import Judge, owner
 from .minions import SLOW, SimMinion
 
 GANG_WAIT_S = 4.0
--- a/yarrowloom/sim/workload.py
+++ b/yarrowloom/simulator/workload.py
@@ -4,10 +4,10 @@
 
 import orjson
 
-from ..wire.http import Response
+from ..transport.http_server import Response
 from .cluster import Sim
 from .errors import SimError
-from .judge import ENDS, Judge
+from .judges.job_rules import ENDS, Judge
 from .minions import HOST, SimCaller, config
 from .worker import Worker, World
 
--- a/yarrowloom/store/__init__.py
+++ b/yarrowloom/storage/__init__.py
@@ -1,7 +1,7 @@
 """The disk: a ring of preallocated files holding one journal for all that a node keeps."""
 
-from .files import FileSystem, OsFileSystem
-from .retry import until_taken
-from .ring import END, Ring, Verdict, file_sizes
+from .filesystem import FileSystem, OsFileSystem
+from .ring_journal import END, Ring, Verdict, file_sizes
+from .startup_retry import until_taken
 
 __all__ = ["END", "FileSystem", "OsFileSystem", "Ring", "Verdict", "file_sizes", "until_taken"]
--- a/yarrowloom/store/ring.py
+++ b/yarrowloom/storage/ring_journal.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 from enum import Enum
 
-from ..base.errs import Finding, StoreError
-from .files import FileSystem, OsFileSystem
-from .layout import HEADER_BYTES, RECORD_BYTES, Header, Slot, pack_records
+from ..common.errors import Finding, StoreError
+from .filesystem import FileSystem, OsFileSystem
+from .record_format import HEADER_BYTES, RECORD_BYTES, Header, Slot, pack_records
 
 END = b'{"k":"none","end":true}'  # follows a checkpoint: what begins a file is whole
 _FEWEST = 3  # the durable file, the one being written, the one that vouches for it
--- a/yarrowloom/store/retry.py
+++ b/yarrowloom/storage/startup_retry.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-from ..base.errs import StoreError
-from ..base.log import Log
-from .ring import Ring
+from ..common.errors import StoreError
+from ..common.log import Log
+from .ring_journal import Ring
 
 RETRY_S = 0.2
 _PASSING = frozenset({errno.EIO, errno.ENOSPC, errno.EDQUOT, errno.EAGAIN, errno.EINTR, errno.ETIMEDOUT})
--- a/yarrowloom/rig/callers.py
+++ b/yarrowloom/testbed/callers.py
@@ -7,10 +7,10 @@
 import orjson
 import trio
 
-from ..load import Load
-from ..load.run import DEADLINE_S
+from ..loadgen import Load
+from ..loadgen.generator import DEADLINE_S
 from .judge import Judge
-from .line import Line
+from .pipeline import Line
 from .work import write
 
 HOST = "rig.example"
--- a/yarrowloom/rig/cluster.py
+++ b/yarrowloom/testbed/cluster.py
@@ -17,7 +17,7 @@
 import orjson
 import trio
 
-from ..base.errs import Finding, UsageError
+from ..common.errors import Finding, UsageError
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 SPAN = 16  # internal ports a machine
--- a/yarrowloom/rig/experiment.py
+++ b/yarrowloom/testbed/experiment.py
@@ -9,16 +9,16 @@
 import trio
 from hdrh.histogram import HdrHistogram
 
-from ..base.errs import UsageError
+from ..common.errors import UsageError
 from .callers import HOST, HollowLoad, config, loads
 from .cluster import Cluster, Shape
 from .fleet import Crew, Fleet
-from .hollow import Bounds, Hollow
 from .judge import Judge
 from .local import guarded, show, summary
 from .plan import Fault, Plan, load
 from .report import write
 from .sample import Sampler
+from .simulated_minion import Bounds, Hollow
 
 MOST_US = 3_600_000_000
 QUANTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
--- a/yarrowloom/rig/fleet.py
+++ b/yarrowloom/testbed/fleet.py
@@ -9,8 +9,8 @@
 import orjson
 import trio
 
-from .hollow import BEAT_TTL_S, Bounds, Hollow, Watcher, Yard
-from .line import Line
+from .pipeline import Line
+from .simulated_minion import BEAT_TTL_S, Bounds, Hollow, Watcher, Yard
 
 
 @dataclass(kw_only=True)
--- a/yarrowloom/rig/judge.py
+++ b/yarrowloom/testbed/judge.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from .hollow import Hollow, mark, unit_of
+from .simulated_minion import Hollow, mark, unit_of
 
 NEVER = ("lost", "")
 
--- a/yarrowloom/rig/local.py
+++ b/yarrowloom/testbed/local.py
@@ -7,14 +7,14 @@
 
 import trio
 
-from ..base.errs import UsageError, YarrowError
-from ..base.log import pair
-from ..load.run import quantile
+from ..common.errors import UsageError, YarrowError
+from ..common.log import pair
+from ..loadgen.generator import quantile
 from .callers import HollowLoad, config, loads, run_all
 from .cluster import Cluster, Shape
 from .fleet import Crew, Fleet
-from .hollow import Bounds
 from .judge import Judge
+from .simulated_minion import Bounds
 
 SHOW_S = 1.0
 MOST_NODES = 60
--- a/yarrowloom/rig/plan.py
+++ b/yarrowloom/testbed/plan.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any, TypedDict
 
-from ..base.errs import Finding, YarrowError
+from ..common.errors import Finding, YarrowError
 from .callers import QUEUES, Queue
 
 MOST_PROCS = 200
--- a/yarrowloom/rig/slopes.py
+++ b/yarrowloom/testbed/slopes.py
@@ -14,13 +14,13 @@
 import trio
 import trio.testing
 
-from ..base.errs import UsageError
-from ..wire.frame import dump
-from ..wire.http import Request, Response, Server
-from .bed import Bed, Cost, Seat
+from ..common.errors import UsageError
+from ..transport.envelope import dump
+from ..transport.http_server import Request, Response, Server
 from .callers import QUEUES, HollowLoad, config
 from .fleet import Crew
 from .state_cost import Row, clock_us, jobs_state, routes_state
+from .virtual_testbed import Bed, Cost, Seat
 from .work import write
 
 # Which role an input of a core node belongs to; what is not named counts as `other`.
--- a/yarrowloom/rig/state_cost.py
+++ b/yarrowloom/testbed/state_cost.py
@@ -9,9 +9,9 @@
 
 import orjson
 
-from ..fleet.conf import Table
-from ..job import Jobs, parse
-from ..wire.frame import dump
+from ..cluster_state.config import Table
+from ..jobs import Jobs, parse
+from ..transport.envelope import dump
 from .callers import config
 from .work import write
 
--- a/yarrowloom/rig/bed.py
+++ b/yarrowloom/testbed/virtual_testbed.py
@@ -16,17 +16,17 @@
 
 import orjson
 
-from ..base.log import Log
-from ..base.startup import Startup
+from ..common.log import Log
+from ..common.settings import Startup
 from ..node.core import CoreNode
 from ..node.edge import EdgeNode
-from ..record.epoch import addr_of
-from ..wire.frame import Kind
-from ..wire.http import Request, Response
+from ..replication.epoch import addr_of
+from ..transport.envelope import Kind
+from ..transport.http_server import Request, Response
 from .callers import HOST
 from .fleet import Crew
-from .hollow import Bounds, Hollow, Yard
 from .judge import Judge
+from .simulated_minion import Bounds, Hollow, Yard
 
 PORTS = (7000, 7015)
 LAG_S = 0.0005
--- a/yarrowloom/wire/plain.py
+++ b/yarrowloom/transport/http_head.py
@@ -5,7 +5,7 @@
 
 import h11
 
-from .headers import Rule, screen
+from .header_rules import Rule, screen
 
 _LINE = re.compile(rb"(GET|PUT|POST|DELETE|PATCH) ([!-~]+) HTTP/1\.1")
 _FIELD = re.compile(rb"([-!#$%&'*+.^_`|~0-9A-Za-z]+):[ \t]*([!-~](?:[ -~]*[!-~])?)?[ \t]*")
--- a/yarrowloom/wire/http.py
+++ b/yarrowloom/transport/http_server.py
@@ -11,9 +11,9 @@
 import orjson
 import trio
 
-from . import accept
-from .headers import Rule, screen
-from .plain import Head, read_head, write_head
+from . import listener as accept
+from .header_rules import Rule, screen
+from .http_head import Head, read_head, write_head
 
 JSON = (("content-type", "application/json"),)
 
--- a/yarrowloom/wire/peer.py
+++ b/yarrowloom/transport/peer_connections.py
@@ -15,9 +15,9 @@
 import orjson
 import trio
 
-from ..base.log import Log
-from . import accept
-from .frame import LANES, Frame, Kind, Lane, MalformedFrame, Sealer, Splitter, bundle, envelope_fault, unbundle
+from ..common.log import Log
+from . import listener as accept
+from .envelope import LANES, Frame, Kind, Lane, MalformedFrame, Sealer, Splitter, bundle, envelope_fault, unbundle
 
 _USER_TIMEOUT = 18  # TCP_USER_TIMEOUT, absent from the socket module on some builds
 QUEUE_MOST = 8000  # messages waiting for one peer in one lane; what comes beyond is dropped
