--- a/yarrowloom/node/runtime.py
+++ b/yarrowloom/node/runtime.py
@@ -303,12 +303,11 @@
             self.log.warn("leaves-only-copy", groups=",".join(map(str, alone)))
         self.log.info("drained", s=round(spent, 2), relieved=node.may_end())
 
-    async def run(self) -> None:
-        """Serve until told to end."""
+    async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
+        """Serve until told to end; started once all its addresses can be reached."""
         node = self.node
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.peers.run)
-            await trio.sleep(0)
+            await nursery.start(self.peers.run)
             if self.ring is not None:
                 nursery.start_soon(self.writer)
             binds = node.startup.binds
@@ -316,18 +315,19 @@
                 if "front" in binds:
                     srv = Server(handler=self.handle, limits=node.limits)
                     self.servers.append(srv)
-                    nursery.start_soon(partial(listen, addr=binds["front"], server=srv))
+                    await nursery.start(partial(listen, addr=binds["front"], server=srv))
                 if "ready" in binds:
-                    nursery.start_soon(partial(listen, addr=binds["ready"], server=Server(handler=self.ready)))
+                    await nursery.start(partial(listen, addr=binds["ready"], server=Server(handler=self.ready)))
             elif "control" in binds:
                 srv = Server(handler=self.handle)
                 srv.limits.body_bytes, srv.limits.idle_ms, srv.limits.header_bytes = 16 << 20, 60000, 65536
                 self.servers.append(srv)
-                nursery.start_soon(partial(listen, addr=binds["control"], server=srv))
+                await nursery.start(partial(listen, addr=binds["control"], server=srv))
             nursery.start_soon(self.work)
             nursery.start_soon(self.watch_settings)
             nursery.start_soon(self.stop_on_term, nursery.cancel_scope)
             self.log.info("started", role=node.kind, uid=node.uid)
+            task_status.started()
 
 
 def open_core(*, startup: Startup, log: Log, file_system: FileSystem | None = None) -> Shell:
--- a/yarrowloom/transport/http_server.py
+++ b/yarrowloom/transport/http_server.py
@@ -239,7 +239,9 @@
             await self.stream.send_all(data)
 
 
-async def listen(*, addr: str, server: Server) -> None:
-    """Accept connections at HOST:PORT for ever. The listener is closed once this has ended, however it ends."""
+async def listen(*, addr: str, server: Server, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
+    """Accept connections at HOST:PORT for ever; started once clients can connect. The listener is closed once this has
+    ended, however it ends."""
     with accept.open_listener(addr=addr) as listener:
+        task_status.started()
         await accept.serve(listener=listener, handler=server.serve)
--- a/yarrowloom/transport/peer_connections.py
+++ b/yarrowloom/transport/peer_connections.py
@@ -192,13 +192,15 @@
             self.log.warn("peer-queue-full", peer=addr, lane=lane.name)
         wake.set()
 
-    async def run(self) -> None:
-        """Serve for ever. The listener is closed once this has ended, however it ends: the address is free again."""
+    async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
+        """Serve for ever; started once peers can connect and messages can be sent. The listener is closed once this
+        has ended, however it ends: the address is free again."""
         with accept.open_listener(addr=self.addr) as listener:
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
                 nursery.start_soon(partial(accept.serve, listener=listener, handler=self._take))
                 nursery.start_soon(self._mark)
+                task_status.started()
 
     async def _mark(self) -> None:
         """Wake lanes of work that fell silent."""
@@ -219,24 +221,28 @@
         host, port = addr.rsplit(":", 1)
         stream: trio.SocketStream | None = None
         sealer = Sealer(lane=lane, src=self.addr, uid=self.uid, incarnation=self.incarnation)
-        while True:
-            real = await self._next(addr=addr, lane=lane, line=line)
-            seq, body = line.take()
-            raw = sealer.seal(seq=seq, body=body)
-            try:
-                if stream is None:
-                    with trio.fail_after(DIAL_S):
-                        stream = await self._dial(host=host, port=int(port))
-                # A dead peer is found by the socket's own time limit; a slow link may take long over a frame.
-                with trio.fail_after(10.0):
-                    await stream.send_all(raw)
-                line.sent(real=real)
-            except (OSError, trio.TooSlowError, trio.BrokenResourceError, trio.ClosedResourceError):
-                line.broken(held=real or stream is not None)
-                if stream is not None:
-                    await trio.aclose_forcefully(stream)
-                stream = None
-                await trio.sleep(0.05)
+        try:
+            while True:
+                real = await self._next(addr=addr, lane=lane, line=line)
+                seq, body = line.take()
+                raw = sealer.seal(seq=seq, body=body)
+                try:
+                    if stream is None:
+                        with trio.fail_after(DIAL_S):
+                            stream = await self._dial(host=host, port=int(port))
+                    # A dead peer is found by the socket's own time limit; a slow link may take long over a frame.
+                    with trio.fail_after(10.0):
+                        await stream.send_all(raw)
+                    line.sent(real=real)
+                except (OSError, trio.TooSlowError, trio.BrokenResourceError, trio.ClosedResourceError):
+                    line.broken(held=real or stream is not None)
+                    if stream is not None:
+                        await trio.aclose_forcefully(stream)
+                    stream = None
+                    await trio.sleep(0.05)
+        finally:
+            if stream is not None:
+                stream.socket.close()
 
     async def _dial(self, *, host: str, port: int) -> trio.SocketStream:
         sock = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
