--- a/tests/integration/test_loopback.py
+++ b/tests/integration/test_loopback.py
@@ -1,10 +1,9 @@
 """One core, one edge, a stand-in minion and operator over real loopback sockets; nothing here sleeps."""
 
-import os
 import pathlib
-import socket
 import subprocess
 import sys
+from collections.abc import Iterator
 from typing import Any
 
 import httpcore
@@ -12,43 +11,14 @@
 import pytest
 import trio
 
+from tests.support.loopback import HOST, reserved_ports, settings
 from yarrowloom.common.errors import UsageError
 from yarrowloom.common.log import Log
 from yarrowloom.common.settings import ENV, check
 from yarrowloom.loadgen import Load, report
 from yarrowloom.node.runtime import open_core, open_edge
-from yarrowloom.simulator.minions import HOST, config
-
-ADDR = f"127.{os.getpid() % 200 + 2}.{os.getpid() // 200 % 250}.2"  # of this process alone: ports are let go again
-
-
-def ports(n: int) -> list[int]:
-    socks = [socket.socket() for _ in range(n)]
-    for s in socks:
-        s.bind((ADDR, 0))
-    out: list[int] = [s.getsockname()[1] for s in socks]
-    for s in socks:
-        s.close()
-    return out
-
-
-def settings(*, binds: dict[str, str], inner: int, seed: str, data: str | None) -> dict[str, Any]:
-    return {
-        "node-name": "n",
-        "role": "r",
-        "ip": ADDR,
-        "zone": "z",
-        "zones": {"z": "r"},
-        "bind-addrs": binds,
-        "internal-ports": [inner, inner + 15],
-        "seed-nodes": [seed],
-        "bootstrap": True,
-        "data-dir": data,
-        "limits": {"disk-mb": 16},
-        "beat-interval-ms": 1000,
-        "bounds": {},
-        "something-new": 1,
-    }
+from yarrowloom.simulator.minions import HOST as HOST_NAME
+from yarrowloom.simulator.minions import config
 
 
 async def call(pool: httpcore.AsyncConnectionPool, method: str, url: str, doc: Any = None, **heads: str) -> Any:
@@ -92,45 +62,49 @@
             ends.append([num, task, run, "done", ""])
 
 
-def test_whole_path_over_sockets(tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    ctl, front, ready, inner = ports(4)
-    seed = f"{ADDR}:{ctl}"
+@pytest.fixture
+def ports() -> Iterator[list[int]]:
+    """Control, front and ready, and two inner ones: the core's and the one after it, the edge's."""
+    with reserved_ports(5) as held:
+        yield held
+
+
+def test_whole_path_over_sockets(tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch, ports: list[int]) -> None:
+    ctl, front, ready, inner, _ = ports
+    seed = f"{HOST}:{ctl}"
     core = check(doc=settings(binds={"control": seed}, inner=inner, seed=seed, data=str(tmp_path)))
     edge = check(
-        doc=settings(binds={"front": f"{ADDR}:{front}", "ready": f"{ADDR}:{ready}"}, inner=inner, seed=seed, data=None)
+        doc=settings(binds={"front": f"{HOST}:{front}", "ready": f"{HOST}:{ready}"}, inner=inner, seed=seed, data=None)
     )
     monkeypatch.setenv(ENV, str(tmp_path / "none"))
 
     async def main() -> None:
         log = Log(name="loopback", level="error")
         async with trio.open_nursery() as nursery, httpcore.AsyncConnectionPool() as pool:
-            nursery.start_soon(open_core(startup=core, log=log).run)
-            nursery.start_soon(open_edge(startup=edge, log=log).run)
-            status = 0
             with trio.fail_after(30):
+                await nursery.start(open_core(startup=core, log=log).run)
+                await nursery.start(open_edge(startup=edge, log=log).run)
+                status = 0
                 while status != 200:
-                    try:
-                        status, _ = await call(pool, "PUT", f"http://{seed}/config", config(version=2), If_Match="0")
-                    except httpcore.ConnectError:
-                        await trio.lowlevel.checkpoint()
+                    status, _ = await call(pool, "PUT", f"http://{seed}/config", config(version=2), If_Match="0")
                 assert (await call(pool, "PUT", f"http://{seed}/config", config(version=2), If_Match="0"))[0] == 200
                 assert (await call(pool, "PUT", f"http://{seed}/config", config(version=3), If_Match="1"))[0] == 412
                 bad, doc = await call(pool, "PUT", f"http://{seed}/config", {"config-version": 3}, If_Match="2")
                 assert bad == 400 and len(doc["findings"]) == 2
                 nursery.start_soon(minion, pool, seed)
-                while (await call(pool, "GET", f"http://{ADDR}:{ready}/readiness"))[0] != 200:
+                while (await call(pool, "GET", f"http://{HOST}:{ready}/readiness"))[0] != 200:
                     pass
-                load = Load(addrs=(f"{ADDR}:{front}",), host=HOST, prefix="/fast/", jobs=5, rate=1000.0)
+                load = Load(addrs=(f"{HOST}:{front}",), host=HOST_NAME, prefix="/fast/", jobs=5, rate=1000.0)
                 await load.run()
                 out = report(load=load)
                 assert out["accepted"] == 5 and out["lost"] == 0 and out["failed"] == 0
-                url = f"http://{ADDR}:{front}/fast/"
-                assert await call(pool, "GET", url, Host=HOST) == (200, {"pending": 0})
-                assert (await call(pool, "GET", url + "0123456789abcdef", Host=HOST))[0] == 410
-                assert (await call(pool, "POST", url + "0123456789abcdef", {"stages": 1}, Host=HOST))[0] == 400
+                url = f"http://{HOST}:{front}/fast/"
+                assert await call(pool, "GET", url, Host=HOST_NAME) == (200, {"pending": 0})
+                assert (await call(pool, "GET", url + "0123456789abcdef", Host=HOST_NAME))[0] == 410
+                assert (await call(pool, "POST", url + "0123456789abcdef", {"stages": 1}, Host=HOST_NAME))[0] == 400
                 assert (await call(pool, "POST", url + "0123", {"stages": 1}, Host="other"))[0] == 404
                 big = {"task-spec": "x" * 300_000}
-                assert (await call(pool, "POST", url + "0123456789abcdef", big, Host=HOST))[0] == 413
+                assert (await call(pool, "POST", url + "0123456789abcdef", big, Host=HOST_NAME))[0] == 413
                 assert (await call(pool, "GET", f"http://{seed}/state"))[1]["config"] == 2
             nursery.cancel_scope.cancel()
 
@@ -138,10 +112,10 @@
 
 
 def test_unreachable_target_ends_with_a_clear_error() -> None:
-    (port,) = ports(1)
-    load = Load(addrs=(f"{ADDR}:{port}",), host=HOST, prefix="/fast/", jobs=1, rate=100.0)
-    with pytest.raises(UsageError) as got:
-        trio.run(load.run)
+    with reserved_ports(1) as (port,):  # nobody listens on it
+        load = Load(addrs=(f"{HOST}:{port}",), host=HOST_NAME, prefix="/fast/", jobs=1, rate=100.0)
+        with pytest.raises(UsageError) as got:
+            trio.run(load.run)
     assert got.value.exit_code == 64
 
 
--- a/tests/testbed/test_testbed.py
+++ b/tests/testbed/test_testbed.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.integration.test_loopback import ports
+from tests.support.loopback import NETWORK
 from yarrowloom.common.errors import UsageError
 from yarrowloom.testbed.cluster import Cluster, Shape
 
@@ -62,13 +62,11 @@
 
 
 def test_port_in_use_is_told_with_its_place() -> None:
-    (port,) = ports(1)
-    with socket.socket() as sock:
-        sock.bind(("127.77.5.1", port))
-        sock.listen()
-        with pytest.raises(UsageError) as got, Cluster(shape=Shape(cores=1, edges=1, port=port, net="127.77.5")):
+    with socket.create_server((f"{NETWORK}.1", 0)) as other:
+        port = other.getsockname()[1]
+        with pytest.raises(UsageError) as got, Cluster(shape=Shape(cores=1, edges=1, port=port, net=NETWORK)):
             pass
-    assert [f.place for f in got.value.findings] == [f"127.77.5.1:{port}"]
+    assert [f.place for f in got.value.findings] == [f"{NETWORK}.1:{port}"]
 
 
 def test_a_node_that_ends_by_itself_is_told_with_its_last_words() -> None:
--- a/tests/transport/test_http_exchange.py
+++ b/tests/transport/test_http_exchange.py
@@ -1,5 +1,6 @@
 """An answer belongs to one exchange on one connection: over real sockets on loopback, with the shell's own matching."""
 
+import contextlib
 import socket
 import struct
 from collections.abc import Awaitable, Callable
@@ -8,7 +9,7 @@
 import pytest
 import trio
 
-from tests.integration.test_loopback import ADDR, settings
+from tests.support.loopback import HOST, settings
 from yarrowloom.common.log import Log
 from yarrowloom.common.settings import check
 from yarrowloom.node.runtime import Shell, open_edge
@@ -22,10 +23,12 @@
     """An edge's shell behind a listening socket; the test answers in the node's place."""
 
     def __init__(self) -> None:
-        doc = settings(binds={"front": f"{ADDR}:1"}, inner=7000, seed=f"{ADDR}:2", data=None)
+        doc = settings(binds={"front": f"{HOST}:1"}, inner=7000, seed=f"{HOST}:2", data=None)
         self.shell: Shell = open_edge(startup=check(doc=doc), log=Log(name="t", level="error"))
         self.shell.credit = 1e9
         self.asked: dict[str, int] = {}  # the node's key of each call, by path
+        self._arrivals: dict[str, trio.Event] = {}
+        self.clients = contextlib.ExitStack()  # closed with the test
         self.shell.node.http = self._http  # type: ignore[method-assign]
         self.shell.node.tick = lambda: None  # type: ignore[method-assign]
         self.shell.turns._tick.fn = lambda: None
@@ -34,17 +37,20 @@
 
     def _http(self, *, call: Any, req: Request) -> None:
         self.asked[req.path] = call
+        self._arrival(req.path).set()
+
+    def _arrival(self, path: str) -> trio.Event:
+        return self._arrivals.setdefault(path, trio.Event())
 
     async def listen(self, *, task_status: trio.TaskStatus[None]) -> None:
-        listeners = await trio.open_tcp_listeners(0, host=ADDR)
+        listeners = await trio.open_tcp_listeners(0, host=HOST)
         self.port = listeners[0].socket.getsockname()[1]
         task_status.started()
         await trio.serve_listeners(self.server.serve, listeners)
 
     async def asks(self, path: str) -> int:
         """Wait until the node has been asked this."""
-        while path not in self.asked:
-            await trio.lowlevel.checkpoint()
+        await self._arrival(path).wait()
         return self.asked[path]
 
     def answer(self, path: str) -> None:
@@ -59,10 +65,10 @@
 
 
 async def connected(bench: Bench, *, port: int = 0) -> trio.SocketStream:
-    sock = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    sock = bench.clients.enter_context(trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM))
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    await sock.bind((ADDR, port))
-    await sock.connect((ADDR, bench.port))
+    await sock.bind((HOST, port))
+    await sock.connect((HOST, bench.port))
     return trio.SocketStream(sock)
 
 
@@ -89,7 +95,7 @@
 def play(script: Callable[[Bench], Awaitable[None]]) -> None:
     async def main() -> None:
         bench = Bench()
-        with trio.fail_after(20):
+        with trio.fail_after(20), bench.clients:
             async with trio.open_nursery() as nursery:
                 await nursery.start(bench.listen)
                 await script(bench)
--- a/tests/transport/test_incarnations_wire.py
+++ b/tests/transport/test_incarnations_wire.py
@@ -10,7 +10,7 @@
 import trio
 import trio.testing
 
-from tests.integration.test_loopback import ADDR, ports, settings
+from tests.support.loopback import HOST, reserved_ports, settings
 from yarrowloom.common.log import Log
 from yarrowloom.common.settings import check
 from yarrowloom.node.identity import last_life
@@ -192,7 +192,7 @@
 def test_a_core_s_incarnation_rises_with_each_start_and_is_on_disk_before_the_first_frame(
     tmp_path: pathlib.Path,
 ) -> None:
-    doc = settings(binds={"control": f"{ADDR}:1"}, inner=7000, seed=f"{ADDR}:1", data=str(tmp_path / "d"))
+    doc = settings(binds={"control": f"{HOST}:1"}, inner=7000, seed=f"{HOST}:1", data=str(tmp_path / "d"))
     for life in range(1, 5):
         shell = open_core(startup=check(doc=doc), log=LOG)
         assert shell.node.incarnation == life and shell.peers.incarnation == life
@@ -208,42 +208,40 @@
 
 
 def test_no_two_lives_of_an_edge_share_a_uid() -> None:
-    doc = settings(binds={"front": f"{ADDR}:1"}, inner=7000, seed=f"{ADDR}:2", data=None)
+    doc = settings(binds={"front": f"{HOST}:1"}, inner=7000, seed=f"{HOST}:2", data=None)
     shells = [open_edge(startup=check(doc={**doc, "role": "edge"}), log=LOG) for _ in range(20)]
     assert len({shell.node.uid for shell in shells}) == 20 and {shell.node.incarnation for shell in shells} == {1}
 
 
 def test_two_lives_at_one_address_over_real_sockets() -> None:
     """Each life listens at the address of the one before as soon as that has ended, and is heard at once."""
-    here, there = (f"{ADDR}:{port}" for port in ports(2))
-    lives = [(f"{here}#{uid}", range(100 * number, 100 * number + 20)) for number, uid in enumerate("abc")]
     arrived, arrivals = trio.open_memory_channel[tuple[str, Any]](math.inf)
-    got: list[tuple[str, Any]] = []
 
     def sink(uid: str, lane: Lane, rows: list[tuple[Kind, Any]], lost: bool) -> None:
         for _, message in rows:
             arrived.send_nowait((uid, message))
 
-    async def start(*, nursery: trio.Nursery, peers: Peers) -> None:
-        nursery.start_soon(peers.run)
-        while peers._nursery is None:
-            await trio.lowlevel.checkpoint()
+    async def live(*, peers: Peers, to: str, messages: range) -> list[tuple[str, Any]]:
+        """Send all and wait until they have arrived; the nursery is left once all tasks of this life have ended."""
+        async with trio.open_nursery() as life:
+            await life.start(peers.run)
+            for message in messages:
+                peers.send(addr=to, kind=Kind.ORDER, body=b"%d" % message)
+            got = [await arrivals.receive() for _ in messages]
+            life.cancel_scope.cancel()
+        return got
 
     async def main() -> None:
-        receiver = Peers(addr=there, uid=f"{there}#0", incarnation=1, sink=sink, log=LOG)
-        with trio.fail_after(20):
+        with reserved_ports(2) as ports, trio.fail_after(20):
+            here, there = (f"{HOST}:{port}" for port in ports)
+            receiver = Peers(addr=there, uid=f"{there}#0", incarnation=1, sink=sink, log=LOG)
             async with trio.open_nursery() as receiving:
-                await start(nursery=receiving, peers=receiver)
-                for uid, messages in lives:
+                await receiving.start(receiver.run)
+                for number, uid in enumerate((f"{here}#a", f"{here}#b", f"{here}#c")):
+                    messages = range(100 * number, 100 * number + 20)
                     peers = Peers(addr=here, uid=uid, incarnation=1, sink=lambda *_: None, log=LOG)
-                    async with trio.open_nursery() as life:  # left once all tasks of this life have ended
-                        await start(nursery=life, peers=peers)
-                        for message in messages:
-                            peers.send(addr=there, kind=Kind.ORDER, body=b"%d" % message)
-                        got.extend([await arrivals.receive() for _ in messages])
-                        life.cancel_scope.cancel()
+                    assert await live(peers=peers, to=there, messages=messages) == [(uid, m) for m in messages]
                 receiving.cancel_scope.cancel()
 
     trio.run(main)
-    assert got == [(uid, message) for uid, messages in lives for message in messages]
     assert arrivals.statistics().current_buffer_used == 0
--- a/tests/transport/test_lanes.py
+++ b/tests/transport/test_lanes.py
@@ -1,6 +1,5 @@
 """Between nodes: lanes and what they lose, the order of inputs, repeats of calls."""
 
-import os
 import random
 from typing import Any, cast
 
@@ -9,6 +8,7 @@
 import trio
 import trio.testing
 
+from tests.support.loopback import HOST, reserved_ports
 from yarrowloom.common.log import Log
 from yarrowloom.node.group_calls import RESEND_MOST_S, Calls
 from yarrowloom.node.input_scheduler import SHARES, Rank, Repeats, Turns, rank_of
@@ -90,43 +90,36 @@
 
 
 def test_peers_batch_keep_order_per_lane_and_report_a_broken_body() -> None:
-    host = f"127.{os.getpid() % 200 + 2}.{os.getpid() // 200 % 250}.1"  # of this process alone
-    here, there = f"{host}:7301", f"{host}:7302"
     got: list[tuple[Lane, Kind, Any]] = []
     lost: list[Lane] = []
-    full = trio.Event()
+    all_arrived, all_gaps = trio.Event(), trio.Event()
 
     def sink(uid: str, lane: Lane, rows: list[tuple[Kind, Any]], gap: bool) -> None:
         if gap:
             lost.append(lane)
         got.extend((lane, kind, m) for kind, m in rows)
-        if len(got) >= 601 and len(lost) >= 5:
-            full.set()
+        if len(got) >= 601:
+            all_arrived.set()
+            if len(lost) >= 5:
+                all_gaps.set()
 
     async def main() -> None:
         log = Log(name="t", level="error")
-        a = Peers(addr=here, uid=here + "#0", incarnation=1, sink=lambda *_: None, log=log)
-        b = Peers(addr=there, uid=there + "#0", incarnation=1, sink=sink, log=log)
-        with trio.fail_after(20):
+        with reserved_ports(2) as ports, trio.fail_after(20):
+            here, there = (f"{HOST}:{port}" for port in ports)
+            a = Peers(addr=here, uid=here + "#0", incarnation=1, sink=lambda *_: None, log=log)
+            b = Peers(addr=there, uid=there + "#0", incarnation=1, sink=sink, log=log)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(a.run)
-                nursery.start_soon(b.run)
-                stream = None
-                while a._nursery is None or stream is None:
-                    try:
-                        stream = await trio.open_tcp_stream(host, int(there.split(":")[1]))
-                    except OSError:
-                        await trio.lowlevel.checkpoint()
-                await stream.aclose()
+                await nursery.start(a.run)
+                await nursery.start(b.run)
                 for i in range(300):
                     a.send(addr=there, kind=Kind.ORDER, body=b"%d" % i)
                     a.send(addr=there, kind=Kind.PING, body=b"%d" % i)
                 a.send(addr=there, kind=Kind.CKPT, body=b'"st"')
-                while len(got) < 601:
-                    await trio.lowlevel.checkpoint()
+                await all_arrived.wait()
                 b._deliver(Frame(lane=2, src=here, uid=here + "#0", incarnation=1, seq=999, body=b"[[46"), connection=9)
                 b._deliver(Frame(lane=1, src=here, uid=here + "#0", incarnation=1, seq=999, body=b"[]"), connection=9)
-                await full.wait()
+                await all_gaps.wait()
                 nursery.cancel_scope.cancel()
 
     trio.run(main)
