--- a/tests/simulator/test_faults.py
+++ b/tests/simulator/test_faults.py
@@ -118,7 +118,7 @@
     """A short fault of each kind, within the budget, breaks no rule; afterwards nothing of it is left."""
     rule = RULES[kind]
     role = rule.roles[0]
-    where = str(role) if role in (Role.LINKS, Role.ALL_CORES) else f"{role}-0"
+    where = str(role) if role in (Role.LINKS, Role.ALL_CORES, Role.ALL_MACHINES) else f"{role}-0"
     strength = {
         FaultKind.LOSS: 0.03,
         FaultKind.DISK_SLOW: 20.0,
@@ -126,6 +126,7 @@
         FaultKind.CRAWL: 0.1,
         FaultKind.CLOCK_STEP: 4.0,
         FaultKind.CLOCK_DRIFT: 0.02,
+        FaultKind.CPU_QUOTA: 0.5,
     }.get(kind, 0.0)
     run = run_of(fault(kind, where, strength=strength), seconds=5.0)
     report = run.play()
--- a/yarrowloom/cli.py
+++ b/yarrowloom/cli.py
@@ -104,13 +104,14 @@
         size: int | None = None,
         faults: str = "",
         digest: bool = False,
+        more_faults: bool = False,
     ) -> None:
         """Play one simulated run of SIZE core nodes with faults from a file (TOML) or drawn from the seed; exits 1 if
         a rule was broken. --digest also prints, as the last line, a SHA-256 over all frames, disk records and HTTP
-        responses of the run."""
+        responses of the run; --more-faults also draws kinds of faults that are not drawn as a rule."""
         from .simulator.command import simulate
 
-        sys.exit(simulate(seed=seed, seconds=seconds, size=size, faults=faults, digest=digest))
+        sys.exit(simulate(seed=seed, seconds=seconds, size=size, faults=faults, digest=digest, more_faults=more_faults))
 
     def hunt(
         self,
@@ -122,16 +123,26 @@
         most: int = 1,
         out: str = "",
         replay: str = "",
+        more_faults: bool = False,
     ) -> None:
         """Play many simulated runs until MOST of them broke a rule, shrink and tell these, keep them as files in OUT;
-        or REPLAY such a file step by step. Exits 1 if a rule was broken."""
+        or REPLAY such a file step by step. --more-faults as with `simulate`. Exits 1 if a rule was broken."""
         from .simulator.command import hunting
         from .simulator.command import replay as again
 
         sys.exit(
             again(path=str(replay))
             if replay
-            else hunting(runs=runs, jobs=jobs, seed=seed, seconds=seconds, size=size, most=most, out=str(out))
+            else hunting(
+                runs=runs,
+                jobs=jobs,
+                seed=seed,
+                seconds=seconds,
+                size=size,
+                most=most,
+                out=str(out),
+                more_faults=more_faults,
+            )
         )
 
     def slopes(self, *runs: str, reps: int = 5, out: str = "") -> None:
--- a/yarrowloom/simulator/command.py
+++ b/yarrowloom/simulator/command.py
@@ -1,12 +1,12 @@
 """The subcommands `simulate` and `hunt`: checked flags, progress, what is printed."""
 
 import sys
+from dataclasses import replace
 from pathlib import Path
 from typing import Any
 
 from ..common.errors import Finding, UsageError
 from .digest import RunDigest
-from .faults.generator import draw
 from .faults.model import MOST_S, MOST_SIZE, Plan, dump, load
 from .hunt import hunt, plan_of, shrunk, tale
 from .run import Report, Settings, play
@@ -68,19 +68,16 @@
     return bool(value)
 
 
-def simulate(*, seed: Any, seconds: Any, size: Any, faults: Any, digest: Any = False) -> int:
-    """Play one run and print its report, and its digest if asked to; return the exit code."""
+def simulate(*, seed: Any, seconds: Any, size: Any, faults: Any, digest: Any = False, more_faults: Any = False) -> int:
+    """Play one run and print its report, and its digest if asked to; return the exit code. `more_faults` has no effect
+    beside a file."""
+    more_faults = _switch(name="more-faults", value=more_faults)
     run_digest = RunDigest() if _switch(name="digest", value=digest) else None
     if faults:
         settings = _from_plan(plan=load(path=str(faults)), seed=seed, seconds=seconds, size=size)
     else:
         settings = _from_plan(plan=Plan(faults=()), seed=seed, seconds=seconds, size=size)
-        settings = Settings(
-            seed=settings.seed,
-            seconds=settings.seconds,
-            size=settings.size,
-            faults=draw(seed=settings.seed, shape=settings.shape),
-        )
+        settings = replace(settings, faults=None, more_faults=more_faults)
     report = play(settings=settings, digest=run_digest)
     print("\n".join(report.lines()))
     if run_digest is not None:
@@ -97,13 +94,16 @@
     return 1 if report.breaches else 0
 
 
-def hunting(*, runs: Any, jobs: Any, seed: Any, seconds: Any, size: Any, most: Any, out: str) -> int:
+def hunting(
+    *, runs: Any, jobs: Any, seed: Any, seconds: Any, size: Any, most: Any, out: str, more_faults: Any = False
+) -> int:
     """Play many runs; shrink and print those that broke a rule; return the exit code."""
     bad: list[Finding] = []
     runs = _whole(name="runs", value=runs, low=1, high=MOST_RUNS, bad=bad)
     jobs = _whole(name="jobs", value=jobs, low=1, high=MOST_JOBS, bad=bad)
     most = _whole(name="most", value=most, low=1, high=MOST_RUNS, bad=bad)
-    settings = _settings(seed=seed, seconds=seconds, size=size, bad=bad)
+    more_faults = _switch(name="more-faults", value=more_faults)
+    settings = replace(_settings(seed=seed, seconds=seconds, size=size, bad=bad), more_faults=more_faults)
     _refuse(bad=bad)
     from tqdm import tqdm
 
--- /dev/null
+++ b/yarrowloom/simulator/faults/cluster_faults.py
@@ -0,0 +1,131 @@
+"""Faults that hit several machines together, or one machine periodically: disks lost beside a power loss, a core split
+into halves, losses that overlap beyond the budget, and a processor quota.
+
+Each function begins a fault and returns the callback that ends it. What a fault leaves open (which disk, which half,
+when each machine goes and returns) comes from the cluster's own random numbers, so a seed fixes it.
+"""
+
+from collections.abc import Callable
+from functools import partial
+
+from ..faulty_cluster import TroubledSim
+from ..machines.network import Cut
+from ..machines.processor import QUOTA_PERIOD_S, Quota
+from .model import Fault, Role
+
+RETURN_JITTER_S = 0.3  # machines that lost power together return within this long of each other
+TIMER_DELAY_S = 2e-6  # a timer that came due during a pause fires right after it
+
+EndFault = Callable[[], None]
+
+
+def lose_disks(fault: Fault, *, sim: TroubledSim) -> EndFault:
+    """As many core machines as the budget allows lose their disks; at the same moment all others lose power: the core
+    machines, with `all-machines` the edge machines too. All return when the fault ends."""
+    with_edges = fault.where == Role.ALL_MACHINES
+    hit = _running(sim=sim, addresses=[*sim.core_ips, *(sim.edge_ips if with_edges else ())])
+    wiped = _disks_to_lose(sim=sim)
+    for ip in hit:
+        sim.kill(ip=ip, power=True)
+    for ip in wiped:
+        _lose_disk(sim=sim, ip=ip)
+
+    def end() -> None:
+        for ip in hit:
+            sim.at(delay=sim.rng.random() * RETURN_JITTER_S, fn=partial(sim.start, ip=ip))
+
+    return end
+
+
+def split_core(fault: Fault, *, sim: TroubledSim) -> EndFault:
+    """Half of the core machines are cut off from the other half; all other machines, minions, callers and operators
+    reach both halves."""
+    half = frozenset(sim.rng.sample(sim.core_ips, len(sim.core_ips) // 2))
+    sim.note(who="fault", text=f"one half: {', '.join(sorted(half))}")
+    return sim.isolate(cut=Cut(inside=half, others=frozenset(sim.core_ips) - half))
+
+
+def overlapping_losses(fault: Fault, *, sim: TroubledSim) -> EndFault:
+    """Each core machine goes down in the first half of the fault and returns in the second, so that all are down at its
+    middle; as many as the budget allows lose their disks, the others are killed or lose power."""
+    running = _running(sim=sim, addresses=sim.core_ips)
+    wiped = _disks_to_lose(sim=sim)
+    middle_s = fault.for_s / 2
+    for ip in running:
+        power = sim.rng.random() < 0.5
+        down_s, up_s = sim.rng.uniform(0.0, middle_s), sim.rng.uniform(middle_s, fault.for_s)
+        sim.at(delay=down_s, fn=partial(_take_down, sim=sim, ip=ip, power=power, lose_disk=ip in wiped))
+        sim.at(delay=up_s, fn=partial(sim.start, ip=ip))
+    return lambda: None
+
+
+def limit_processor(fault: Fault, *, sim: TroubledSim) -> EndFault:
+    """A quota: in each tenth of a second a process runs at full speed until it has spent its share (`strength`), then
+    not at all. Where the cluster charges no processor time, a process is taken to spend its share at the beginning of
+    each period."""
+    ips = list(sim.core_ips) if fault.where == Role.ALL_CORES else [_address(sim=sim, name=fault.where)]
+    if sim.speed:
+        return _charge_quota(sim=sim, ips=ips, share=fault.strength)
+    until_s = sim.now + fault.for_s
+    for ip in ips:
+        _begin_period(sim=sim, ip=ip, share=fault.strength, until_s=until_s)
+    return lambda: None
+
+
+def _charge_quota(*, sim: TroubledSim, ips: list[str], share: float) -> EndFault:
+    """Let a quota slow what steps take, as counted by the cluster."""
+    quotas = {ip: Quota(share=share) for ip in ips}
+    sim.quotas.update(quotas)
+
+    def end() -> None:
+        for ip, quota in quotas.items():
+            if sim.quotas.get(ip) is quota:
+                del sim.quotas[ip]
+
+    return end
+
+
+def _begin_period(*, sim: TroubledSim, ip: str, share: float, until_s: float) -> None:
+    """One period of a quota, and the next one after it."""
+    if sim.now >= until_s:
+        return
+    running_s = share * QUOTA_PERIOD_S
+    sim.at(delay=running_s, fn=partial(_pause, sim=sim, ip=ip, seconds=QUOTA_PERIOD_S - running_s))
+    sim.at(delay=QUOTA_PERIOD_S, fn=partial(_begin_period, sim=sim, ip=ip, share=share, until_s=until_s))
+
+
+def _pause(*, sim: TroubledSim, ip: str, seconds: float) -> None:
+    """The quota is spent: the process stands still, unless it does so already."""
+    process = sim.procs[ip]
+    if seconds <= 0.0 or not process.up or sim.now < process.frozen_till:
+        return
+    sim.freeze(ip=ip, seconds=seconds)
+    sim.at(delay=seconds + TIMER_DELAY_S, fn=lambda: sim.step(ip, process, process.node.tick))
+
+
+def _running(*, sim: TroubledSim, addresses: list[str]) -> list[str]:
+    return [ip for ip in addresses if sim.procs[ip].up]
+
+
+def _disks_to_lose(*, sim: TroubledSim) -> list[str]:
+    """Running core machines, drawn by lot, as many as may lose their disks at once."""
+    running = _running(sim=sim, addresses=sim.core_ips)
+    return sim.rng.sample(running, min(sim.losses, len(running)))
+
+
+def _take_down(*, sim: TroubledSim, ip: str, power: bool, lose_disk: bool) -> None:
+    if sim.procs[ip].up:
+        sim.kill(ip=ip, power=power or lose_disk)
+    if lose_disk:
+        _lose_disk(sim=sim, ip=ip)
+
+
+def _lose_disk(*, sim: TroubledSim, ip: str) -> None:
+    sim.wipe(ip=ip)
+    sim.note(who=ip, text="the disk is lost")
+
+
+def _address(*, sim: TroubledSim, name: str) -> str:
+    """The address of the node that stands at a name, `core-1` or `edge-0`."""
+    role, _, number = name.partition("-")
+    return (sim.core_ips if role == Role.CORE else sim.edge_ips)[int(number)]
--- a/yarrowloom/simulator/faults/generator.py
+++ b/yarrowloom/simulator/faults/generator.py
@@ -3,12 +3,15 @@
 import random
 from dataclasses import dataclass
 
-from .model import Fault, FaultKind
+from .model import MORE_KINDS, Fault, FaultKind
 
 CATCH_UP_S = 4.0  # a machine counts as lost for so long after its return
 FIRST_S = 1.0  # no fault comes sooner
+RECOVERY_S = 12.0  # after losses beyond the budget no disk is lost sooner than this after all machines are back
 ALL_DOWN_CHANCE = 0.3
 CUTS = (FaultKind.CUT, FaultKind.CUT_IN, FaultKind.CUT_OUT)
+DISK_LOSSES = (FaultKind.LOSE_DISK, FaultKind.REPLACE)
+QUOTA_SHARES = (0.3, 0.5, 0.7)
 
 # What makes a core machine count as lost: kind, relative frequency, shortest and longest time, strengths to draw from.
 _LOST: tuple[tuple[FaultKind, int, float, float, tuple[float, ...]], ...] = (
@@ -58,6 +61,43 @@
     return tuple(sorted(faults, key=lambda f: (f.at_s, f.where, f.kind)))
 
 
+def draw_more(*, seed: int, shape: Shape) -> tuple[Fault, ...]:
+    """The faults that `draw` gives for a seed, with one of those kinds beside them that it never draws.
+
+    No disk is lost near a fault that takes more core machines away than the budget allows, so that no more disks are
+    lost together than it allows; losses of other kinds may overlap.
+
+    >>> shape = Shape(cores=3, edges=1, minions=9, losses=1, seconds=30.0)
+    >>> len([f for f in draw_more(seed=5, shape=shape) if f.kind in MORE_KINDS])
+    1
+    """
+    rng = random.Random(f"more faults {seed}")
+    more = _more(rng=rng, shape=shape)
+    usual = draw(seed=seed, shape=shape)
+    kept = [f for f in usual if f.kind not in DISK_LOSSES or not _disks_clash(loss=f, more=more)]
+    return tuple(sorted([*kept, more], key=lambda f: (f.at_s, f.where, f.kind)))
+
+
+def _more(*, rng: random.Random, shape: Shape) -> Fault:
+    """One fault that `draw` never draws."""
+    kind = rng.choice(MORE_KINDS)
+    if kind is FaultKind.CPU_QUOTA:
+        share = rng.choice(QUOTA_SHARES)
+        return Fault(kind=kind, at_s=0.0, for_s=shape.seconds, where="all-cores", strength=share)
+    at_s = _time(rng=rng, low=FIRST_S, high=max(FIRST_S, shape.seconds - 6.0))
+    longest_s = 2.0 if kind is FaultKind.LOSE_DISKS else 6.0
+    for_s = _time(rng=rng, low=0.5, high=longest_s)
+    where = rng.choice(["all-machines", "all-cores"]) if kind is FaultKind.LOSE_DISKS else "all-cores"
+    return Fault(kind=kind, at_s=at_s, for_s=for_s, where=where)
+
+
+def _disks_clash(*, loss: Fault, more: Fault) -> bool:
+    """Whether a lost disk may not have been replaced when further machines go."""
+    if more.kind is FaultKind.CPU_QUOTA:
+        return False
+    return loss.at_s < more.end_s + RECOVERY_S and more.at_s < loss.end_s + CATCH_UP_S
+
+
 def _time(*, rng: random.Random, low: float, high: float) -> float:
     return round(rng.uniform(low, high), 2)
 
--- a/yarrowloom/simulator/faults/injector.py
+++ b/yarrowloom/simulator/faults/injector.py
@@ -12,6 +12,7 @@
 from ..machines.process import Disk
 from ..worker import Worker
 from ..workload import Day
+from .cluster_faults import limit_processor, lose_disks, overlapping_losses, split_core
 from .model import Fault, FaultKind
 
 RESET_S = 0.01  # what is on its way when connections are reset is lost
@@ -55,6 +56,10 @@
             FaultKind.GREY: partial(self._sick, how="grey"),
             FaultKind.CRAWL: self._crawl,
             FaultKind.DRAIN: self._drain,
+            FaultKind.LOSE_DISKS: partial(lose_disks, sim=sim),
+            FaultKind.SPLIT: partial(split_core, sim=sim),
+            FaultKind.OVERLAPPING_LOSSES: partial(overlapping_losses, sim=sim),
+            FaultKind.CPU_QUOTA: partial(limit_processor, sim=sim),
         }
 
     def plan(self, *, faults: tuple[Fault, ...]) -> None:
--- a/yarrowloom/simulator/faults/model.py
+++ b/yarrowloom/simulator/faults/model.py
@@ -41,6 +41,10 @@
     GREY = "grey"
     CRAWL = "crawl"
     DRAIN = "drain"
+    LOSE_DISKS = "lose-disks"
+    SPLIT = "split"
+    OVERLAPPING_LOSSES = "overlapping-losses"
+    CPU_QUOTA = "cpu-quota"
 
 
 class Role(StrEnum):
@@ -50,6 +54,7 @@
     EDGE = "edge"
     MINION = "minion"
     ALL_CORES = "all-cores"
+    ALL_MACHINES = "all-machines"
     LINKS = "links"
 
 
@@ -93,12 +98,20 @@
     FaultKind.GREY: Rule(roles=(Role.MINION,)),
     FaultKind.CRAWL: Rule(roles=(Role.MINION,), low=0.01, high=1.0),
     FaultKind.DRAIN: Rule(roles=(Role.MINION,)),
+    FaultKind.LOSE_DISKS: Rule(roles=(Role.ALL_MACHINES, Role.ALL_CORES)),
+    FaultKind.SPLIT: Rule(roles=(Role.ALL_CORES,)),
+    FaultKind.OVERLAPPING_LOSSES: Rule(roles=(Role.ALL_CORES,)),
+    FaultKind.CPU_QUOTA: Rule(roles=(*_NODES, Role.ALL_CORES), low=0.05, high=1.0),
 }
 
+# Not drawn for a seed by itself, only on request: see `draw_more` in generator.py.
+MORE_KINDS = (FaultKind.LOSE_DISKS, FaultKind.SPLIT, FaultKind.OVERLAPPING_LOSSES, FaultKind.CPU_QUOTA)
+
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Fault:
-    """One thing that goes wrong. `where`: a name (`core-0`, `edge-1`, `minion-2`, `all-cores`, `links`) or a link."""
+    """One thing that goes wrong. `where`: a name (`core-0`, `edge-1`, `minion-2`, `all-cores`, `all-machines`, `links`)
+    or a link."""
 
     kind: FaultKind
     at_s: float
@@ -133,7 +146,7 @@
     >>> role_of(name="core-12"), role_of(name="all-cores"), role_of(name="core-x")
     (<Role.CORE: 'core'>, <Role.ALL_CORES: 'all-cores'>, None)
     """
-    if name in (Role.ALL_CORES, Role.LINKS):
+    if name in (Role.ALL_CORES, Role.ALL_MACHINES, Role.LINKS):
         return Role(name)
     hit = re.fullmatch(r"(core|edge|minion)-(0|[1-9]\d{0,3})", name)
     return Role(hit.group(1)) if hit else None
--- a/yarrowloom/simulator/machines/machine_set.py
+++ b/yarrowloom/simulator/machines/machine_set.py
@@ -20,7 +20,7 @@
 from ..digest import RunDigest
 from ..errors import SimError
 from .process import Disk, Proc
-from .processor import Meter, cost
+from .processor import Meter, Quota, cost
 
 PORTS = (7000, 7015)
 BUSY = 20_000  # no cluster of the tests' size has so many events in 10 ms
@@ -48,6 +48,7 @@
         self.speed = speed
         self.losses = losses
         self.meter = Meter()
+        self.quotas: dict[str, Quota] = {}  # by machine; only where processor time is charged
         self.rng = random.Random(seed)
         self.now = 100.0
         self.wall0 = 1_700_000_000.0
@@ -260,7 +261,8 @@
             self.step(ip, proc, lambda: None)
             self._go(ip, proc)
 
-        self.at(delay=spent, fn=end)
+        quota = self.quotas.get(ip)
+        self.at(delay=spent if quota is None else quota.delay(now=self.now, work_s=spent), fn=end)
 
     def step(self, ip: str, proc: Proc, fn: Callable[[], None]) -> None:
         """Give a process one input and carry out what it wants."""
--- a/yarrowloom/simulator/run.py
+++ b/yarrowloom/simulator/run.py
@@ -6,7 +6,7 @@
 from .digest import RunDigest
 from .errors import SimError
 from .events import Check, Story
-from .faults.generator import Shape, draw
+from .faults.generator import Shape, draw, draw_more
 from .faults.injector import Injector
 from .faults.model import Fault
 from .faulty_cluster import TroubledSim
@@ -25,12 +25,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Settings:
-    """What fixes a run. Without `faults` they are drawn from the seed."""
+    """What fixes a run. Without `faults` they are drawn from the seed; with `more_faults` also of the kinds that are
+    not drawn as a rule."""
 
     seed: int = 1
     seconds: float = 30.0
     size: int = 3
     faults: tuple[Fault, ...] | None = None
+    more_faults: bool = False
 
     @property
     def shape(self) -> Shape:
@@ -45,7 +47,9 @@
 
     def planned(self) -> tuple[Fault, ...]:
         """The faults of the run."""
-        return draw(seed=self.seed, shape=self.shape) if self.faults is None else self.faults
+        if self.faults is not None:
+            return self.faults
+        return (draw_more if self.more_faults else draw)(seed=self.seed, shape=self.shape)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
