--- a/tests/storage/test_writer.py
+++ b/tests/storage/test_writer.py
@@ -1,7 +1,7 @@
 """The node's writer on a disk that refuses or hangs: each batch takes effect once, and the journal holds it once."""
 
 import errno
-import time
+import threading
 from typing import Any
 
 import pytest
@@ -13,6 +13,7 @@
 from yarrowloom.storage import Ring, Verdict
 
 BATCHES = 5
+HANG_MOST_S = 20.0
 
 
 def entry(number: int) -> bytes:
@@ -69,9 +70,16 @@
 
 
 def test_a_disk_that_hangs_holds_up_effects_and_nothing_else() -> None:
-    disk = SimDisk(wait=time.sleep)
+    """The disk hangs until other tasks have had their turns; were they held up, it would come back first."""
+    hangs, may_return = threading.Event(), threading.Event()
+
+    def hang(_: float) -> None:
+        hangs.set()
+        may_return.wait(HANG_MOST_S)
+
+    disk = SimDisk(wait=hang)
     shell = start_node(disk=disk)
-    disk.troubles = [Trouble(operation=Operation.SYNC_DATA, stall_s=0.3)]
+    disk.troubles = [Trouble(operation=Operation.SYNC_DATA, stall_s=HANG_MOST_S)]
     shell.post = lambda **_: None  # type: ignore[method-assign]
     turns = 0
 
@@ -81,12 +89,12 @@
             nursery.start_soon(shell.writer)
             shell.disk.append((entry(0), (0,)))
             shell.dirty.set()
-            while disk.stalled_s == 0:
-                await trio.sleep(0.01)
+            assert await trio.to_thread.run_sync(hangs.wait, HANG_MOST_S)
             for _ in range(10):
                 await trio.sleep(0.01)
                 turns += 1
             assert disk.unsynced_writes()
+            may_return.set()
             nursery.cancel_scope.cancel()
 
     trio.run(main)
--- a/tests/transport/test_listener.py
+++ b/tests/transport/test_listener.py
@@ -2,6 +2,8 @@
 
 import errno
 import socket
+import struct
+import time
 from functools import partial
 
 import pytest
@@ -10,6 +12,7 @@
 from yarrowloom.transport import listener as accept
 
 RUSH = 300
+QUEUED_MOST_S = 10.0
 
 
 class Refusing:
@@ -25,8 +28,22 @@
         raise OSError(code, "refused")
 
 
+def waiting(*, listener: socket.socket) -> int:
+    """How many connections the system keeps until they are accepted."""
+    info = listener.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 28)
+    (count,) = struct.unpack_from("=I", info, 24)  # of a listening socket, `tcpi_unacked` is this
+    assert isinstance(count, int)
+    return count
+
+
 def dialled(*, listener: socket.socket, count: int) -> list[socket.socket]:
-    return [socket.create_connection(listener.getsockname()) for _ in range(count)]
+    """Connections that wait to be accepted. A client's `connect` may return a moment before the listener has it."""
+    clients = [socket.create_connection(listener.getsockname()) for _ in range(count)]
+    until = time.monotonic() + QUEUED_MOST_S
+    while waiting(listener=listener) < count:
+        assert time.monotonic() < until
+        time.sleep(0.001)
+    return clients
 
 
 def test_as_many_are_accepted_at_once_as_wait_up_to_a_bound() -> None:
