--- a/docs/experiments/growth_collapse.py
+++ b/docs/experiments/growth_collapse.py
@@ -195,7 +195,7 @@
     take = Replica.take
 
     def taken(self: Replica, *, why: str, avoid: str = "", stay: bool = False) -> None:
-        EVENTS.append((sim.now, self.hub.uid.split(":")[0], f"campaign group={self.g} why={why}"))
+        EVENTS.append((sim.now, self.hub.uid.split(":")[0], f"campaign group={self.group_id} why={why}"))
         take(self, why=why, avoid=avoid, stay=stay)
 
     Replica.take = taken  # type: ignore[method-assign]
--- a/docs/experiments/growth_recover.py
+++ b/docs/experiments/growth_recover.py
@@ -50,15 +50,15 @@
     boot = (time.process_time() - cpu) / len(sim.core_ips)
     listen(sim)
     STATE["on"] = True
-    back, acc, seen = sim.now, len(oracle.accepted), {m.mid: set(m.top.items()) for m in fleet}
+    back, acc, seen = sim.now, len(oracle.accepted), {m.minion_id: set(m.top.items()) for m in fleet}
     marks: dict[str, float] = {}
     cpu = time.process_time()
     while sim.now - back < limit and time.process_time() - cpu < most and len(marks) < 6:
         sim.run(seconds=0.05)
         at = sim.now - back
-        if sim.serving(g=0):
+        if sim.serving(group_id=0):
             marks.setdefault("group 0 serves", at)
-        if sim.serving(g=1):
+        if sim.serving(group_id=1):
             marks.setdefault("jobs serve", at)
         if len(oracle.accepted) > acc:
             marks.setdefault("first job accepted", at)
@@ -66,7 +66,7 @@
         met = sum(bool(m.met) for ip in sim.core_ips for m in sim.core(ip).agent.minions.values())
         if links >= 0.95 * minions and met >= 0.95 * minions:
             marks.setdefault("95% of the minions attached", at)
-        if any(set(m.top.items()) - seen[m.mid] for m in fleet):
+        if any(set(m.top.items()) - seen[m.minion_id] for m in fleet):
             marks.setdefault("first start", at)
         if sum(len(m.running) for m in fleet) > minions * 0.9:
             marks.setdefault("minions busy again", at)
--- a/docs/experiments/growth_state.py
+++ b/docs/experiments/growth_state.py
@@ -40,11 +40,11 @@
         "deps": [],
     }
     for i in range(live + ended):
-        jid = f"{i:016x}"
+        job_id = f"{i:016x}"
         jobs.apply(
             {
                 "t": "job",
-                "id": jid,
+                "id": job_id,
                 "j": {
                     "spec": "x" * 150,
                     "steps": [step],
@@ -61,14 +61,14 @@
         jobs.apply(
             {
                 "t": "start",
-                "id": jid,
+                "id": job_id,
                 "u": "0.0",
                 "x": [[k, 1, f"10.20.{(i + k) % 200}.{k % 200}:31000"] for k in range(tasks)],
             }
         )
         if i >= live:
             for k in range(tasks):
-                jobs.apply({"t": "end", "id": jid, "u": "0.0", "i": k, "run": 1, "how": "done", "v": "", "mt": 2})
+                jobs.apply({"t": "end", "id": job_id, "u": "0.0", "i": k, "run": 1, "how": "done", "v": "", "mt": 2})
     return jobs
 
 
--- a/docs/experiments/recover.py
+++ b/docs/experiments/recover.py
@@ -80,13 +80,13 @@
     """Play on and take note of what happens when."""
     sim, minions = scene.sim, len(scene.fleet)
     accepted, done = len(scene.oracle.accepted), len(scene.oracle.done)
-    runs = {minion.mid: dict(minion.top) for minion in scene.fleet}
+    runs = {minion.minion_id: dict(minion.top) for minion in scene.fleet}
     while sim.now - scene.back < for_s:
         sim.run(seconds=LOOK_S)
-        scene.mark(event="both groups serve", seen=bool(sim.serving(g=0) and sim.serving(g=1)))
+        scene.mark(event="both groups serve", seen=bool(sim.serving(group_id=0) and sim.serving(group_id=1)))
         scene.mark(event="all edges ready", seen=all(sim.procs[ip].node.ready() for ip in sim.edge_ips))  # type: ignore[union-attr]
         scene.mark(event="first job accepted", seen=len(scene.oracle.accepted) > accepted)
-        scene.mark(event="first start", seen=any(dict(minion.top) != runs[minion.mid] for minion in scene.fleet))
+        scene.mark(event="first start", seen=any(dict(minion.top) != runs[minion.minion_id] for minion in scene.fleet))
         scene.mark(event="95% attached", seen=scene.attached() >= ATTACHED_SHARE * minions)
     accepted, done = len(scene.oracle.accepted) - accepted, len(scene.oracle.done) - done
     times = ", ".join(f"{event} {at:.2f}" for event, at in sorted(scene.marks.items(), key=lambda row: row[1]))
--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -31,8 +31,8 @@
     def trusted(self) -> bool:
         return self.trust
 
-    def primary(self, *, g: int) -> tuple[str, int] | None:
-        return f"p{g}", 1
+    def primary(self, *, group_id: int) -> tuple[str, int] | None:
+        return f"p{group_id}", 1
 
     def evacuated(self, *, site: str) -> bool:
         return site in self.shut
@@ -46,8 +46,8 @@
     def note(self, *, event: str, **fields: object) -> None:
         pass
 
-    def gone(self, *, mid: str, fence: int) -> None:
-        self.lost.append(mid)
+    def gone(self, *, minion_id: str, fence: int) -> None:
+        self.lost.append(minion_id)
 
     def last(self, kind: Kind) -> dict[str, Any]:
         return [b for _, k, b in self.sent if k is kind][-1]
@@ -65,19 +65,19 @@
         self.agent = Agent(hub=self.hub, hold_ms=4000, stop_ms=400, lag_ms=1400)
         self.cap = cap
         self.seq = 0
-        self.agent.own(mid="i", fence=5, info={})
+        self.agent.own(minion_id="i", fence=5, info={})
         self.beat()
         assert orjson.loads(self.hub.answers[1].body)["fence-no"] == 5
         assert "started" not in orjson.loads(self.hub.answers[1].body)
         self.beat()
-        self.attach(g=1)
-        self.attach(g=2)
+        self.attach(group_id=1)
+        self.attach(group_id=2)
 
     def beat(self, *, running: list[Any] | None = None, ends: list[Any] | None = None, state: str = "ready") -> Any:
         self.seq += 1
         cpu, mem, gpu = self.cap
         self.agent.beat(
-            mid="i",
+            minion_id="i",
             call=self.seq,
             doc={
                 "backend": "s",
@@ -102,14 +102,14 @@
             self.agent.tick()
         raise AssertionError("never answered")
 
-    def attach(self, *, g: int, x: list[Any] | None = None, seq: int = 1, n: int = 1) -> None:
-        self.agent.attach(uid=f"p{g}", b={"g": g, "n": n, "seq": seq, "m": "i", "f": 5, "x": x or []})
+    def attach(self, *, group_id: int, x: list[Any] | None = None, seq: int = 1, n: int = 1) -> None:
+        self.agent.attach(uid=f"p{group_id}", b={"g": group_id, "n": n, "seq": seq, "m": "i", "f": 5, "x": x or []})
 
-    def ask(self, *, g: int, n: int = 1, cpu: int = 1000, gpu: int = 0) -> list[Any]:
+    def ask(self, *, group_id: int, n: int = 1, cpu: int = 1000, gpu: int = 0) -> list[Any]:
         self.agent.lease(
-            uid=f"p{g}",
+            uid=f"p{group_id}",
             b={
-                "g": g,
+                "g": group_id,
                 "rid": 1,
                 "svc": "s",
                 "cpu": cpu,
@@ -126,10 +126,17 @@
         rows: list[Any] = self.hub.last(Kind.GRANT)["x"]
         return rows
 
-    def order(self, *, lid: int, g: int = 2, task: str = TASK, run: int = 1, n: int = 1, seq: int = 1) -> None:
+    def order(
+        self, *, lease_id: int, group_id: int = 2, task: str = TASK, run: int = 1, n: int = 1, seq: int = 1
+    ) -> None:
         self.agent.order(
-            uid=f"p{g}",
-            b={"g": g, "n": n, "sp": {task.split(".")[0]: "spec"}, "x": [["i", seq, lid, task, run, "", 500]]},
+            uid=f"p{group_id}",
+            b={
+                "g": group_id,
+                "n": n,
+                "sp": {task.split(".")[0]: "spec"},
+                "x": [["i", seq, lease_id, task, run, "", 500]],
+            },
         )
 
 
@@ -138,49 +145,52 @@
     rig = Rig()
     held: list[tuple[int, int, int, int]] = []
     for _ in range(400):
-        g = rng.randint(1, 2)
+        group_id = rng.randint(1, 2)
         if held and rng.random() < 0.45:
-            owner, lid, *_ = held.pop(rng.randrange(len(held)))
-            rig.agent.giveback(b={"g": owner, "x": [["i", lid]]})
+            owner, lease_id, *_ = held.pop(rng.randrange(len(held)))
+            rig.agent.giveback(b={"g": owner, "x": [["i", lease_id]]})
         else:
             cpu, gpu = rng.choice([500, 1500, 3000]), rng.choice([0, 0, 1])
-            held += [(g, lid, cpu, gpu) for lid, _, _ in rig.ask(g=g, n=rng.randint(1, 3), cpu=cpu, gpu=gpu)]
-        assert len({lid for _, lid, _, _ in held}) == len(held)
+            held += [
+                (group_id, lease_id, cpu, gpu)
+                for lease_id, _, _ in rig.ask(group_id=group_id, n=rng.randint(1, 3), cpu=cpu, gpu=gpu)
+            ]
+        assert len({lease_id for _, lease_id, _, _ in held}) == len(held)
         assert sum(h[2] for h in held) <= 4000
         assert sum(h[3] for h in held) <= 2
 
 
 def test_order_goes_only_on_a_lease_of_the_newest_attachment() -> None:
     rig = Rig()
-    ((lid, _, _),) = rig.ask(g=2)
-    rig.order(lid=lid + 7)
+    ((lease_id, _, _),) = rig.ask(group_id=2)
+    rig.order(lease_id=lease_id + 7)
     assert rig.hub.last(Kind.NAK)["x"] == [["i", 1, TASK, 1]]
-    rig.order(lid=lid, n=0)
+    rig.order(lease_id=lease_id, n=0)
     assert TASK not in rig.agent.minions["i"].runs
-    rig.order(lid=lid)
+    rig.order(lease_id=lease_id)
     assert rig.beat()["started"] == [[TASK, 1, "spec", ""]]
 
 
 def test_sent_order_survives_a_new_attachment() -> None:
     rig = Rig()
-    ((lid, _, _),) = rig.ask(g=2)
-    rig.order(lid=lid)
+    ((lease_id, _, _),) = rig.ask(group_id=2)
+    rig.order(lease_id=lease_id)
     assert "started" in rig.beat()
-    rig.attach(g=2, seq=2, x=[[TASK, 1, 1000, 10, 0, 500]])
+    rig.attach(group_id=2, seq=2, x=[[TASK, 1, 1000, 10, 0, 500]])
     assert rig.hub.last(Kind.VERDICT)["x"] == []
 
 
 def test_unlisted_order_of_a_former_agent_never_started() -> None:
     rig = Rig()
-    rig.attach(g=2, seq=2, x=[[TASK, 1, 1000, 10, 0, 500]])
+    rig.attach(group_id=2, seq=2, x=[[TASK, 1, 1000, 10, 0, 500]])
     assert rig.hub.last(Kind.VERDICT)["x"] == [[TASK, 1]]
 
 
 def test_stopped_order_that_was_not_carried_out_is_sent_back() -> None:
     """Once it hung for ever: neither sent again nor stopped, and its gang waited."""
     rig = Rig()
-    ((lid, _, _),) = rig.ask(g=2)
-    rig.order(lid=lid)
+    ((lease_id, _, _),) = rig.ask(group_id=2)
+    rig.order(lease_id=lease_id)
     assert "started" in rig.beat()
     rig.agent.stop(b={"g": 2, "x": [["i", TASK, 1]]})
     rig.beat()
@@ -190,8 +200,8 @@
 
 def test_end_is_noted_only_when_its_group_has_it() -> None:
     rig = Rig()
-    ((lid, _, _),) = rig.ask(g=2)
-    rig.order(lid=lid)
+    ((lease_id, _, _),) = rig.ask(group_id=2)
+    rig.order(lease_id=lease_id)
     rig.beat()
     rig.beat(running=[[TASK, 1, "", 50]])
     assert rig.beat(ends=[[1, TASK, 1, "done", ""]])["last-seen"] == 0
@@ -203,8 +213,8 @@
 def test_nothing_starts_on_a_draining_or_evacuated_minion_or_without_trust() -> None:
     for how in ("drain", "evac", "trust"):
         rig = Rig()
-        ((lid, _, _),) = rig.ask(g=2)
-        rig.order(lid=lid)
+        ((lease_id, _, _),) = rig.ask(group_id=2)
+        rig.order(lease_id=lease_id)
         if how == "evac":
             rig.hub.shut.add("z")
         if how == "trust":
@@ -213,7 +223,7 @@
         assert "started" not in out
         if how != "trust":
             assert rig.hub.last(Kind.NAK)["x"][0][2] == TASK
-            assert rig.ask(g=1) == []
+            assert rig.ask(group_id=1) == []
 
 
 def test_silent_minion_is_lost_only_after_its_longest_hold() -> None:
@@ -226,8 +236,8 @@
     assert rig.hub.now - heard >= 4.0 * 1.02
     assert rig.hub.last(Kind.LOST)["m"] == "i"
     assert rig.hub.lost == []
-    for g in (1, 2):
-        rig.agent.lostok(b={"g": g, "m": "i", "f": 5})
+    for group_id in (1, 2):
+        rig.agent.lostok(b={"g": group_id, "m": "i", "f": 5})
     rig.agent.tick()
     assert rig.hub.lost == ["i"]
 
--- a/tests/agent/test_draining_minions.py
+++ b/tests/agent/test_draining_minions.py
@@ -12,8 +12,8 @@
 
 def running(rig: Rig) -> list[Any]:
     """A task is started on the minion; what its beats list from now on."""
-    (lid, _, _), *_ = rig.ask(g=2)
-    rig.order(lid=lid)
+    (lease_id, _, _), *_ = rig.ask(group_id=2)
+    rig.order(lease_id=lease_id)
     assert rig.beat()["started"][0][0] == TASK
     rows = [[TASK, 1, "", 10]]
     rig.beat(running=rows)
@@ -25,13 +25,13 @@
     rig = Rig()
     rows = running(rig)
     for n in range(2):  # sent again after a lost answer
-        rig.agent.leave(mid="i", call=f"delete-{n}")
+        rig.agent.leave(minion_id="i", call=f"delete-{n}")
     minion = rig.agent.minions["i"]
     for percent in range(20, 90, 10):
         rig.hub.now += 0.5
         rows[0][3] = percent
         rig.beat(running=rows)
-        assert minion.phase is Phase.KNOWN and rig.ask(g=2) == []
+        assert minion.phase is Phase.KNOWN and rig.ask(group_id=2) == []
     rig.beat(ends=[[1, TASK, 1, "done", ""]])
     assert rig.hub.last(Kind.ENDS)["x"] == [[1, TASK, 1, "done", ""]]
     assert not any(kind is Kind.LOST for _, kind, _ in rig.hub.sent)
@@ -46,7 +46,7 @@
     rig = Rig()
     rows = running(rig)
     rig.beat(running=rows, state="draining")
-    rig.agent.leave(mid="i", call="delete")
+    rig.agent.leave(minion_id="i", call="delete")
     left = rig.hub.now
     while rig.agent.minions["i"].phase is not Phase.LOST:
         rig.hub.now += 0.05
@@ -56,9 +56,9 @@
 
 def test_a_late_beat_after_the_delete_makes_the_minion_no_candidate_again() -> None:
     rig = Rig()
-    rig.agent.leave(mid="i", call="delete")
+    rig.agent.leave(minion_id="i", call="delete")
     rig.beat()
-    assert rig.agent.minions["i"].draining and rig.ask(g=2) == []
+    assert rig.agent.minions["i"].draining and rig.ask(group_id=2) == []
     rig.seq -= 1  # an earlier call that comes late
     rig.beat()
-    assert rig.agent.minions["i"].draining and rig.ask(g=2) == []
+    assert rig.agent.minions["i"].draining and rig.ask(group_id=2) == []
--- a/tests/cluster_state/test_operator_requests_cluster.py
+++ b/tests/cluster_state/test_operator_requests_cluster.py
@@ -15,7 +15,7 @@
 def cluster(*, seed: int, cores: int = 3, losses: int = 1) -> Sim:
     """A cluster with configuration 1 in force."""
     sim = Sim(seed=seed, cores=cores, losses=losses)
-    assert sim.until(cond=lambda: bool(sim.serving(g=0)), limit=10.0)
+    assert sim.until(cond=lambda: bool(sim.serving(group_id=0)), limit=10.0)
     sim.run(seconds=2.0)
     assert send(sim, ip=sim.core_ips[0], base=0, body=orjson.dumps(config(version=1)))[0] == 200
     sim.run(seconds=0.5)
@@ -41,8 +41,8 @@
 
 
 def primary(sim: Sim) -> str:
-    assert sim.until(cond=lambda: bool(sim.serving(g=0)), limit=20.0)
-    return sim.serving(g=0)[0]
+    assert sim.until(cond=lambda: bool(sim.serving(group_id=0)), limit=20.0)
+    return sim.serving(group_id=0)[0]
 
 
 def others(sim: Sim, ip: str) -> list[str]:
--- a/tests/integration/test_cluster.py
+++ b/tests/integration/test_cluster.py
@@ -11,59 +11,59 @@
 TASK: dict[str, Any] = {"task-count": 3, "cpus": 1000, "mem-mb": 100, "estimate-ms": 500}
 
 
-def finish(sim: Sim, oracle: Oracle, caller: SimCaller, jids: list[str], limit: float = 60.0) -> None:
+def finish(sim: Sim, oracle: Oracle, caller: SimCaller, job_ids: list[str], limit: float = 60.0) -> None:
     """All accepted jobs complete and no rule is broken."""
-    left = list(jids)
+    left = list(job_ids)
     end = sim.now + limit
     while left and sim.now < end:
-        left = [j for j in left if caller.state(jid=j)[1] not in ("complete", "failed", "cancelled")]
+        left = [j for j in left if caller.state(job_id=j)[1] not in ("complete", "failed", "cancelled")]
         sim.run(seconds=0.5)
     assert oracle.broken == []
-    assert left == [], [(j, caller.state(jid=j)) for j in left]
+    assert left == [], [(j, caller.state(job_id=j)) for j in left]
 
 
 def test_quiet_jobs_complete() -> None:
     sim, oracle, caller, _ = cluster(seed=1)
-    jids = [caller.submit(stages=[TASK, {**TASK, "depends-on": [0]}]) for _ in range(10)]
-    finish(sim, oracle, caller, jids)
+    job_ids = [caller.submit(stages=[TASK, {**TASK, "depends-on": [0]}]) for _ in range(10)]
+    finish(sim, oracle, caller, job_ids)
     assert len(oracle.accepted) == 10
-    assert all(caller.state(jid=j) == (200, "complete") for j in jids)
+    assert all(caller.state(job_id=j) == (200, "complete") for j in job_ids)
 
 
 def test_gang_runs_together() -> None:
     sim, oracle, caller, _ = cluster(seed=2)
-    jids = [caller.submit(stages=[{**TASK, "task-count": 5, "cpus": 3000, "gang": True}]) for _ in range(3)]
-    finish(sim, oracle, caller, jids)
+    job_ids = [caller.submit(stages=[{**TASK, "task-count": 5, "cpus": 3000, "gang": True}]) for _ in range(3)]
+    finish(sim, oracle, caller, job_ids)
 
 
 def test_same_id_is_one_job_and_unknown_is_gone() -> None:
     sim, oracle, caller, _ = cluster(seed=3)
-    jid = caller.submit(stages=[TASK])
+    job_id = caller.submit(stages=[TASK])
     sim.run(seconds=1.0)
-    doc = oracle.jobs[jid]
-    caller._send(jid=jid, queue="fast", doc=doc, left=0)
-    finish(sim, oracle, caller, [jid])
-    assert caller.state(jid="0123456789abcdef") == (410, None)
+    doc = oracle.jobs[job_id]
+    caller._send(job_id=job_id, queue="fast", doc=doc, left=0)
+    finish(sim, oracle, caller, [job_id])
+    assert caller.state(job_id="0123456789abcdef") == (410, None)
     assert sim.ask(ip=sim.edge_ips[0], method="GET", path="/none/", headers={"host": "h.example"})[0] == 404
 
 
 def test_cancel_stops() -> None:
     sim, oracle, caller, fleet = cluster(seed=4, work=30.0)
-    jid = caller.submit(stages=[{**TASK, "long-running": True}])
+    job_id = caller.submit(stages=[{**TASK, "long-running": True}])
     sim.run(seconds=2.0)
     assert sum(len(m.running) for m in fleet) == 3
-    assert caller.cancel(jid=jid) == 200
+    assert caller.cancel(job_id=job_id) == 200
     sim.run(seconds=4.0)
     assert sum(len(m.running) for m in fleet) == 0
-    assert caller.state(jid=jid) == (200, "cancelled")
+    assert caller.state(job_id=job_id) == (200, "cancelled")
     assert oracle.broken == []
 
 
 def test_failing_job_ends_failed_within_budget() -> None:
     sim, oracle, caller, _ = cluster(seed=5, fail=1.0)
-    jid = caller.submit(stages=[TASK])
-    finish(sim, oracle, caller, [jid])
-    assert caller.state(jid=jid) == (200, "failed")
+    job_id = caller.submit(stages=[TASK])
+    finish(sim, oracle, caller, [job_id])
+    assert caller.state(job_id=job_id) == (200, "failed")
 
 
 def storm(sim: Sim, fleet: list[SimMinion], kind: str) -> None:
@@ -92,7 +92,7 @@
     elif kind == "minion-cut":
         for m in sim.rng.sample(fleet, 2):
             for other in ips:
-                sim.cut(a=m.mid, b=other, one_way=sim.rng.random() < 0.4)
+                sim.cut(a=m.minion_id, b=other, one_way=sim.rng.random() < 0.4)
         sim.at(delay=sim.rng.choice([3.0, 9.0]), fn=sim.heal)
     elif kind == "minion-crash":
         live = [m for m in fleet if m.up]
@@ -127,31 +127,31 @@
 @pytest.mark.parametrize("seed", [11, 12, 13])
 def test_rules_hold_through(kind: str, seed: int) -> None:
     sim, oracle, caller, fleet = cluster(seed=seed * 100 + KINDS.index(kind), minions=8, edges=2)
-    jids = []
+    job_ids = []
     for i in range(24):
         shape: list[dict[str, Any]] = [{**TASK, "task-count": 4}, {**TASK, "task-count": 2, "depends-on": [0]}]
         if i % 5 == 0:
             shape = [{**TASK, "task-count": 3, "cpus": 3000, "gang": True}]
-        jids.append(caller.submit(stages=shape))
+        job_ids.append(caller.submit(stages=shape))
         sim.run(seconds=0.15)
         if i == 8:
             storm(sim, fleet, kind)
     sim.run(seconds=8.0)
-    finish(sim, oracle, caller, [j for j in jids if j in oracle.accepted], limit=90.0)
-    lost = [j for j in oracle.accepted if caller.state(jid=j)[0] != 200]
+    finish(sim, oracle, caller, [j for j in job_ids if j in oracle.accepted], limit=90.0)
+    lost = [j for j in oracle.accepted if caller.state(job_id=j)[0] != 200]
     assert lost == []
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_two_losses_one_after_the_other(seed: int) -> None:
     sim, oracle, caller, fleet = cluster(seed=900 + seed, minions=6)
-    jids = []
+    job_ids = []
     for _ in range(2):
-        jids += [caller.submit(stages=[TASK]) for _ in range(6)]
+        job_ids += [caller.submit(stages=[TASK]) for _ in range(6)]
         sim.run(seconds=0.7)
         storm(sim, fleet, sim.rng.choice(["wipe", "power", "freeze", "kill"]))
         sim.run(seconds=9.0)
-    finish(sim, oracle, caller, [j for j in jids if j in oracle.accepted], limit=90.0)
+    finish(sim, oracle, caller, [j for j in job_ids if j in oracle.accepted], limit=90.0)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -161,8 +161,8 @@
         storm(sim, fleet, kind)
         for _ in range(200):
             sim.run(seconds=0.05)
-            for g in range(JOB_GROUPS + 1):
-                assert len(sim.serving(g=g)) <= 1
+            for group_id in range(JOB_GROUPS + 1):
+                assert len(sim.serving(group_id=group_id)) <= 1
 
 
 def test_planned_replacement_then_a_lost_disk() -> None:
@@ -178,7 +178,9 @@
     sim.wipe(ip=spare)
     for ip in (sim.core_ips[0], sim.core_ips[2], spare):
         sim.boot(ip=ip)
-    assert sim.until(cond=lambda: all(len(sim.serving(g=g)) == 1 for g in range(JOB_GROUPS + 1)), limit=10.0)
+    assert sim.until(
+        cond=lambda: all(len(sim.serving(group_id=group_id)) == 1 for group_id in range(JOB_GROUPS + 1)), limit=10.0
+    )
     finish(sim, oracle, caller, [caller.submit(stages=[TASK])])
 
 
@@ -186,7 +188,7 @@
 def test_restart_of_all_after_a_seed_has_a_new_identity(cores: int) -> None:
     """Without members to read yet, a backup must not copy to uids that the seeds no longer have."""
     sim, oracle, caller, _ = cluster(seed=43 + cores, cores=cores)
-    jid = caller.submit(stages=[TASK])
+    job_id = caller.submit(stages=[TASK])
     sim.run(seconds=3.0)
     for ip in sim.core_ips[:2]:
         sim.kill(ip=ip, power=True)
@@ -195,35 +197,37 @@
         sim.boot(ip=ip)
         sim.run(seconds=8.0)
     for _ in range(2):
-        primary = sim.serving(g=0)[0]
+        primary = sim.serving(group_id=0)[0]
         for ip in sim.core_ips:
             sim.kill(ip=ip, power=True)
         sim.wipe(ip=primary)
         for ip in sim.core_ips:
             sim.boot(ip=ip)
-        assert sim.until(cond=lambda: all(len(sim.serving(g=g)) == 1 for g in range(JOB_GROUPS + 1)), limit=8.0)
+        assert sim.until(
+            cond=lambda: all(len(sim.serving(group_id=group_id)) == 1 for group_id in range(JOB_GROUPS + 1)), limit=8.0
+        )
         sim.run(seconds=6.0)
-    finish(sim, oracle, caller, [jid, caller.submit(stages=[TASK])])
+    finish(sim, oracle, caller, [job_id, caller.submit(stages=[TASK])])
     assert sim.ask(ip=sim.core_ips[0], method="GET", path="/config")[1]["config-version"] == 3
 
 
 def test_beyond_the_most_jobs_in_hand_is_refused_at_once_and_never_runs(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("yarrowloom.scheduling.job_queue.LIVE_MOST", 3)
     sim, oracle, caller, _ = cluster(seed=51, work=3.0)
-    jids = []
+    job_ids = []
     for _ in range(6):
-        jids.append(caller.submit(stages=[TASK]))
+        job_ids.append(caller.submit(stages=[TASK]))
         sim.run(seconds=0.3)
     assert len(oracle.accepted) == 3 and len(oracle.refused) == 3
-    finish(sim, oracle, caller, [j for j in jids if j in oracle.accepted])
-    assert all(caller.state(jid=j)[0] == 410 for j in oracle.refused)
+    finish(sim, oracle, caller, [j for j in job_ids if j in oracle.accepted])
+    assert all(caller.state(job_id=j)[0] == 410 for j in oracle.refused)
 
 
 def test_a_gangs_room_is_free_as_soon_as_it_ends() -> None:
     """Leases of a gang went back before their ends were acknowledged, were not taken, and lay idle for 3 s."""
     sim, oracle, caller, _ = cluster(seed=61, minions=3, work=0.5)
     wide = [{**TASK, "task-count": 3, "cpus": 4000, "gang": True}]
-    jids = [caller.submit(stages=wide) for _ in range(4)]
+    job_ids = [caller.submit(stages=wide) for _ in range(4)]
     begun = sim.now
-    finish(sim, oracle, caller, jids)
+    finish(sim, oracle, caller, job_ids)
     assert sim.now - begun < 4 * 2.0
--- a/tests/integration/test_fault_days.py
+++ b/tests/integration/test_fault_days.py
@@ -131,7 +131,7 @@
             day.sim.cut(a=a, b=b)
     for m in lost:
         for b in big:
-            day.sim.cut(a=m.mid, b=b)
+            day.sim.cut(a=m.minion_id, b=b)
     day.sim.at(delay=9.0, fn=day.sim.heal)
     load(day=day, seconds=11.0, more=1.5)
     day.finish()
--- a/tests/integration/test_found_faults.py
+++ b/tests/integration/test_found_faults.py
@@ -17,7 +17,7 @@
         day.job(task(n=3))
         day.sim.run(seconds=0.5)
     day.finish()
-    assert [j for j in day.jids if day.judge.shows[j] == "failed"] == []
+    assert [j for j in day.job_ids if day.judge.shows[j] == "failed"] == []
 
 
 def test_one_minion_that_fails_all_does_not_fail_jobs_under_load() -> None:
@@ -26,7 +26,7 @@
     day.fleet[3].sick = "grey"
     load(day=day, seconds=10.0, more=1.5)
     day.finish()
-    assert [j for j in day.jids if day.judge.shows.get(j) == "failed"] == []
+    assert [j for j in day.job_ids if day.judge.shows.get(j) == "failed"] == []
 
 
 def test_a_gang_with_anti_affinity_starts() -> None:
--- a/tests/integration/test_large_clusters.py
+++ b/tests/integration/test_large_clusters.py
@@ -27,10 +27,12 @@
     room = Room()
     for i in range(minions):
         cap = Size(32_000, 131_072, 8)
-        mid = f"m{i}"
+        minion_id = f"m{i}"
         labels = ("a", f"r{i // RACK}")
-        room.attach(spot=Spot(mid=mid, agent="a", fence=1, seq=i, svc="s", site="z", labels=labels, cap=cap))
-        free: list[int | str] = [mid, rng.choice([rng.randint(0, 9000), 12_000]), rng.randint(0, 80_000), 2]
+        room.attach(
+            spot=Spot(minion_id=minion_id, agent="a", fence=1, seq=i, svc="s", site="z", labels=labels, cap=cap)
+        )
+        free: list[int | str] = [minion_id, rng.choice([rng.randint(0, 9000), 12_000]), rng.randint(0, 80_000), 2]
         room.report(uid="a", rows=[free], shut=[], now=1.0)
     return room
 
@@ -84,18 +86,18 @@
     asked it again and again for as long as its rows counted."""
     sim, oracle, caller, _ = cluster(seed=3101, cores=7, edges=2, minions=21)
     sim.run(seconds=4.0)
-    serving = {ip for g in range(2) for ip in sim.serving(g=g)}
+    serving = {ip for group_id in range(2) for ip in sim.serving(group_id=group_id)}
     epochs = [rep.epoch for ip in serving for rep in sim.core(ip).reps.values() if rep.epoch is not None]
     holders = {backup.split(":")[0] for epoch in epochs for backup in epoch["b"]}
     cut = next(ip for ip in sim.core_ips if ip not in serving | holders and sim.core(ip).agent.minions)
     silenced(sim=sim, ip=cut)
-    placer = sim.core(sim.serving(g=1)[0]).placers[1]
-    jids = [caller.submit(stages=[STEP]) for _ in range(12)]
+    placer = sim.core(sim.serving(group_id=1)[0]).placers[1]
+    job_ids = [caller.submit(stages=[STEP]) for _ in range(12)]
     sim.run(seconds=1.2)
     assert placer.room.of[sim.uids[cut]] and not any(
-        placer.room.spots[mid].open for mid in placer.room.of[sim.uids[cut]]
+        placer.room.spots[minion_id].open for minion_id in placer.room.of[sim.uids[cut]]
     )
-    assert sim.until(cond=lambda: all(caller.state(jid=j) == (200, "complete") for j in jids), limit=5.0)
+    assert sim.until(cond=lambda: all(caller.state(job_id=j) == (200, "complete") for j in job_ids), limit=5.0)
     sim.heal()
     sim.run(seconds=8.0)
     assert oracle.broken == []
@@ -105,17 +107,17 @@
     """It waited until the minion counted as lost, which takes a whole hold."""
     rig = Rig()
     rig.beat()  # answered: the next beat is due
-    (lid, _, _), *_ = rig.ask(g=2)
-    rig.order(lid=lid)
+    (lease_id, _, _), *_ = rig.ask(group_id=2)
+    rig.order(lease_id=lease_id)
     began = rig.hub.now
     while not any(kind is Kind.NAK for _, kind, _ in rig.hub.sent):
         rig.hub.now += 0.05
         rig.agent.tick()
         assert rig.hub.now - began < 2.5  # a hold is 4 s
     assert rig.hub.last(Kind.NAK)["x"] == [["i", 1, TASK, 1]]
-    assert rig.agent.minions["i"].runs == {} and rig.ask(g=2) == []
+    assert rig.agent.minions["i"].runs == {} and rig.ask(group_id=2) == []
     assert "started" not in rig.beat()  # and it does not go out after all
-    assert rig.ask(g=2) != [] and JOB in TASK
+    assert rig.ask(group_id=2) != [] and JOB in TASK
 
 
 # -- what every change and every heartbeat cost
@@ -124,16 +126,16 @@
 def test_a_change_of_idle_queues_moves_no_group() -> None:
     """Every group that waited was ranked anew at each configuration: 120 ms at 3,000 groups."""
     sim, oracle, caller, _ = cluster(seed=3102, minions=3)
-    jids = [caller.submit(stages=[{**STEP, "task-count": 30}], queue="slow") for _ in range(4)]
+    job_ids = [caller.submit(stages=[{**STEP, "task-count": 30}], queue="slow") for _ in range(4)]
     sim.run(seconds=1.0)
-    ip = sim.serving(g=1)[0]
+    ip = sim.serving(group_id=1)[0]
     placer = sim.core(ip).placers[1]
     ranked: list[str] = []
     real = placer.prio
 
-    def prio(*, jid: str, key: str, seen: float) -> Any:
-        ranked.append(jid)
-        return real(jid=jid, key=key, seen=seen)
+    def prio(*, job_id: str, key: str, seen: float) -> Any:
+        ranked.append(job_id)
+        return real(job_id=job_id, key=key, seen=seen)
 
     placer.prio = prio  # type: ignore[method-assign]
     placer.configured()
@@ -142,8 +144,8 @@
     doc["route-table"][1]["rank"] = 0
     sim.core(ip).table = Table(doc=doc)
     placer.configured()
-    waiting = {jid for jid, _ in placer.backlog.groups}
-    assert set(ranked) == waiting <= set(jids) and waiting
+    waiting = {job_id for job_id, _ in placer.backlog.groups}
+    assert set(ranked) == waiting <= set(job_ids) and waiting
     assert {group.rank for group in placer.backlog.groups.values()} == {0}
     assert oracle.broken == []
 
@@ -176,7 +178,7 @@
 
 def test_a_call_that_waited_too_long_is_refused_for_good_unless_a_copy_was_taken() -> None:
     sim, _, _, _ = cluster(seed=3103)
-    node = sim.core(sim.serving(g=1)[0])
+    node = sim.core(sim.serving(group_id=1)[0])
     node.reps[1].commit(ev={"t": "forget", "ids": []})  # an answer must wait for this event
     call = {"rid": 7, "g": 1, "op": "count", "b": {"q": "fast"}}
     edge = "10.0.1.1:7001#ff"
@@ -193,9 +195,9 @@
 def test_a_call_too_late_is_not_refused_if_the_answer_to_its_first_copy_got_lost() -> None:
     """The job runs: a refusal would tell its caller that it never will."""
     sim, oracle, caller, _ = cluster(seed=3104)
-    jid = caller.submit(stages=[STEP])
-    assert sim.until(cond=lambda: jid in oracle.accepted, limit=3.0)
-    node = sim.core(sim.serving(g=1)[0])
+    job_id = caller.submit(stages=[STEP])
+    assert sim.until(cond=lambda: job_id in oracle.accepted, limit=3.0)
+    node = sim.core(sim.serving(group_id=1)[0])
     node.out.sends.clear()
-    node.too_late(uid="10.0.1.1:7001#ff", m={"rid": 9, "g": 1, "op": "put", "b": {"id": jid, "q": "fast"}})
+    node.too_late(uid="10.0.1.1:7001#ff", m={"rid": 9, "g": 1, "op": "put", "b": {"id": job_id, "q": "fast"}})
     assert answers(node=node) == [(9, 200)]
--- a/tests/integration/test_mixed_faults.py
+++ b/tests/integration/test_mixed_faults.py
@@ -45,7 +45,7 @@
     m = some(day)
     for ip in day.sim.core_ips:
         if day.sim.rng.random() < 0.7:
-            day.sim.cut(a=m.mid, b=ip, one_way=day.sim.rng.random() < 0.4)
+            day.sim.cut(a=m.minion_id, b=ip, one_way=day.sim.rng.random() < 0.4)
     day.sim.at(delay=day.sim.rng.choice([2.0, 7.0]), fn=day.sim.heal)
 
 
@@ -107,10 +107,10 @@
         doomed = day.job(task(n=2), queue="slow")
         load(day=day, seconds=1.5)
         day.sim.rng.choice(KINDS)(day)
-        day.client.drop(jid=doomed)
+        day.client.drop(job_id=doomed)
         load(day=day, seconds=1.0)
         day.sim.rng.choice(KINDS)(day)
         day.sim.run(seconds=day.sim.rng.choice([0.5, 2.0, 6.0]))
     day.sim.loss = 0.0
-    day.client.drop(jid=lasting)
+    day.client.drop(job_id=lasting)
     day.finish(limit=90.0)
--- a/tests/integration/test_overload.py
+++ b/tests/integration/test_overload.py
@@ -23,21 +23,21 @@
         self.before = self.state()
         self.unserved: list[float] = []
         self.most = 0
-        self.jids: list[str] = []
+        self.job_ids: list[str] = []
         spent = {ip: sim.procs[ip].spent for ip in sim.core_ips}
         for _ in range(round(BURST_S / 0.1)):
-            self.jids += [caller.submit(stages=[JOB]) for _ in range(round(JOBS_PER_S / 10))]
+            self.job_ids += [caller.submit(stages=[JOB]) for _ in range(round(JOBS_PER_S / 10))]
             self.watch(seconds=0.1)
             self.most = max(self.most, self.waiting())
         self.busiest = max(sim.procs[ip].spent - spent[ip] for ip in sim.core_ips) / BURST_S
 
     def state(self) -> tuple[list[int], dict[str, int], set[str]]:
         """Epochs, fences, minions whose hold ran out."""
-        eps = [self.sim.core(ip).reps[g].epoch for g in range(JOB_GROUPS + 1) for ip in self.sim.core_ips]
+        eps = [self.sim.core(ip).reps[group_id].epoch for group_id in range(JOB_GROUPS + 1) for ip in self.sim.core_ips]
         return (
             [e["n"] for e in eps if e is not None],
-            {m.mid: m.fence for m in self.fleet},
-            {m.mid for m in self.fleet if m.lapsed >= 0},
+            {m.minion_id: m.fence for m in self.fleet},
+            {m.minion_id for m in self.fleet if m.lapsed >= 0},
         )
 
     def waiting(self) -> int:
@@ -48,7 +48,7 @@
         """Time goes on; every group must be served all the while."""
         for _ in range(round(seconds / 0.05)):
             self.sim.run(seconds=0.05)
-            if any(len(self.sim.serving(g=g)) != 1 for g in range(JOB_GROUPS + 1)):
+            if any(len(self.sim.serving(group_id=group_id)) != 1 for group_id in range(JOB_GROUPS + 1)):
                 self.unserved.append(self.sim.now)
 
     def nobody_was_taken_for_dead(self) -> None:
@@ -66,7 +66,7 @@
     burst.watch(seconds=15.0)
     burst.nobody_was_taken_for_dead()
     assert burst.waiting() < 20
-    assert set(burst.jids) == set(oracle.accepted) and len(oracle.done) == 4 * len(burst.jids)
+    assert set(burst.job_ids) == set(oracle.accepted) and len(oracle.done) == 4 * len(burst.job_ids)
 
 
 def test_placing_that_falls_behind_for_want_of_room_harms_nobody_else() -> None:
--- a/tests/integration/test_rules.py
+++ b/tests/integration/test_rules.py
@@ -56,10 +56,10 @@
 
 def test_a_cancelled_job_runs_no_more() -> None:
     day = Day(seed=1006, work=20.0)
-    jids = [day.job(task(n=3, long_running=i == 0), task(n=2, depends_on=[0])) for i in range(4)]
+    job_ids = [day.job(task(n=3, long_running=i == 0), task(n=2, depends_on=[0])) for i in range(4)]
     day.sim.run(seconds=2.0)
-    for jid in jids:
-        day.client.drop(jid=jid)
+    for job_id in job_ids:
+        day.client.drop(job_id=job_id)
     day.sim.run(seconds=6.0)
     day.finish()
     assert set(day.judge.shows.values()) == {"cancelled"}
@@ -67,8 +67,8 @@
 
 def test_a_doomed_job_ends_failed_after_its_tries_and_a_gang_as_one() -> None:
     day = Day(seed=1007)
-    jids = [day.job(task(n=3)), day.job(task(n=3, gang=True))]
-    day.world.doomed |= set(jids)
+    job_ids = [day.job(task(n=3)), day.job(task(n=3, gang=True))]
+    day.world.doomed |= set(job_ids)
     day.finish()
     assert set(day.judge.shows.values()) == {"failed"}
     assert all(len(runs) <= 3 for runs in day.judge.fell.values())
--- a/tests/jobs/test_state_machine.py
+++ b/tests/jobs/test_state_machine.py
@@ -75,11 +75,11 @@
         elif pick < 0.15 and jobs.jobs:
             jobs.apply({"t": "cancel", "id": rng.choice(sorted(jobs.jobs))})
         elif pick < 0.2 and jobs.on:
-            mid = rng.choice(sorted(jobs.on))
-            jobs.apply({"t": "lost", "m": mid, "x": None, "v": {}})
-            assert mid not in jobs.on
+            minion_id = rng.choice(sorted(jobs.on))
+            jobs.apply({"t": "lost", "m": minion_id, "x": None, "v": {}})
+            assert minion_id not in jobs.on
         elif pick < 0.6:
-            for jid, row in list(jobs.jobs.items()):
+            for job_id, row in list(jobs.jobs.items()):
                 if row["st"] in ENDED or rng.random() < 0.5:
                     continue
                 for key, unit in row["u"].items():
@@ -88,20 +88,20 @@
                         continue
                     run = max(unit["r"]) + 1
                     x = [[i, run, f"m{rng.randint(0, 4)}"] for i in range(len(unit["s"]))]
-                    jobs.apply({"t": "start", "id": jid, "u": key, "x": x})
-                    runs.update({(jid, key, i): run for i in range(len(x))})
+                    jobs.apply({"t": "start", "id": job_id, "u": key, "x": x})
+                    runs.update({(job_id, key, i): run for i in range(len(x))})
         elif runs:
-            jid, key, i = rng.choice(sorted(runs))
-            run = runs[jid, key, i] - (rng.random() < 0.2)
+            job_id, key, i = rng.choice(sorted(runs))
+            run = runs[job_id, key, i] - (rng.random() < 0.2)
             how = rng.choice(["done", "done", "failed", "stopped", "lapsed", "broken"])
-            jobs.apply({"t": "end", "id": jid, "u": key, "i": i, "run": run, "how": how, "v": "", "mt": 3})
+            jobs.apply({"t": "end", "id": job_id, "u": key, "i": i, "run": run, "how": how, "v": "", "mt": 3})
             if how == "done":
-                done.add((jid, key, i))
+                done.add((job_id, key, i))
         twin = Jobs()
         twin.load(orjson.loads(orjson.dumps(jobs.dump())))
         assert twin.dump() == jobs.dump()
         assert twin.on == jobs.on
         assert {q: n for q, n in twin.pending.items() if n} == {q: n for q, n in jobs.pending.items() if n}
-    for jid, row in jobs.jobs.items():
+    for job_id, row in jobs.jobs.items():
         if row["st"] == "complete":
-            assert any(k[0] == jid for k in done)
+            assert any(k[0] == job_id for k in done)
--- a/tests/mutants/test_agent_mutants.py
+++ b/tests/mutants/test_agent_mutants.py
@@ -30,9 +30,9 @@
         for _ in range(12):
             day.job(task(n=4, cpus=2000))
             day.sim.run(seconds=0.3)
-            for jid in day.jids[::2]:
-                if jid not in day.judge.asked:
-                    day.client.drop(jid=jid)
+            for job_id in day.job_ids[::2]:
+                if job_id not in day.judge.asked:
+                    day.client.drop(job_id=job_id)
         settle(day=day)
         return day
 
@@ -41,12 +41,12 @@
 
         def stop(self: Agent, *, b: dict[str, Any]) -> None:
             real(self, b=b)
-            for mid, one, run in b["x"]:
-                m = self.minions.get(mid)
+            for minion_id, one, run in b["x"]:
+                m = self.minions.get(minion_id)
                 r = m.runs.get(one) if m is not None else None
                 if m is not None and r is not None and r.run == run:
-                    m.reclaim(lid=r.lid)
-                    self.share.stale.add(mid)  # the placing node is told of the room too
+                    m.reclaim(lease_id=r.lease_id)
+                    self.share.stale.add(minion_id)  # the placing node is told of the room too
 
         p.setattr(Agent, "stop", stop)
 
@@ -99,7 +99,8 @@
         cut = next(
             ip
             for ip in day.sim.core_ips
-            if day.sim.core(ip).agent.minions and not any(ip in day.sim.serving(g=g) for g in (0, 1))
+            if day.sim.core(ip).agent.minions
+            and not any(ip in day.sim.serving(group_id=group_id) for group_id in (0, 1))
         )
         for ip in day.sim.core_ips:
             if ip != cut:
@@ -124,7 +125,7 @@
             for _ in range(8):
                 day.job(task(n=4))
                 day.sim.run(seconds=0.2)
-            main = day.sim.serving(g=1)[0]
+            main = day.sim.serving(group_id=1)[0]
             day.sim.kill(ip=main)
             day.sim.at(delay=1.0, fn=lambda main=main: day.sim.boot(ip=main))  # type: ignore[misc]
             day.sim.run(seconds=2.5)
@@ -145,8 +146,8 @@
     for i in range(4):
         day.job(task(n=3, long_running=i == 0))
     day.sim.run(seconds=2.0)
-    for jid in day.jids:
-        day.client.drop(jid=jid)
+    for job_id in day.job_ids:
+        day.client.drop(job_id=job_id)
     settle(day=day)
     return day
 
--- a/tests/mutants/test_scheduling_mutants.py
+++ b/tests/mutants/test_scheduling_mutants.py
@@ -111,9 +111,9 @@
     def story() -> Day:
         day = Day(seed=4106, work=20.0, sync_s=0.4)
         for _ in range(4):
-            jid = day.job(task(n=3))
-            day.sim.until(cond=lambda jid=jid: jid in day.judge.accepted, limit=6.0)  # type: ignore[misc]
-            day.client.drop(jid=jid)
+            job_id = day.job(task(n=3))
+            day.sim.until(cond=lambda job_id=job_id: job_id in day.judge.accepted, limit=6.0)  # type: ignore[misc]
+            day.client.drop(job_id=job_id)
             day.sim.run(seconds=2.0)
         settle(day=day)
         return day
--- a/tests/mutants/test_state_mutants.py
+++ b/tests/mutants/test_state_mutants.py
@@ -24,9 +24,11 @@
     def out(p: pytest.MonkeyPatch) -> None:
         real = Jobs._units
 
-        def units(self: Jobs, *, jid: str, k: int) -> list[Any]:
-            effs = real(self, jid=jid, k=k)
-            return effs + [("ready", jid, f"{k}.{s}") for s, step in enumerate(self.jobs[jid]["steps"]) if step["deps"]]
+        def units(self: Jobs, *, job_id: str, k: int) -> list[Any]:
+            effs = real(self, job_id=job_id, k=k)
+            return effs + [
+                ("ready", job_id, f"{k}.{s}") for s, step in enumerate(self.jobs[job_id]["steps"]) if step["deps"]
+            ]
 
         p.setattr(Jobs, "_units", units)
 
@@ -39,8 +41,8 @@
 def test_budget_failed_runs_are_counted() -> None:
     def story() -> Day:
         day = Day(seed=4007, tries=2)
-        jids = [day.job(task(n=3)), day.job(task(n=3, gang=True))]
-        day.world.doomed |= set(jids)
+        job_ids = [day.job(task(n=3)), day.job(task(n=3, gang=True))]
+        day.world.doomed |= set(job_ids)
         settle(day=day)
         return day
 
@@ -132,11 +134,11 @@
     def out(p: pytest.MonkeyPatch) -> None:
         real = Jobs._finished
 
-        def finished(self: Jobs, *, jid: str, key: str) -> list[Any]:
-            job = self.jobs[jid]
+        def finished(self: Jobs, *, job_id: str, key: str) -> list[Any]:
+            job = self.jobs[job_id]
             for unit in job["u"].values():
                 unit["left"] = 0
-            return real(self, jid=jid, key=key)
+            return real(self, job_id=job_id, key=key)
 
         p.setattr(Jobs, "_finished", finished)
 
@@ -182,13 +184,13 @@
 
 def busiest(*, day: Day) -> Worker:
     """The minion that runs the most, of those in good order."""
-    return max((m for m in day.fleet if m.up and m.state == "ready"), key=lambda m: (len(m.running), m.mid))
+    return max((m for m in day.fleet if m.up and m.state == "ready"), key=lambda m: (len(m.running), m.minion_id))
 
 
 def gang_holder(*, day: Day, gangs: set[str]) -> Worker:
     """The minion that runs the most, of those with a member of one of these gangs: its crash breaks the others."""
     rows = [m for m in day.fleet if m.up and any(task.split(".", 1)[0] in gangs for task in m.running)]
-    return max(rows, key=lambda m: (len(m.running), m.mid))
+    return max(rows, key=lambda m: (len(m.running), m.minion_id))
 
 
 def losses() -> Day:
@@ -215,7 +217,7 @@
     """Leases are granted, but the orders on them get lost: those starts never were."""
     day = Day(seed=4015, work=1.0, minions=10, tries=1)
     day.judge.trouble(seconds=5.0)
-    home = day.sim.serving(g=1)[0]
+    home = day.sim.serving(group_id=1)[0]
     for i in range(12):
         day.job(task(n=3))
         day.sim.run(seconds=0.004)
--- a/tests/node/test_busy_process.py
+++ b/tests/node/test_busy_process.py
@@ -17,43 +17,43 @@
 def epochs(sim: Sim) -> list[int]:
     """The newest number of each group."""
     out = []
-    for g in range(JOB_GROUPS + 1):
-        known = [e["n"] for ip in sim.core_ips if (e := sim.core(ip).reps[g].epoch) is not None]
+    for group_id in range(JOB_GROUPS + 1):
+        known = [e["n"] for ip in sim.core_ips if (e := sim.core(ip).reps[group_id].epoch) is not None]
         out.append(max(known))
     return out
 
 
 @pytest.mark.parametrize("g", range(JOB_GROUPS + 1))
 @pytest.mark.parametrize("seconds", [0.85, 1.15])
-def test_a_primary_that_stood_still_asks_its_backup_before_it_replaces_it(g: int, seconds: float) -> None:
+def test_a_primary_that_stood_still_asks_its_backup_before_it_replaces_it(group_id: int, seconds: float) -> None:
     sim, oracle, caller, _ = cluster(seed=91)
-    before, ip = epochs(sim), sim.serving(g=g)[0]
+    before, ip = epochs(sim), sim.serving(group_id=group_id)[0]
     for _ in range(4):
         caller.submit(stages=[{"task-count": 2, "cpus": 100, "mem-mb": 10}])
         sim.freeze(ip=ip, seconds=seconds)
         sim.run(seconds=seconds + 1.5)
-        assert sim.serving(g=g) == [ip]
-    assert epochs(sim)[g] == before[g] and oracle.broken == []
+        assert sim.serving(group_id=group_id) == [ip]
+    assert epochs(sim)[group_id] == before[group_id] and oracle.broken == []
     assert epochs(sim) == before or seconds > DOUBT_S  # as a backup of another group it was replaced
 
 
 def test_all_that_stood_still_together_go_on_as_before() -> None:
     sim, oracle, caller, fleet = cluster(seed=92)
     before = epochs(sim)
-    jids = [caller.submit(stages=[{"task-count": 2, "cpus": 100, "mem-mb": 10}]) for _ in range(3)]
+    job_ids = [caller.submit(stages=[{"task-count": 2, "cpus": 100, "mem-mb": 10}]) for _ in range(3)]
     sim.run(seconds=1.0)
     for ip in sim.core_ips:
         sim.freeze(ip=ip, seconds=2.5)
     sim.run(seconds=6.0)
-    owners = {row["o"] for row in sim.core(sim.serving(g=0)[0]).reg.minions.values()}
+    owners = {row["o"] for row in sim.core(sim.serving(group_id=0)[0]).reg.minions.values()}
     assert epochs(sim) == before and len(owners) == 3
-    assert all(caller.state(jid=j) == (200, "complete") for j in jids) and oracle.broken == []
+    assert all(caller.state(job_id=j) == (200, "complete") for j in job_ids) and oracle.broken == []
 
 
 def test_a_short_absence_of_a_witness_costs_no_campaign() -> None:
     sim, _, _, _ = cluster(seed=93, cores=6)
     sim.run(seconds=8.0)
-    e = [sim.core(sim.core_ips[0]).reps[g].epoch for g in range(JOB_GROUPS + 1)]
+    e = [sim.core(sim.core_ips[0]).reps[group_id].epoch for group_id in range(JOB_GROUPS + 1)]
     busy = {u for x in e if x is not None for u in (x["p"], *x["b"])}
     kept = {u for x in e if x is not None for u in x["w"]}
     idle = next(ip for ip in sim.core_ips if sim.uids[ip] in kept - busy)
@@ -75,9 +75,9 @@
 
     sim, oracle, caller, _ = cluster(seed=94, cores=5)
     sim.run(seconds=8.0)
-    jid = caller.submit(stages=[{"task-count": 2, "cpus": 100, "mem-mb": 10}])
+    job_id = caller.submit(stages=[{"task-count": 2, "cpus": 100, "mem-mb": 10}])
     sim.run(seconds=2.0)
-    ip = sim.serving(g=1)[0]
+    ip = sim.serving(group_id=1)[0]
     before = epochs(sim)[1]
     monkeypatch.setattr(ballot, "encode", count)
     sent = tap(sim)
@@ -91,8 +91,8 @@
     assert mine and 2 <= len(tried) <= 7 and len({s[2]["tag"] for s in tried}) == 1
     assert len(made) <= 4  # of each group's two campaigners, one each
     sim.heal()
-    assert sim.until(cond=lambda: len(sim.serving(g=1)) == 1, limit=8.0)
-    assert caller.state(jid=jid) == (200, "complete") and oracle.broken == []
+    assert sim.until(cond=lambda: len(sim.serving(group_id=1)) == 1, limit=8.0)
+    assert caller.state(job_id=job_id) == (200, "complete") and oracle.broken == []
 
 
 def tap(sim: Sim) -> list[tuple[str, Kind | None, Any]]:
@@ -112,5 +112,5 @@
     sim, _, caller, _ = cluster(seed=95)
     caller.submit(stages=[{"task-count": 2, "cpus": 100, "mem-mb": 10}])
     sim.run(seconds=2.0)
-    jobs = sim.core(sim.serving(g=1)[0]).jobs[1]
+    jobs = sim.core(sim.serving(group_id=1)[0]).jobs[1]
     assert decode(text=encode(state=jobs)) == decode(text=jobs.dump()) == jobs.dump()
--- a/tests/node/test_call_identity.py
+++ b/tests/node/test_call_identity.py
@@ -23,7 +23,7 @@
         now=sim.now,
         log=Log(name="t", level="error"),
     )
-    node.learn(eps=[[g, e] for g, e in sim.core(sim.serving(g=0)[0]).eps.items()])
+    node.learn(eps=[[group_id, e] for group_id, e in sim.core(sim.serving(group_id=0)[0]).eps.items()])
     node.now = sim.now
     return node
 
@@ -38,7 +38,7 @@
 
 def answered(sim: Sim, *, uid: str, m: dict[str, Any]) -> tuple[str, dict[str, Any]]:
     """What the primary of group 0 answers a call: who and what."""
-    primary = sim.core(sim.serving(g=0)[0])
+    primary = sim.core(sim.serving(group_id=0)[0])
     got: list[dict[str, Any]] = []
     real = primary.send
 
@@ -60,7 +60,7 @@
 
 
 def ask(node: CoreNode) -> dict[str, Any]:
-    node.calls.start(g=0, op="getconf", b={}, done=("http", 1), ttl=3.0)
+    node.calls.start(group_id=0, op="getconf", b={}, done=("http", 1), ttl=3.0)
     return asked(node)[1]
 
 
--- a/tests/node/test_call_repeats.py
+++ b/tests/node/test_call_repeats.py
@@ -32,14 +32,14 @@
     return got
 
 
-def owner_of(sim: Sim, *, mid: str) -> CoreNode:
-    return next(sim.core(ip) for ip in sim.core_ips if mid in sim.core(ip).agent.minions)
+def owner_of(sim: Sim, *, minion_id: str) -> CoreNode:
+    return next(sim.core(ip) for ip in sim.core_ips if minion_id in sim.core(ip).agent.minions)
 
 
 @pytest.mark.parametrize("op", ["leave", "beat"])
 def test_a_call_for_the_agent_of_a_node_that_is_gone_is_not_carried_out_by_its_successor(op: str) -> None:
     sim, _, _, _ = cluster(seed=501)
-    node = owner_of(sim, mid="i-0")
+    node = owner_of(sim, minion_id="i-0")
     gone = node.uid.split("#")[0] + "#before"
     m = {"rid": 5, "to": gone, "g": -1, "op": op, "b": {"m": "i-0", "d": {}}}
     assert answers(sim, node, m=m) == [(503, {})]
@@ -49,7 +49,7 @@
 def test_a_node_that_does_not_hold_a_minion_does_not_say_that_it_has_left() -> None:
     """It answered 200: the minion ended, and its agent went on to wait for it."""
     sim, _, _, _ = cluster(seed=502)
-    owner = owner_of(sim, mid="i-0")
+    owner = owner_of(sim, minion_id="i-0")
     other = next(sim.core(ip) for ip in sim.core_ips if sim.core(ip) is not owner)
     m = {"rid": 6, "to": other.uid, "g": -1, "op": "leave", "b": {"m": "i-0"}}
     assert answers(sim, other, m=m) == [(503, {})]
@@ -57,7 +57,7 @@
 
 def test_a_minion_leaves_through_any_node_and_its_agent_knows() -> None:
     sim, _, _, fleet = cluster(seed=503)
-    owner = owner_of(sim, mid="i-0")
+    owner = owner_of(sim, minion_id="i-0")
     for ip in sim.core_ips:
         status, _ = sim.ask(ip=ip, method="DELETE", path="/minions/i-0")
         assert status == 200
@@ -67,10 +67,10 @@
 def test_only_nodes_that_were_asked_answer_a_minion_that_leaves() -> None:
     """The primary of group 0 handed the call on, and a third node answered it."""
     sim, _, _, _ = cluster(seed=504)
-    primary = sim.core(sim.serving(g=0)[0])
-    mid = next(m for ip in sim.core_ips if sim.core(ip) is not primary for m in sim.core(ip).agent.minions)
-    got = answers(sim, primary, m={"rid": 7, "to": primary.uid, "g": 0, "op": "leave", "b": {"m": mid}})
-    assert got == [(200, {"o": owner_of(sim, mid=mid).uid})]
+    primary = sim.core(sim.serving(group_id=0)[0])
+    minion_id = next(m for ip in sim.core_ips if sim.core(ip) is not primary for m in sim.core(ip).agent.minions)
+    got = answers(sim, primary, m={"rid": 7, "to": primary.uid, "g": 0, "op": "leave", "b": {"m": minion_id}})
+    assert got == [(200, {"o": owner_of(sim, minion_id=minion_id).uid})]
     got = answers(sim, primary, m={"rid": 8, "to": primary.uid, "g": 0, "op": "leave", "b": {"m": "i-unknown"}})
     assert got == [(200, {})]
 
@@ -78,35 +78,35 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_a_job_that_is_handed_in_again_after_a_change_of_primary_is_one_job(seed: int) -> None:
     sim, oracle, caller, _ = cluster(seed=510 + seed)
-    jid = caller.submit(stages=[dict(STEP)])
-    assert sim.until(cond=lambda: jid in oracle.accepted, limit=3.0)
-    node = sim.core(sim.serving(g=1)[0])
-    row = dict(node.jobs[1].jobs[jid])
-    old = sim.serving(g=1)[0]
+    job_id = caller.submit(stages=[dict(STEP)])
+    assert sim.until(cond=lambda: job_id in oracle.accepted, limit=3.0)
+    node = sim.core(sim.serving(group_id=1)[0])
+    row = dict(node.jobs[1].jobs[job_id])
+    old = sim.serving(group_id=1)[0]
     sim.kill(ip=old)
-    assert sim.until(cond=lambda: bool(sim.serving(g=1)), limit=8.0)
-    new = sim.core(sim.serving(g=1)[0])
+    assert sim.until(cond=lambda: bool(sim.serving(group_id=1)), limit=8.0)
+    new = sim.core(sim.serving(group_id=1)[0])
     assert new.uid != node.uid
-    b = {"id": jid, "q": row["q"], "j": {}}
-    for rid in (9, 9, 10):
-        assert answers(sim, new, m={"rid": rid, "to": "", "g": 1, "op": "put", "b": b}) == [(200, {})]
-    other = {"id": jid, "q": "another", "j": {}}
+    b = {"id": job_id, "q": row["q"], "j": {}}
+    for request_id in (9, 9, 10):
+        assert answers(sim, new, m={"rid": request_id, "to": "", "g": 1, "op": "put", "b": b}) == [(200, {})]
+    other = {"id": job_id, "q": "another", "j": {}}
     assert answers(sim, new, m={"rid": 11, "to": "", "g": 1, "op": "put", "b": other}) == [(409, {})]
     sim.run(seconds=6.0)
-    assert caller.state(jid=jid) == (200, "complete") and oracle.broken == []
+    assert caller.state(job_id=job_id) == (200, "complete") and oracle.broken == []
 
 
 def test_a_cancelled_job_stays_so_when_the_call_that_handed_it_in_comes_late() -> None:
     sim, oracle, caller, _ = cluster(seed=520)
-    jid = caller.submit(stages=[{**STEP, "estimate-ms": 60000}])
-    assert sim.until(cond=lambda: jid in oracle.accepted, limit=3.0)
-    node = sim.core(sim.serving(g=1)[0])
-    queue = node.jobs[1].jobs[jid]["q"]
-    b = {"id": jid, "q": queue}
-    for rid in (12, 13):
-        assert answers(sim, node, m={"rid": rid, "to": "", "g": 1, "op": "del", "b": b}) == [(200, {})]
+    job_id = caller.submit(stages=[{**STEP, "estimate-ms": 60000}])
+    assert sim.until(cond=lambda: job_id in oracle.accepted, limit=3.0)
+    node = sim.core(sim.serving(group_id=1)[0])
+    queue = node.jobs[1].jobs[job_id]["q"]
+    b = {"id": job_id, "q": queue}
+    for request_id in (12, 13):
+        assert answers(sim, node, m={"rid": request_id, "to": "", "g": 1, "op": "del", "b": b}) == [(200, {})]
     assert answers(sim, node, m={"rid": 14, "to": "", "g": 1, "op": "put", "b": {**b, "j": {}}}) == [(200, {})]
-    assert node.jobs[1].jobs[jid]["st"] == "cancelled"
+    assert node.jobs[1].jobs[job_id]["st"] == "cancelled"
 
 
 def test_the_end_of_a_minion_told_late_does_not_end_the_one_that_came_back() -> None:
@@ -124,7 +124,7 @@
 
 def test_a_beat_that_comes_again_or_late_changes_nothing() -> None:
     sim, _, _, _ = cluster(seed=530)
-    node = owner_of(sim, mid="i-0")
+    node = owner_of(sim, minion_id="i-0")
     minion = node.agent.minions["i-0"]
     doc = {
         "backend": "svc",
@@ -143,10 +143,11 @@
 
 def test_a_who_call_that_comes_again_gives_one_owner() -> None:
     sim, _, _, _ = cluster(seed=540)
-    primary = sim.core(sim.serving(g=0)[0])
+    primary = sim.core(sim.serving(group_id=0)[0])
     b = {"m": "i-new", "site": "z1", "svc": "svc", "labels": []}
     owners = [
-        answers(sim, primary, m={"rid": rid, "to": primary.uid, "g": 0, "op": "who", "b": b}) for rid in (20, 20, 21)
+        answers(sim, primary, m={"rid": request_id, "to": primary.uid, "g": 0, "op": "who", "b": b})
+        for request_id in (20, 20, 21)
     ]
     assert all(rows == owners[0] and rows[0][0] == 200 for rows in owners)
     fence = primary.reg.minions["i-new"]["f"]
--- a/tests/node/test_config_dissemination.py
+++ b/tests/node/test_config_dissemination.py
@@ -80,10 +80,10 @@
     huge = caller.submit(stages=[{"task-count": 2, "cpus": 64000, "mem-mb": 10}])
     gang = caller.submit(stages=[{"task-count": 90, "cpus": 4000, "mem-mb": 10, "gang": True}])
     sim.run(seconds=1.0)
-    jids = [caller.submit(stages=[{"task-count": 4, "cpus": 2000, "mem-mb": 10}], queue="slow") for _ in range(6)]
+    job_ids = [caller.submit(stages=[{"task-count": 4, "cpus": 2000, "mem-mb": 10}], queue="slow") for _ in range(6)]
     sim.run(seconds=12.0)
-    assert all(caller.state(jid=j, queue="slow") == (200, "complete") for j in jids)
-    assert caller.state(jid=huge) == caller.state(jid=gang) == (200, "pending")
+    assert all(caller.state(job_id=j, queue="slow") == (200, "complete") for j in job_ids)
+    assert caller.state(job_id=huge) == caller.state(job_id=gang) == (200, "pending")
     assert oracle.broken == []
 
 
@@ -91,13 +91,13 @@
     sim, oracle, caller, fleet = cluster(seed=76)
     first = int((sim.wall0 + sim.now + 2.0) * 1000)
     more: dict[str, Any] = {"first-run-ms": first, "period-ms": 3000, "repeat-count": 3}
-    jid = caller.submit(stages=[{"task-count": 1, "cpus": 10, "mem-mb": 1}], **more)
+    job_id = caller.submit(stages=[{"task-count": 1, "cpus": 10, "mem-mb": 1}], **more)
     seen: dict[str, float] = {}
     for _ in range(240):
         sim.run(seconds=0.05)
         for m in fleet:
             for task in m.running:
                 seen.setdefault(task, (sim.wall0 + sim.now) * 1000)
-    assert sorted(seen) == [f"{jid}.{k}.0.0" for k in range(3)]
+    assert sorted(seen) == [f"{job_id}.{k}.0.0" for k in range(3)]
     assert all(-250 <= at - (first + 3000 * int(t.split(".")[1])) < 1500 for t, at in seen.items())
-    assert caller.state(jid=jid) == (200, "complete") and oracle.broken == []
+    assert caller.state(job_id=job_id) == (200, "complete") and oracle.broken == []
--- a/tests/node/test_config_freshness.py
+++ b/tests/node/test_config_freshness.py
@@ -38,8 +38,8 @@
 
 def settled(sim: Sim) -> str:
     """The machine that serves group 0."""
-    assert sim.until(cond=lambda: len(sim.serving(g=0)) == 1 and len(sim.serving(g=1)) == 1, limit=8.0)
-    return sim.serving(g=0)[0]
+    assert sim.until(cond=lambda: len(sim.serving(group_id=0)) == 1 and len(sim.serving(group_id=1)) == 1, limit=8.0)
+    return sim.serving(group_id=0)[0]
 
 
 def bystander(sim: Sim) -> str:
@@ -235,5 +235,5 @@
     status, _ = sim.ask(ip=sim.edge_ips[0], method="POST", path="/x0/00000000000000a1", doc=JOB, headers={"host": HOST})
     assert status in (404, 503)
     assert says(sim, path="/x0/") in (404, 503)
-    jobs = sim.core(sim.serving(g=1)[0]).jobs[1].jobs
+    jobs = sim.core(sim.serving(group_id=1)[0]).jobs[1].jobs
     assert "00000000000000a1" not in jobs
--- a/tests/node/test_config_freshness_core.py
+++ b/tests/node/test_config_freshness_core.py
@@ -65,8 +65,8 @@
         node = sim.core(ip)
         if sim.procs[ip].up:
             node.now = sim.now
-            for mid in node.agent.minions if node.trusted() else ():
-                out.setdefault(mid, []).append(ip)
+            for minion_id in node.agent.minions if node.trusted() else ():
+                out.setdefault(minion_id, []).append(ip)
     return out
 
 
@@ -141,7 +141,7 @@
 
 def test_a_placing_node_that_does_not_reach_the_primary_hears_of_changes_from_others() -> None:
     sim, _, _, _ = cluster(seed=325, cores=5, minions=1)
-    primary, placing = settled(sim), sim.serving(g=1)[0]
+    primary, placing = settled(sim), sim.serving(group_id=1)[0]
     assert primary != placing
     sim.cut(a=primary, b=placing)
     base = 3
@@ -157,7 +157,7 @@
 @pytest.mark.parametrize("cores", [3, 5])
 def test_after_hundreds_of_changes_a_returning_node_is_up_to_date_in_time(cores: int) -> None:
     sim, _, _, _ = cluster(seed=326, cores=cores, edges=3, minions=1)
-    core = bystander(sim) if cores > 3 else next(ip for ip in sim.core_ips if not {ip} & {*sim.serving(g=0)})
+    core = bystander(sim) if cores > 3 else next(ip for ip in sim.core_ips if not {ip} & {*sim.serving(group_id=0)})
     away = [core, sim.edge_ips[0]]
     island(sim, away)
     change(sim, doc=config(version=4, more=50), base=3, away=away)
@@ -234,7 +234,7 @@
 
 
 def _heard(node: EdgeNode) -> dict[str, Any]:
-    node.have["x"] = {**node.mine(), "ep": {str(g): e["n"] for g, e in node.eps.items()}}
+    node.have["x"] = {**node.mine(), "ep": {str(group_id): e["n"] for group_id, e in node.eps.items()}}
     return {}
 
 
@@ -259,26 +259,26 @@
     """Of a job that was accepted where it is not heard of."""
     sim, oracle, _, _ = cluster(seed=328, cores=5, edges=2, minions=2)
     settled(sim)
-    placing = sim.serving(g=1)[0]
+    placing = sim.serving(group_id=1)[0]
     away = [placing, sim.edge_ips[0]]
     island(sim, away, way=way)
     sim.run(seconds=0.5)
-    jid, head, accepted = "00000000000000c1", {"host": HOST}, False
+    job_id, head, accepted = "00000000000000c1", {"host": HOST}, False
     job = {"task-spec": "s", "stages": [{"task-count": 1, "cpus": 10, "mem-mb": 1}]}
-    oracle.jobs[jid] = job
+    oracle.jobs[job_id] = job
     for _ in range(12):
-        accepted = sim.ask(ip=sim.edge_ips[1], method="POST", path=f"/fast/{jid}", doc=job, headers=head)[0] == 200
+        accepted = sim.ask(ip=sim.edge_ips[1], method="POST", path=f"/fast/{job_id}", doc=job, headers=head)[0] == 200
         if accepted:
             break
     assert accepted
     end = sim.now + CUT_S
     while sim.now < end:
-        for method, path in (("GET", f"/fast/{jid}"), ("DELETE", f"/fast/{jid}"), ("POST", f"/slow/{jid}")):
+        for method, path in (("GET", f"/fast/{job_id}"), ("DELETE", f"/fast/{job_id}"), ("POST", f"/slow/{job_id}")):
             doc = job if method == "POST" else None
             status, _ = sim.ask(ip=sim.edge_ips[0], method=method, path=path, doc=doc, headers=head)
             assert status in (503, 504), (method, status)
-        assert sim.ask(ip=placing, method="GET", path=f"/jobs/{jid}")[0] in (0, 307, 503)
+        assert sim.ask(ip=placing, method="GET", path=f"/jobs/{job_id}")[0] in (0, 307, 503)
     sim.heal()
     sim.run(seconds=APPLY_S)
-    assert sim.ask(ip=sim.edge_ips[0], method="GET", path=f"/fast/{jid}", headers=head)[0] == 200
-    assert sim.ask(ip=sim.edge_ips[0], method="POST", path=f"/slow/{jid}", doc=job, headers=head)[0] == 409
+    assert sim.ask(ip=sim.edge_ips[0], method="GET", path=f"/fast/{job_id}", headers=head)[0] == 200
+    assert sim.ask(ip=sim.edge_ips[0], method="POST", path=f"/slow/{job_id}", doc=job, headers=head)[0] == 409
--- a/tests/node/test_controller.py
+++ b/tests/node/test_controller.py
@@ -32,7 +32,7 @@
 
 
 def racks(*, sim: Sim) -> dict[Place, set[str]]:
-    reg = sim.core(sim.serving(g=0)[0]).reg
+    reg = sim.core(sim.serving(group_id=0)[0]).reg
     out: dict[Place, set[str]] = {}
     for row in reg.minions.values():
         out.setdefault(place(row=row), set()).add(row["o"])
@@ -52,12 +52,14 @@
     rng = random.Random(seed)
     reg = Registry()
     for _ in range(300):
-        mids = [f"i-{rng.randrange(40)}" for _ in range(rng.randint(1, 5))]
+        minion_ids = [f"i-{rng.randrange(40)}" for _ in range(rng.randint(1, 5))]
         if rng.random() < 0.7:
             info = {"site": rng.choice("ab"), "svc": "s", "labels": rng.choice([[], ["k"], ["k", "r1"], ["k", "r2"]])}
-            reg.apply({"t": "own", "ms": [[m, rng.choice("xyz"), info if rng.random() < 0.5 else {}] for m in mids]})
+            reg.apply(
+                {"t": "own", "ms": [[m, rng.choice("xyz"), info if rng.random() < 0.5 else {}] for m in minion_ids]}
+            )
         else:
-            reg.apply({"t": "gone", "m": mids[0], "f": rng.choice([0, reg.fence])})
+            reg.apply({"t": "gone", "m": minion_ids[0], "f": rng.choice([0, reg.fence])})
         if rng.random() < 0.05:
             reg.load(reg.dump())
         fresh = Owners(rows=reg.minions)
@@ -85,7 +87,7 @@
     sites = {"a": "z0", "b": "z0"}
     for a, b, some in ((7, 0, False), (40, 31, False), (9, 0, True), (60, 44, True)):
         got = Picker(owners=Owners(rows=rows(a=a, b=b)), sites=sites).uneven(most=16)
-        assert bool(got) is some and all(mid[0] == "a" and to == "b" for mid, to in got)
+        assert bool(got) is some and all(minion_id[0] == "a" and to == "b" for minion_id, to in got)
     assert Picker(owners=Owners(rows=rows(a=60, b=44)), sites={"a": "z0"}).uneven(most=16) == []
 
 
@@ -100,7 +102,7 @@
 
 def test_hearts_of_calm_times_do_not_list_minions() -> None:
     sim, _, _ = settled(n=350, seed=32)
-    primary = sim.core(sim.serving(g=0)[0])
+    primary = sim.core(sim.serving(group_id=0)[0])
     seen: list[int] = []
     for ip in sim.core_ips:
         node = sim.core(ip)
@@ -135,12 +137,12 @@
     if lost == 2:
         gain = [now[u] - even[u] for u in sim.core_ips if u != ip]
         assert sum(gain) == even[ip] and min(gain) >= 12
-    jids = [caller.submit(stages=[TASK]) for _ in range(5)]
+    job_ids = [caller.submit(stages=[TASK]) for _ in range(5)]
     sim.run(seconds=12.0)
     made.clear()
     sim.boot(ip=ip)
     for _ in range(20):
-        jids.append(caller.submit(stages=[{**TASK, "task-count": 12}]))
+        job_ids.append(caller.submit(stages=[{**TASK, "task-count": 12}]))
         sim.run(seconds=1.0)
     after = loads(sim=sim)
     assert max(abs(after[u] - even[u]) for u in even) <= 12 and len(attached(sim=sim)) == 210
@@ -148,7 +150,7 @@
     for at, _ in made:
         assert sum(n for when, n in made if at <= when < at + 1.0) <= 1.0 / chief.EASE_S * chief.EASE + chief.EASE
     sim.run(seconds=5.0)
-    assert all(caller.state(jid=j) == (200, "complete") for j in jids)
+    assert all(caller.state(job_id=j) == (200, "complete") for j in job_ids)
     assert oracle.broken == [] and sim.now > t0
 
 
@@ -156,15 +158,15 @@
     sim, _, _ = settled(n=24, seed=43)
     node = next(sim.core(ip) for ip in sim.core_ips if len(sim.core(ip).agent.minions) >= 5)
     node.now = sim.now
-    mids = sorted(node.agent.minions)[:5]
-    leaving, silent, ordered, lost, well = (node.agent.minions[m] for m in mids)
+    minion_ids = sorted(node.agent.minions)[:5]
+    leaving, silent, ordered, lost, well = (node.agent.minions[m] for m in minion_ids)
     leaving.draining = True
     silent.heard = sim.now - 9.0
-    ordered.runs["t"] = Run(task="t", run=1, g=1, lid=1)
+    ordered.runs["t"] = Run(task="t", run=1, group_id=1, lease_id=1)
     lost.phase = Phase.LOST
-    well.runs["t"] = Run(task="t", run=1, g=1, lid=1, sent=True)
-    node.let_go(mids=[*mids, "i-none"])
-    assert [m in node.agent.minions for m in mids] == [True, True, True, True, False]
+    well.runs["t"] = Run(task="t", run=1, group_id=1, lease_id=1, sent=True)
+    node.let_go(minion_ids=[*minion_ids, "i-none"])
+    assert [m in node.agent.minions for m in minion_ids] == [True, True, True, True, False]
 
 
 def test_moves_of_many_are_cut_into_batches(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -172,7 +174,7 @@
     monkeypatch.setattr(chief, "BATCH", 10)
     made = watch(sim=sim, monkeypatch=monkeypatch)
     held = loads(sim=sim)
-    ip = max((u for u in sim.core_ips if u not in sim.serving(g=0)), key=lambda u: held[u])
+    ip = max((u for u in sim.core_ips if u not in sim.serving(group_id=0)), key=lambda u: held[u])
     had = held[ip]
     sim.kill(ip=ip)
     assert sim.until(cond=lambda: serves(sim=sim) and len(attached(sim=sim)) == 120, limit=8.0)
@@ -184,16 +186,16 @@
 def test_a_restarted_core_gets_new_fences_in_batches_before_its_minions(monkeypatch: pytest.MonkeyPatch) -> None:
     sim, oracle, _ = settled(n=120, seed=42)
     monkeypatch.setattr(chief, "BATCH", 10)
-    ip = next(u for u in sim.core_ips if u not in sim.serving(g=0) and u not in sim.serving(g=1))
-    mids = set(sim.core(ip).agent.minions)
-    before = {m: sim.core(sim.serving(g=0)[0]).reg.minions[m]["f"] for m in mids}
+    ip = next(u for u in sim.core_ips if u not in sim.serving(group_id=0) and u not in sim.serving(group_id=1))
+    minion_ids = set(sim.core(ip).agent.minions)
+    before = {m: sim.core(sim.serving(group_id=0)[0]).reg.minions[m]["f"] for m in minion_ids}
     sim.kill(ip=ip)
     sim.boot(ip=ip)
     assert sim.until(cond=lambda: len(attached(sim=sim)) == 120, limit=6.0)
-    reg = sim.core(sim.serving(g=0)[0]).reg
+    reg = sim.core(sim.serving(group_id=0)[0]).reg
     held = sim.core(ip).agent.minions
-    assert set(held) == mids and len(mids) > 20
-    assert all(held[m].fence == reg.minions[m]["f"] > before[m] for m in mids)
+    assert set(held) == minion_ids and len(minion_ids) > 20
+    assert all(held[m].fence == reg.minions[m]["f"] > before[m] for m in minion_ids)
     assert oracle.broken == []
 
 
@@ -201,7 +203,7 @@
 def test_after_a_herd_kill_all_is_back_soon_however_many_minions(minions: int, monkeypatch: pytest.MonkeyPatch) -> None:
     sim, oracle, caller = settled(n=minions, seed=50 + minions)
     had = loads(sim=sim)
-    jids = [caller.submit(stages=[TASK]) for _ in range(10)]
+    job_ids = [caller.submit(stages=[TASK]) for _ in range(10)]
     sim.run(seconds=0.3)
     made = watch(sim=sim, monkeypatch=monkeypatch)
     for ip in sim.core_ips:
@@ -212,7 +214,7 @@
     assert served <= 1.5 and whole <= 2.5
     assert loads(sim=sim) == had and sum(n for _, n in made) == 0
     sim.run(seconds=8.0)
-    assert all(caller.state(jid=j) == (200, "complete") for j in jids) and oracle.broken == []
+    assert all(caller.state(job_id=j) == (200, "complete") for j in job_ids) and oracle.broken == []
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -226,15 +228,15 @@
         there = sim.rng.choice(list(self.owners.spots.values()))
         was = sim.rng.choice(list(there))
         to = sim.rng.choice(list(self.sites))
-        return [(mid, to) for mid in list(there[was])[:most]] if to != was and was in self.sites else []
+        return [(minion_id, to) for minion_id in list(there[was])[:most]] if to != was and was in self.sites else []
 
     monkeypatch.setattr(Picker, "uneven", uneven)
     made = watch(sim=sim, monkeypatch=monkeypatch)
-    jids = []
+    job_ids = []
     for i in range(40):
         sim.loss = 0.02 if i % 10 < 7 else 0.0
         gang = {"gang": True} if i % 3 == 0 else {}
-        jids.append(caller.submit(stages=[{**TASK, **gang}, {**TASK, "depends-on": [0]}]))
+        job_ids.append(caller.submit(stages=[{**TASK, **gang}, {**TASK, "depends-on": [0]}]))
         if i % 8 == 3:
             ip = sim.rng.choice(sim.core_ips)
             if sim.procs[ip].up and all(p.up for p in sim.procs.values()):
@@ -248,5 +250,5 @@
     monkeypatch.setattr(Picker, "uneven", lambda self, *, most: [])
     sim.run(seconds=15.0)
     assert oracle.broken == [] and sum(n for _, n in made) > 60
-    assert all(caller.state(jid=j)[1] == "complete" for j in jids if j in oracle.accepted)
+    assert all(caller.state(job_id=j)[1] == "complete" for j in job_ids if j in oracle.accepted)
     assert len(attached(sim=sim)) == len(fleet)
--- a/tests/node/test_edge.py
+++ b/tests/node/test_edge.py
@@ -36,17 +36,17 @@
     doc: Any = None,
 ) -> str:
     """Send a call to the first edge; its answer and when it came go to `got` under the job's ID."""
-    jid = f"{n:016x}"
+    job_id = f"{n:016x}"
     sim.http(
         ip=sim.edge_ips[0],
         src="caller",
         method=method,
-        path=f"/fast/{jid}",
+        path=f"/fast/{job_id}",
         doc=(doc or JOB) if method == "POST" else None,
         headers={"host": HOST, "x-deadline-ms": str(deadline)},
-        back=lambda res: got.setdefault(jid, (sim.now, res)) and None,
+        back=lambda res: got.setdefault(job_id, (sim.now, res)) and None,
     )
-    return jid
+    return job_id
 
 
 def test_a_flood_is_turned_away_at_once_and_nothing_of_it_is_sent_on() -> None:
@@ -54,20 +54,20 @@
     cut(sim)
     assert node.hand_most == 512
     got: dict[str, tuple[float, Response]] = {}
-    rid, t0 = node.calls.rid, sim.now
+    request_id, t0 = node.calls.request_id, sim.now
     for n in range(900):
         call(sim, got, n=n)
     sim.run(seconds=0.1)
-    assert len(got) == 900 - 512 and len(node.calls.open) == 512 == node.calls.rid - rid
+    assert len(got) == 900 - 512 and len(node.calls.open) == 512 == node.calls.request_id - request_id
     assert all(r.status == 503 and ("retry-after", "1") in r.headers and at - t0 < 0.05 for at, r in got.values())
     assert sim.ask(ip=sim.edge_ips[0], method="GET", path="/none/", headers={"host": HOST})[0] == 404
     sim.run(seconds=3.0)
     assert len(got) == 900 and not node.calls.open and node.hand == 0
     sim.heal()
     sim.run(seconds=2.0)
-    jid = call(sim, got, n=1000)
+    job_id = call(sim, got, n=1000)
     sim.run(seconds=1.0)
-    assert got[jid][1].status == 200 and node.hand == 0
+    assert got[job_id][1].status == 200 and node.hand == 0
 
 
 def test_large_bodies_in_hand_are_bounded_too() -> None:
@@ -101,25 +101,25 @@
 def test_a_call_that_has_no_time_left_is_refused(deadline: int) -> None:
     sim, node = ready(seed=4)
     got: dict[str, tuple[float, Response]] = {}
-    rid = node.calls.rid
+    request_id = node.calls.request_id
     call(sim, got, n=1, deadline=deadline)
     sim.run(seconds=0.05)
-    assert [r.status for _, r in got.values()] == [503] and node.calls.rid == rid
+    assert [r.status for _, r in got.values()] == [503] and node.calls.request_id == request_id
 
 
 def test_asking_for_a_state_logs_nothing() -> None:
     sim, node = ready(seed=5)
     got: dict[str, tuple[float, Response]] = {}
-    jid = call(sim, got, n=7)
+    job_id = call(sim, got, n=7)
     sim.run(seconds=1.0)
-    primary = sim.core(sim.serving(g=1)[0])
-    applied, rid = primary.reps[1].applied, node.calls.rid
+    primary = sim.core(sim.serving(group_id=1)[0])
+    applied, request_id = primary.reps[1].applied, node.calls.request_id
     for _ in range(50):
         got.clear()
         call(sim, got, n=7, method="GET")
         sim.run(seconds=0.02)
-        assert got[jid][1].status == 200
-    assert primary.reps[1].applied == applied and node.calls.rid == rid + 50
+        assert got[job_id][1].status == 200
+    assert primary.reps[1].applied == applied and node.calls.request_id == request_id + 50
 
 
 def test_an_edge_stays_ready_while_cores_are_busy_and_says_so_when_it_is_cut_off() -> None:
--- a/tests/node/test_recovery.py
+++ b/tests/node/test_recovery.py
@@ -59,8 +59,8 @@
 def states(node: CoreNode) -> dict[int, tuple[int, int, bytes]]:
     """By group: epoch, number of the last event, and the state, of the copies that count."""
     return {
-        g: (rep.base, rep.applied, orjson.dumps(rep.state.dump(), option=orjson.OPT_SORT_KEYS))
-        for g, rep in node.reps.items()
+        group_id: (rep.base, rep.applied, orjson.dumps(rep.state.dump(), option=orjson.OPT_SORT_KEYS))
+        for group_id, rep in node.reps.items()
         if rep.role is not Role.IDLE
     }
 
@@ -83,27 +83,27 @@
         live, again = sim.core(ip), replayed(sim, ip)
         assert again.uid == live.uid, f"journal of {ip} unusable"
         now = states(live)
-        for g, (base, applied, state) in states(again).items():
-            if g in now and now[g][0] == base:
-                assert applied <= now[g][1], (ip, g)
-                assert applied < now[g][1] or state == now[g][2], (ip, g)
+        for group_id, (base, applied, state) in states(again).items():
+            if group_id in now and now[group_id][0] == base:
+                assert applied <= now[group_id][1], (ip, group_id)
+                assert applied < now[group_id][1] or state == now[group_id][2], (ip, group_id)
 
 
 def agree(sim: RingSim) -> None:
     """All copies of one group's newest epoch are equal, and so are those that the journals tell."""
-    for g in (0, 1):
-        primary = sim.core(sim.serving(g=g)[0]).reps[g]
+    for group_id in (0, 1):
+        primary = sim.core(sim.serving(group_id=group_id)[0]).reps[group_id]
         epoch = primary.epoch
         assert epoch is not None
         for uid in (epoch["p"], *epoch["b"]):
             ip = uid.split(":")[0]
-            want = states(sim.core(sim.serving(g=g)[0]))[g]
-            assert states(sim.core(ip))[g] == want, (g, ip)
+            want = states(sim.core(sim.serving(group_id=group_id)[0]))[group_id]
+            assert states(sim.core(ip))[group_id] == want, (group_id, ip)
             again = replayed(sim, ip)
             assert again.uid == sim.uids[ip]
-            rep = again.reps[g]
-            assert (rep.base, rep.applied) == want[:2], (g, ip)
-            assert orjson.dumps(rep.state.dump(), option=orjson.OPT_SORT_KEYS) == want[2], (g, ip)
+            rep = again.reps[group_id]
+            assert (rep.base, rep.applied) == want[:2], (group_id, ip)
+            assert orjson.dumps(rep.state.dump(), option=orjson.OPT_SORT_KEYS) == want[2], (group_id, ip)
 
 
 def old_number(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -123,7 +123,7 @@
 
 def quiet(sim: Sim) -> None:
     """Until no batch is under way and all disks have what was written."""
-    assert sim.until(cond=lambda: all(sim.serving(g=g) for g in (0, 1)), limit=20.0)
+    assert sim.until(cond=lambda: all(sim.serving(group_id=group_id) for group_id in (0, 1)), limit=20.0)
     assert sim.until(
         cond=lambda: all(
             not p.disk and not p.disk_busy and all(r.in_flight is None and not r.queue for r in p.node.reps.values())
@@ -140,20 +140,20 @@
     version = 3
     for turn in range(4):
         version = load(sim, caller, seconds=2.0, version=version)
-        ip = sim.serving(g=turn % 2)[0] if turn < 3 else sim.core_ips[turn % 3]
+        ip = sim.serving(group_id=turn % 2)[0] if turn < 3 else sim.core_ips[turn % 3]
         before = states(sim.core(ip))
         sim.kill(ip=ip, power=power)
         sim.run(seconds=0.3)
         sim.boot(ip=ip)
-        for g, (base, applied, _) in states(sim.core(ip)).items():
-            assert base == before[g][0] and applied <= before[g][1]
+        for group_id, (base, applied, _) in states(sim.core(ip)).items():
+            assert base == before[group_id][0] and applied <= before[group_id][1]
     version = load(sim, caller, seconds=2.0, version=version)
     assert sum(sim.rotations.values()) > 40 and version > 20, (sim.rotations, version)
     sim.run(seconds=8.0)
     quiet(sim)
     agree(sim)
-    assert sim.core(sim.serving(g=0)[0]).reg.stamp == version
-    jobs = sim.core(sim.serving(g=1)[0]).jobs[1].jobs
+    assert sim.core(sim.serving(group_id=0)[0]).reg.stamp == version
+    jobs = sim.core(sim.serving(group_id=1)[0]).jobs[1].jobs
     assert set(oracle.accepted) <= set(jobs) and not oracle.broken
 
 
@@ -184,7 +184,7 @@
     sim, _, caller, _ = cluster(seed=1)
     for _ in range(20):
         caller.submit(stages=STAGES)
-    ip = sim.serving(g=1)[0]
+    ip = sim.serving(group_id=1)[0]
     node = sim.core(ip)
 
     def waits() -> bool:
@@ -244,7 +244,7 @@
 def test_a_node_whose_journal_cannot_be_replayed_says_so_and_is_refilled(seed: int, how: str) -> None:
     sim, oracle, caller, _ = cluster(seed=seed)
     version = load(sim, caller, seconds=2.0, version=3)
-    ip = sim.serving(g=1)[0]
+    ip = sim.serving(group_id=1)[0]
     sim.kill(ip=ip)
     spoil(sim.disks[ip].synced, how=how)
     log = Lines()
@@ -266,15 +266,15 @@
     led: list[int] = []
     for _ in range(40):
         sim.run(seconds=0.1)
-        led += [g for g, rep in node.reps.items() if rep.serving() and rep.applied < 1]
+        led += [group_id for group_id, rep in node.reps.items() if rep.serving() and rep.applied < 1]
     assert not led
     version = load(sim, caller, seconds=2.0, version=version)
     sim.run(seconds=6.0)
     assert sim.procs[ip].up and sim.core(ip) is node
-    members = sim.core(sim.serving(g=0)[0]).reg.members
+    members = sim.core(sim.serving(group_id=0)[0]).reg.members
     assert node.uid in members and old not in members
-    for g in (0, 1):
-        rep = sim.core(sim.serving(g=g)[0]).reps[g]
+    for group_id in (0, 1):
+        rep = sim.core(sim.serving(group_id=group_id)[0]).reps[group_id]
         assert rep.epoch is not None and node.uid in rep.epoch["w"] and old not in rep.epoch["w"]
     assert node.table is not None and node.table.stamp == version and not oracle.broken
     sim.kill(ip=ip)
--- a/tests/node/test_refused_calls.py
+++ b/tests/node/test_refused_calls.py
@@ -28,7 +28,7 @@
 
 def known(sim: Sim) -> bool:
     """Whether any node that serves the job group has the job."""
-    return any(JOB_ID in sim.core(ip).jobs[1].jobs for ip in sim.serving(g=1))
+    return any(JOB_ID in sim.core(ip).jobs[1].jobs for ip in sim.serving(group_id=1))
 
 
 def refuse_once(sim: Sim, ip: str) -> None:
@@ -42,7 +42,7 @@
 def test_a_repeat_that_waits_behind_the_refused_call_is_refused_too(seed: int) -> None:
     sim, oracle, _, _ = cluster(seed=seed)
     oracle.jobs[JOB_ID] = JOB
-    primary = sim.serving(g=1)[0]
+    primary = sim.serving(group_id=1)[0]
     refuse_once(sim, primary)
     sim.freeze(ip=primary, seconds=0.7)  # the call and its repeat wait together
     answers: list[Response] = []
@@ -56,15 +56,15 @@
 def test_a_refusal_by_the_former_primary_is_not_final_once_another_was_asked(seed: int) -> None:
     sim, oracle, _, _ = cluster(seed=seed)
     oracle.jobs[JOB_ID] = JOB
-    former = sim.serving(g=1)[0]
+    former = sim.serving(group_id=1)[0]
     edge = sim.edge_ips[0]
     refuse_once(sim, former)
     answers: list[Response] = []
     hand_in(sim, answers=answers)
     sim.run(seconds=0.003)  # on its way to the former primary
     sim.freeze(ip=former, seconds=2.2)  # which answers late
-    assert sim.until(cond=lambda: [ip for ip in sim.serving(g=1) if ip != former] != [], limit=2.15)
-    new = next(ip for ip in sim.serving(g=1) if ip != former)
+    assert sim.until(cond=lambda: [ip for ip in sim.serving(group_id=1) if ip != former] != [], limit=2.15)
+    new = next(ip for ip in sim.serving(group_id=1) if ip != former)
     sim.cut(a=new, b=edge, one_way=True)  # the new one takes the job, and its answer is lost
     sim.run(seconds=3.0)
     assert len(answers) == 1, [orjson.loads(a.body) for a in answers]
@@ -79,7 +79,7 @@
 
         def send(self, *, uid: str, kind: Any, body: dict[str, Any]) -> None: ...
 
-        def primary(self, *, g: int) -> tuple[str, int] | None:
+        def primary(self, *, group_id: int) -> tuple[str, int] | None:
             return self.serves
 
         def learn(self, *, eps: list[Any]) -> None: ...
@@ -92,8 +92,8 @@
 
     def start() -> int:
         caller.serves = ("a", 1)
-        calls.start(g=1, op="put", b={}, done=(), ttl=3.0)
-        return calls.rid
+        calls.start(group_id=1, op="put", b={}, done=(), ttl=3.0)
+        return calls.request_id
 
     def answer(number: int, *, uid: str, status: int) -> None:
         calls.reply(uid=uid, m={"rid": number, "to": "edge#1", "s": status, "d": []})
--- a/tests/prediction/test_backfill.py
+++ b/tests/prediction/test_backfill.py
@@ -18,7 +18,7 @@
     out = []
     for i in range(rng.randint(1, 3)):
         m = Minion(
-            mid=f"m{i}",
+            minion_id=f"m{i}",
             rack=f"r{i % 2}",
             labels=frozenset(["ssd"] if rng.random() < 0.6 else []),
             free=(rng.randint(2, 4), 3, rng.randint(0, 2)),
@@ -117,13 +117,13 @@
         for m in minions:
             have = m.at(when=r.at, now=0)
             for i in range(3):
-                assert have[i] >= sum(h.places.get(m.mid, 0) * h.form[:3][i] for h in held if h.at <= r.at)
+                assert have[i] >= sum(h.places.get(m.minion_id, 0) * h.form[:3][i] for h in held if h.at <= r.at)
 
 
 @pytest.mark.parametrize("seed", range(100))
 def test_fillers_that_overrun_are_stopped_until_the_group_fits_and_none_in_vain(seed: int) -> None:
     rng = random.Random(seed)
-    m = Minion(mid="m", rack="r", labels=frozenset(), free=(8, 8, 2))
+    m = Minion(minion_id="m", rack="r", labels=frozenset(), free=(8, 8, 2))
     for j in range(rng.randint(1, 8)):
         run = Run(f"{j}", float(rng.randint(1, 9)), form(rng=rng), rng.random() < 0.7, rng.random() < 0.5)
         if all(h >= n for h, n in zip(m.free, run.form[:3], strict=True)):
@@ -140,7 +140,7 @@
 
 
 def test_overdue_runs_are_not_taken_for_free_room() -> None:
-    m = Minion(mid="m", rack="r", labels=frozenset(), free=(0, 0, 0), runs=[Run("t", 5.0, Form(1, 0, 0, ""))])
+    m = Minion(minion_id="m", rack="r", labels=frozenset(), free=(0, 0, 0), runs=[Run("t", 5.0, Form(1, 0, 0, ""))])
     got = reserve(now=100.0, minions=[m], form=Form(1, 0, 0, ""), n=1)
     assert got is not None and got.at == 100.0 + OVERDUE_MS
 
--- a/tests/prediction/test_call_times.py
+++ b/tests/prediction/test_call_times.py
@@ -31,7 +31,7 @@
 
     def job(self, *, at: int, q: str = "q", rows: list[Step] | None = None, **more: Any) -> None:
         self.n += 1
-        self.h.note_job(at=at, jid=f"{self.n:016x}", q=q, svc=f"s-{q}", steps=rows or steps(), **more)
+        self.h.note_job(at=at, job_id=f"{self.n:016x}", q=q, svc=f"s-{q}", steps=rows or steps(), **more)
 
     def ask(self, *, now: int, horizon: int = 5000, q: str = "q") -> Prediction | None:
         return next((p for p in self.h.predict(now_ms=now, horizon_ms=horizon) if p.queue == q), None)
@@ -118,7 +118,7 @@
         t = at
         if by_end:
             t += rng.randint(500, 4_000)
-            s.h.note_over(at=t, jid=f"{s.n:016x}", q="a", steps=a, done=True)
+            s.h.note_over(at=t, job_id=f"{s.n:016x}", q="a", steps=a, done=True)
         then = t + rng.randint(2_000, 3_000)
         if i >= 15:
             p = s.ask(now=t + 500, q="b", horizon=5_000)
@@ -252,7 +252,7 @@
     ]
     p = s.ask(now=T0, horizon=60_000)
     assert p is not None and (p.why, p.jobs, p.confidence) == (Why.TIMED, 3.0, 1.0)
-    s.h.note_over(at=T0 + 3_000, jid=f"{1:016x}", q="q", steps=steps(), done=False)
+    s.h.note_over(at=T0 + 3_000, job_id=f"{1:016x}", q="q", steps=steps(), done=False)
     assert s.ask(now=T0 + 3_000, horizon=60_000) is None
 
 
@@ -309,7 +309,7 @@
                 for k in range(rng.randint(1, 3))
             )
         )
-        jid = f"{rng.randint(0, 500):016x}"
+        job_id = f"{rng.randint(0, 500):016x}"
         if rng.random() < 0.7:
             more = (
                 {
@@ -321,11 +321,11 @@
                 else {}
             )
             for h in (s.h, twin):
-                h.note_job(at=at, jid=jid, q=q, svc="s", steps=rows, **more)
+                h.note_job(at=at, job_id=job_id, q=q, svc="s", steps=rows, **more)
         else:
             done = rng.random() < 0.8
             for h in (s.h, twin):
-                h.note_over(at=at, jid=jid, q=q, steps=rows, done=done)
+                h.note_over(at=at, job_id=job_id, q=q, steps=rows, done=done)
         if i % 60 == 0:
             was = s.h.dump()
             now = at + rng.randint(-(10**5), 10**5)
--- a/tests/prediction/test_run_times.py
+++ b/tests/prediction/test_run_times.py
@@ -151,7 +151,7 @@
             ms=rng.choice([0, 10, 1e30]),
         )
         if i % 50 == 0:
-            h.note_end(q="q", step=step(), task=f"g.0.0.{i}", run=1, how="done", ms=3000, mid=f"n{i}")
+            h.note_end(q="q", step=step(), task=f"g.0.0.{i}", run=1, how="done", ms=3000, minion_id=f"n{i}")
     assert len(h.runs.slow.rows) <= slow_mod.MINIONS
     assert len(h.runs.rings) <= runs_mod.KEYS and len(h.runs.seen) <= runs_mod.SEEN
     assert all(len(r.rows) <= runs_mod.KEEP for r in h.runs.rings.values())
@@ -166,36 +166,36 @@
 
     def run(*, n: int, ratio: float, slow: float, tag: str) -> None:
         for i in range(n):
-            mid = f"m{rng.randint(0, 9)}"
+            minion_id = f"m{rng.randint(0, 9)}"
             h.note_end(
                 q="q",
                 step=step(),
                 task=f"{tag}.0.0.{i}",
                 run=1,
                 how="done",
-                mid=mid,
-                ms=1000 * ratio * math.exp(rng.gauss(0, 0.05)) * (slow if mid in ("m0", "m1") else 1),
+                minion_id=minion_id,
+                ms=1000 * ratio * math.exp(rng.gauss(0, 0.05)) * (slow if minion_id in ("m0", "m1") else 1),
             )
 
     run(n=400, ratio=1.0, slow=3.0, tag="a")
     assert 900 < h.times(q="q", step=step()).p90 < 1400
-    assert 2300 < h.times(q="q", step=step(), mid="m0").p50 < 3800
-    assert h.times(q="q", step=step(), mid="m5") == h.times(q="q", step=step())
+    assert 2300 < h.times(q="q", step=step(), minion_id="m0").p50 < 3800
+    assert h.times(q="q", step=step(), minion_id="m5") == h.times(q="q", step=step())
     run(n=200, ratio=4.0, slow=3.0, tag="b")
     assert 3600 < h.times(q="q", step=step()).p50 < 4600
-    assert h.times(q="q", step=step(), mid="m5") == h.times(q="q", step=step())
+    assert h.times(q="q", step=step(), minion_id="m5") == h.times(q="q", step=step())
     run(n=400, ratio=4.0, slow=1.0, tag="c")
-    assert h.times(q="q", step=step(), mid="m0") == h.times(q="q", step=step())
+    assert h.times(q="q", step=step(), minion_id="m0") == h.times(q="q", step=step())
     assert 3600 < h.times(q="q", step=step()).p50 < 4600
 
 
 def test_slowness_is_relative_to_the_middle_minion() -> None:
     slow = slow_mod.Slow()
     for i in range(1000):
-        slow.note(mid=f"m{i % 10}", off=500 if i % 10 else 1100)
-    assert {slow.log(mid=f"m{k}") for k in range(1, 10)} == {0}
-    assert 550 <= slow.log(mid="m0") <= 650
-    assert slow.log(mid="unknown") == 0
+        slow.note(minion_id=f"m{i % 10}", off=500 if i % 10 else 1100)
+    assert {slow.log(minion_id=f"m{k}") for k in range(1, 10)} == {0}
+    assert 550 <= slow.log(minion_id="m0") <= 650
+    assert slow.log(minion_id="unknown") == 0
 
 
 @pytest.mark.parametrize("seed", range(10))
--- a/tests/replication/test_handover.py
+++ b/tests/replication/test_handover.py
@@ -33,7 +33,7 @@
 
 
 def served(sim: Sim) -> bool:
-    return all(len(sim.serving(g=g)) == 1 for g in range(JOB_GROUPS + 1))
+    return all(len(sim.serving(group_id=group_id)) == 1 for group_id in range(JOB_GROUPS + 1))
 
 
 def change(sim: Sim, *, to: int) -> None:
@@ -49,9 +49,9 @@
     sim, oracle, caller, _ = cluster(seed=seed, cores=5)
     sim.run(seconds=SETTLE_S)
     change(sim, to=4)
-    jid = caller.submit(stages=[{"task-count": 2, "cpus": 500, "mem-mb": 100, "estimate-ms": 500}])
-    assert sim.until(cond=lambda: jid in oracle.accepted, limit=3.0)
-    primary, backup = holders(newest(sim, g=0))
+    job_id = caller.submit(stages=[{"task-count": 2, "cpus": 500, "mem-mb": 100, "estimate-ms": 500}])
+    assert sim.until(cond=lambda: job_id in oracle.accepted, limit=3.0)
+    primary, backup = holders(newest(sim, group_id=0))
     sim.kill(ip=backup, power=True)
     sim.wipe(ip=backup)
     sim.run(seconds=after)
@@ -60,7 +60,7 @@
     assert sim.until(cond=lambda: served(sim), limit=CATCH_UP_S)
     assert version(sim) == 4
     status, _ = sim.ask(
-        ip=sim.edge_ips[0], method="GET", path=f"/fast/{jid}", headers={"host": HOST, "x-deadline-ms": "3000"}
+        ip=sim.edge_ips[0], method="GET", path=f"/fast/{job_id}", headers={"host": HOST, "x-deadline-ms": "3000"}
     )
     assert status == 200
 
@@ -71,9 +71,9 @@
     sim, _, _, _ = cluster(seed=seed, cores=5)
     sim.run(seconds=SETTLE_S)
     change(sim, to=4)
-    primary, backup = holders(newest(sim, g=0))
+    primary, backup = holders(newest(sim, group_id=0))
     assert leave(sim, ip=backup) < 1.0
-    assert backup not in holders(newest(sim, g=0))
+    assert backup not in holders(newest(sim, group_id=0))
     sim.wipe(ip=backup)
     sim.kill(ip=primary, power=True)
     sim.wipe(ip=primary)
@@ -86,9 +86,9 @@
     sim, _, _, _ = cluster(seed=seed, cores=5)
     sim.run(seconds=SETTLE_S)
     change(sim, to=4)
-    primary, backup = holders(newest(sim, g=0))
+    primary, backup = holders(newest(sim, group_id=0))
     assert leave(sim, ip=primary) < 1.0
-    assert all(primary not in holders(newest(sim, g=g)) for g in range(JOB_GROUPS + 1))
+    assert all(primary not in holders(newest(sim, group_id=group_id)) for group_id in range(JOB_GROUPS + 1))
     sim.wipe(ip=primary)
     sim.kill(ip=backup, power=True)
     sim.wipe(ip=backup)
@@ -150,10 +150,10 @@
         change(sim, to=stamp)
     sim.run(seconds=CATCH_UP_S)
     live = {sim.uids[ip] for ip in sim.core_ips}
-    for g in range(JOB_GROUPS + 1):
-        epoch = newest(sim, g=g)
+    for group_id in range(JOB_GROUPS + 1):
+        epoch = newest(sim, group_id=group_id)
         assert {epoch["p"], *epoch["b"]} <= live and set(epoch["w"]) <= live, epoch
-    lost = sim.serving(g=0)[0]
+    lost = sim.serving(group_id=0)[0]
     sim.kill(ip=lost, power=True)
     sim.wipe(ip=lost)
     assert sim.until(cond=lambda: served(sim), limit=CATCH_UP_S)
--- a/tests/replication/test_install.py
+++ b/tests/replication/test_install.py
@@ -17,7 +17,7 @@
     primary are cut: the backup takes over before a lease counted from the last INSTALL would end."""
     sim, _, _, _ = cluster(seed=seed, cores=5)
     sim.run(seconds=6.0)
-    primary = sim.serving(g=0)[0]
+    primary = sim.serving(group_id=0)[0]
     rep = sim.core(primary).reps[0]
     others = sorted(u for u in rep.epoch["w"] if u != sim.core(primary).uid) if rep.epoch else []
     backup = others[0].split(":")[0]
@@ -44,8 +44,8 @@
     assert rep.lease.until <= other.heard + PROMISE_S
     for _ in range(120):
         sim.run(seconds=0.02)
-        assert len(sim.serving(g=0)) <= 1
-    assert sim.serving(g=0) == [backup]
+        assert len(sim.serving(group_id=0)) <= 1
+    assert sim.serving(group_id=0) == [backup]
 
 
 @pytest.mark.parametrize("seed", [4, 5])
@@ -53,7 +53,7 @@
     """It would be counted as a holder, with a lease, though it holds nothing."""
     sim, _, _, _ = cluster(seed=seed, cores=5)
     sim.run(seconds=6.0)
-    primary = sim.serving(g=0)[0]
+    primary = sim.serving(group_id=0)[0]
     rep = sim.core(primary).reps[0]
     assert rep.epoch is not None
     for ip in sim.core_ips:
@@ -63,4 +63,4 @@
     rep.take(why="test")
     for _ in range(60):
         sim.run(seconds=0.05)
-        assert sim.serving(g=0) == [] or rep.epoch["b"] == []
+        assert sim.serving(group_id=0) == [] or rep.epoch["b"] == []
--- a/tests/replication/test_quorum_contact.py
+++ b/tests/replication/test_quorum_contact.py
@@ -12,9 +12,9 @@
 SETTLE_S = 6.0
 
 
-def newest(sim: Sim, *, g: int) -> Epoch:
+def newest(sim: Sim, *, group_id: int) -> Epoch:
     """The newest epoch of a group that any running process knows."""
-    known = [sim.core(ip).reps[g].epoch for ip in sim.core_ips if sim.procs[ip].up]
+    known = [sim.core(ip).reps[group_id].epoch for ip in sim.core_ips if sim.procs[ip].up]
     return max((e for e in known if e is not None), key=lambda e: e["n"])
 
 
@@ -40,7 +40,7 @@
 def test_primary_with_all_backups_on_the_smaller_side_confirms_nothing(seed: int, losses: int) -> None:
     sim, _, _, _ = cluster(seed=seed, cores=7, losses=losses)
     sim.run(seconds=SETTLE_S)
-    epoch = newest(sim, g=0)
+    epoch = newest(sim, group_id=0)
     assert len(epoch["w"]) == 7 and len(epoch["b"]) == losses
     small = holders(epoch)
     split(sim, left=small)
@@ -49,10 +49,10 @@
     status, _ = sim.ask(ip=primary, method="PUT", path="/config", doc=config(version=4), headers={"if-match": "3"})
     assert status in (0, 503)
     assert sim.ask(ip=primary, method="GET", path="/config")[0] in (0, 503)
-    assert sim.serving(g=0) == []
+    assert sim.serving(group_id=0) == []
     sim.heal()
     sim.run(seconds=SETTLE_S)
-    assert all(len(sim.serving(g=g)) == 1 for g in range(JOB_GROUPS + 1))
+    assert all(len(sim.serving(group_id=group_id)) == 1 for group_id in range(JOB_GROUPS + 1))
     status, _ = sim.ask(
         ip=sim.core_ips[0], method="PUT", path="/config", doc=config(version=4), headers={"if-match": "3"}
     )
@@ -65,13 +65,13 @@
     """All holders stood together, so none had a reason to campaign: contact alone brings the service back."""
     sim, _, _, _ = cluster(seed=seed, cores=7)
     sim.run(seconds=SETTLE_S)
-    before = newest(sim, g=0)
+    before = newest(sim, group_id=0)
     split(sim, left=holders(before))
     sim.run(seconds=4.0)
-    assert sim.serving(g=0) == []
+    assert sim.serving(group_id=0) == []
     sim.heal()
-    assert sim.until(cond=lambda: len(sim.serving(g=0)) == 1, limit=1.0)
-    assert newest(sim, g=0)["n"] == before["n"]
+    assert sim.until(cond=lambda: len(sim.serving(group_id=0)) == 1, limit=1.0)
+    assert newest(sim, group_id=0)["n"] == before["n"]
 
 
 @pytest.mark.parametrize("seed", [6, 7])
@@ -79,11 +79,11 @@
     """Only the primary is cut off from the other witnesses; its backup still reaches them all."""
     sim, _, _, _ = cluster(seed=seed, cores=5)
     sim.run(seconds=SETTLE_S)
-    epoch = newest(sim, g=0)
+    epoch = newest(sim, group_id=0)
     primary, backup = holders(epoch)
     for other in {*sim.core_ips} - {primary, backup}:
         sim.cut(a=primary, b=other)
-    assert sim.until(cond=lambda: sim.serving(g=0) == [backup], limit=4.0)
+    assert sim.until(cond=lambda: sim.serving(group_id=0) == [backup], limit=4.0)
     status, _ = sim.ask(ip=backup, method="PUT", path="/config", doc=config(version=4), headers={"if-match": "3"})
     assert status == 200
 
@@ -93,7 +93,7 @@
     """Its uid is new: it neither votes nor answers for the old one until an epoch admits it."""
     sim, _, _, _ = cluster(seed=seed, cores=5)
     sim.run(seconds=SETTLE_S)
-    epoch = newest(sim, g=0)
+    epoch = newest(sim, group_id=0)
     others = [ip for ip in sim.core_ips if ip not in holders(epoch)]
     for ip in others:
         sim.kill(ip=ip, power=True)
@@ -102,9 +102,9 @@
     sim.run(seconds=4.0)
     for ip in others:
         node = sim.core(ip)
-        assert node.uid not in newest(sim, g=0)["w"]
+        assert node.uid not in newest(sim, group_id=0)["w"]
         assert node.reps[0].wit.promised is None
-    assert sim.serving(g=0) == [] and newest(sim, g=0)["n"] == epoch["n"]
+    assert sim.serving(group_id=0) == [] and newest(sim, group_id=0)["n"] == epoch["n"]
 
 
 def test_cost_of_contact(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/replication/test_single_core.py
+++ b/tests/replication/test_single_core.py
@@ -20,6 +20,6 @@
     monkeypatch.setattr(sim, "_send", send)
     task: dict[str, Any] = {"task-count": 3, "cpus": 1000, "mem-mb": 100, "estimate-ms": 500}
     sim.stalls[sim.core_ips[0]] = sim.now + 3.0
-    jid = caller.submit(stages=[task])
+    job_id = caller.submit(stages=[task])
     sim.run(seconds=20.0)
-    assert caller.state(jid=jid) == (200, "complete") and oracle.broken == []
+    assert caller.state(job_id=job_id) == (200, "complete") and oracle.broken == []
--- a/tests/replication/test_stalled_process.py
+++ b/tests/replication/test_stalled_process.py
@@ -55,7 +55,7 @@
     """A cluster, the primary of group 0, and a core that is no holder."""
     sim, _, _, fleet = cluster(seed=seed, cores=5)
     sim.run(seconds=SETTLE_S)
-    named = holders(newest(sim, g=0))
+    named = holders(newest(sim, group_id=0))
     return sim, named[0], next(ip for ip in sim.core_ips if ip not in named), fleet
 
 
@@ -131,7 +131,7 @@
     while sim.now < before + STILL_S + 1.0:
         sim.run(seconds=0.05)
         assert agent.lease <= sim.now + 1.5
-        if newest(sim, g=0)["p"] == sim.core(primary).uid:
+        if newest(sim, group_id=0)["p"] == sim.core(primary).uid:
             assert agent.lease <= before + 1.5
 
 
@@ -139,21 +139,21 @@
 def test_a_late_answer_to_a_ping_is_no_younger_lease(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """The backup stands still between its look at its role and the socket: its answer carries the primary's time."""
     sim, primary, _, _ = scene(seed=seed)
-    backup = holders(newest(sim, g=0))[1]
+    backup = holders(newest(sim, group_id=0))[1]
     still = Standstill(
         sim=sim, ip=backup, when=lambda kind, m: kind is Kind.PONG and m["g"] == 0, monkeypatch=monkeypatch
     )
     sim.run(seconds=0.5)
     assert still.begun
     before = sim.now
-    number = newest(sim, g=0)["n"]
+    number = newest(sim, group_id=0)["n"]
     rep = sim.core(primary).reps[0]
     while sim.now < before + STILL_S + 1.0:
         sim.run(seconds=0.05)
-        assert len(sim.serving(g=0)) <= 1
-        if newest(sim, g=0)["n"] == number:
+        assert len(sim.serving(group_id=0)) <= 1
+        if newest(sim, group_id=0)["n"] == number:
             assert rep.lease.until <= before + 1.2
-    assert newest(sim, g=0)["n"] > number and len(sim.serving(g=0)) == 1
+    assert newest(sim, group_id=0)["n"] > number and len(sim.serving(group_id=0)) == 1
 
 
 @pytest.mark.parametrize("seed", [16, 17])
@@ -161,15 +161,15 @@
     """Hearts that a primary did not count while it did not serve are no silence of their agents."""
     sim, _, _, _ = cluster(seed=seed, cores=7)
     sim.run(seconds=SETTLE_S)
-    named = holders(newest(sim, g=0))
-    owners = {mid: row["o"] for mid, row in sim.core(named[0]).reg.minions.items()}
+    named = holders(newest(sim, group_id=0))
+    owners = {minion_id: row["o"] for minion_id, row in sim.core(named[0]).reg.minions.items()}
     rest = [ip for ip in sim.core_ips if ip not in named]
     for a in named:
         for b in rest:
             sim.cut(a=a, b=b)
     sim.run(seconds=3.0)
     sim.heal()
-    assert sim.until(cond=lambda: sim.serving(g=0) == [named[0]], limit=1.0)
+    assert sim.until(cond=lambda: sim.serving(group_id=0) == [named[0]], limit=1.0)
     sim.run(seconds=0.3)
-    now = {mid: row["o"] for mid, row in sim.core(named[0]).reg.minions.items()}
+    now = {minion_id: row["o"] for minion_id, row in sim.core(named[0]).reg.minions.items()}
     assert {m: o for m, o in now.items() if owners[m] != o} == {}
--- a/tests/replication/test_successive_losses.py
+++ b/tests/replication/test_successive_losses.py
@@ -64,10 +64,10 @@
     """Both groups are served, by as many live holders as the budget wants and the members allow."""
     live = {sim.uids[ip] for ip in sim.core_ips if sim.procs[ip].up}
     want = min(losses + 1, len(live))
-    for g in range(JOB_GROUPS + 1):
-        epoch = newest(sim, g=g)
+    for group_id in range(JOB_GROUPS + 1):
+        epoch = newest(sim, group_id=group_id)
         named = {epoch["p"], *epoch["b"]}
-        if len(named) < want or not named <= live or not sim.serving(g=g):
+        if len(named) < want or not named <= live or not sim.serving(group_id=group_id):
             return False
     return True
 
@@ -93,7 +93,7 @@
 ) -> None:
     """Three cores with one lost have nobody left for a second one to be made up from: there only the time counts."""
     sim = start(monkeypatch, seed=50 + cores + losses, cores=cores, losses=losses)
-    named = holders(newest(sim, g=0))
+    named = holders(newest(sim, group_id=0))
     sim.slow = named[-1] if slow else ""
     sim.copy_s = copy_s
     lose(sim, ip=named[0] if lost == "primary" else named[1])
@@ -103,17 +103,17 @@
     if cores == 3:
         return
     sim.copy_s = 0.0
-    for ip in holders(newest(sim, g=0))[:losses]:
+    for ip in holders(newest(sim, group_id=0))[:losses]:
         lose(sim, ip=ip)
     left = sum(sim.procs[ip].up for ip in sim.core_ips)
-    if 2 * left > len(newest(sim, g=0)["w"]):
+    if 2 * left > len(newest(sim, group_id=0)["w"]):
         assert sim.until(cond=lambda: served(sim), limit=CATCH_UP_S)
     else:  # beyond the budget in witnesses, so the lost machines come back, empty
         for ip in sim.core_ips:
             if not sim.procs[ip].up:
                 sim.boot(ip=ip)
         sim.run(seconds=CATCH_UP_S)
-        assert sim.serving(g=0) == []  # empty ones have no vote: nothing is made up
+        assert sim.serving(group_id=0) == []  # empty ones have no vote: nothing is made up
         return
     assert version(sim) == 4
 
@@ -128,7 +128,7 @@
     sim = start(monkeypatch, seed=seed, cores=cores, losses=losses)
     stamp = 4
     for _ in range(6):
-        lost = holders(newest(sim, g=0))[:losses]
+        lost = holders(newest(sim, group_id=0))[:losses]
         for ip in lost:
             lose(sim, ip=ip)
         sim.run(seconds=0.5)
@@ -139,7 +139,7 @@
         change(sim, to=stamp)
     live = {sim.uids[ip] for ip in sim.core_ips}
     sim.run(seconds=CATCH_UP_S)
-    for g in range(JOB_GROUPS + 1):
-        epoch = newest(sim, g=g)
+    for group_id in range(JOB_GROUPS + 1):
+        epoch = newest(sim, group_id=group_id)
         assert {epoch["p"], *epoch["b"], *epoch["w"]} <= live
     assert version(sim) == stamp
--- a/tests/replication/test_two_disks_lost.py
+++ b/tests/replication/test_two_disks_lost.py
@@ -8,16 +8,16 @@
 from yarrowloom.simulator.minions import HOST, cluster, config
 
 
-def holders(sim: Sim, *, g: int, which: tuple[int, int]) -> list[str]:
+def holders(sim: Sim, *, group_id: int, which: tuple[int, int]) -> list[str]:
     """Two of the machines that the newest epoch of a group names: 0 is the primary, the backups follow."""
-    epochs = [sim.core(ip).reps[g].epoch for ip in sim.core_ips]
+    epochs = [sim.core(ip).reps[group_id].epoch for ip in sim.core_ips]
     newest = max((e for e in epochs if e is not None), key=lambda e: e["n"])
     assert len(newest["b"]) == 2
     rows = [uid.split(":")[0] for uid in (newest["p"], *newest["b"])]
     return [rows[i] for i in which]
 
 
-def strike(sim: Sim, *, g: int, which: tuple[int, int]) -> None:
+def strike(sim: Sim, *, group_id: int, which: tuple[int, int]) -> None:
     """All core processes end; two come back without their disks, within a second."""
     assert sim.until(
         cond=lambda: all(
@@ -25,7 +25,7 @@
         ),
         limit=3.0,
     )
-    wiped = holders(sim, g=g, which=which)
+    wiped = holders(sim, group_id=group_id, which=which)
     for ip in sim.core_ips:
         sim.kill(ip=ip)
     for ip in wiped:
@@ -44,7 +44,7 @@
         ip=sim.core_ips[0], method="PUT", path="/config", doc=config(version=4), headers={"if-match": "3"}
     )
     assert status == 200
-    strike(sim, g=0, which=which)
+    strike(sim, group_id=0, which=which)
     sim.run(seconds=6.0)
     found = [sim.ask(ip=ip, method="GET", path="/config", limit=4.0) for ip in sim.core_ips]
     assert [s for s, _ in found] == [200] * len(found)
@@ -56,12 +56,12 @@
 def test_jobs_survive_the_loss_of_both_holders_disks(seed: int, which: tuple[int, int]) -> None:
     """What was acknowledged is known afterwards: 410 for an accepted job is a loss."""
     sim, oracle, caller, _fleet = cluster(seed=seed, minions=6, cores=5, losses=2)
-    jid = caller.submit(stages=[{"task-count": 2, "cpus": 500, "mem-mb": 100, "estimate-ms": 500}])
-    assert sim.until(cond=lambda: jid in oracle.accepted, limit=3.0)
-    strike(sim, g=1, which=which)
+    job_id = caller.submit(stages=[{"task-count": 2, "cpus": 500, "mem-mb": 100, "estimate-ms": 500}])
+    assert sim.until(cond=lambda: job_id in oracle.accepted, limit=3.0)
+    strike(sim, group_id=1, which=which)
     sim.run(seconds=6.0)
     status, doc = sim.ask(
-        ip=sim.edge_ips[0], method="GET", path=f"/fast/{jid}", headers={"host": HOST, "x-deadline-ms": "3000"}
+        ip=sim.edge_ips[0], method="GET", path=f"/fast/{job_id}", headers={"host": HOST, "x-deadline-ms": "3000"}
     )
     assert status == 200, (status, doc)
 
@@ -70,9 +70,9 @@
 def test_rules_hold_with_two_backups_through_two_losses_at_once(seed: int) -> None:
     """Two machines at once, disks and all, in the middle of work; then one more after they are back."""
     sim, oracle, caller, _fleet = cluster(seed=20 + seed, minions=8, cores=5, losses=2, edges=2)
-    jids = []
+    job_ids = []
     for i in range(20):
-        jids.append(caller.submit(stages=[{"task-count": 3, "cpus": 1000, "mem-mb": 100, "estimate-ms": 500}]))
+        job_ids.append(caller.submit(stages=[{"task-count": 3, "cpus": 1000, "mem-mb": 100, "estimate-ms": 500}]))
         sim.run(seconds=0.2)
         if i in (6, 19):
             gone = sim.rng.sample(sim.core_ips, 2)
@@ -82,13 +82,13 @@
                 sim.at(delay=2.0, fn=partial(sim.boot, ip=ip))
             sim.run(seconds=12.0)
     epochs = [
-        max((e for ip in sim.core_ips if (e := sim.core(ip).reps[g].epoch) is not None), key=lambda e: e["n"])
-        for g in (0, 1)
+        max((e for ip in sim.core_ips if (e := sim.core(ip).reps[group_id].epoch) is not None), key=lambda e: e["n"])
+        for group_id in (0, 1)
     ]
     assert [len(e["b"]) for e in epochs] == [2, 2]
     end = sim.now + 40
-    left = [j for j in jids if j in oracle.accepted]
+    left = [j for j in job_ids if j in oracle.accepted]
     while left and sim.now < end:
-        left = [j for j in left if caller.state(jid=j)[1] != "complete"]
+        left = [j for j in left if caller.state(job_id=j)[1] != "complete"]
         sim.run(seconds=0.5)
     assert left == [] and oracle.broken == []
--- a/tests/replication/test_zones.py
+++ b/tests/replication/test_zones.py
@@ -27,8 +27,8 @@
 
 def check(sim: Sim) -> None:
     """Both groups: holders over two zones at least, no zone with the majority of the witnesses."""
-    for g in range(JOB_GROUPS + 1):
-        epoch = newest(sim, g=g)
+    for group_id in range(JOB_GROUPS + 1):
+        epoch = newest(sim, group_id=group_id)
         assert len({zone(ip) for ip in holders(epoch)}) > 1, epoch
         assert 2 * most_in_one_zone(epoch["w"]) < len(epoch["w"]), epoch
         assert len(epoch["w"]) % 2 == 1
@@ -40,7 +40,7 @@
     sim, _, _, _ = cluster(seed=seed, cores=cores, losses=losses)
     sim.run(seconds=SETTLE_S)
     check(sim)
-    away = zone(sim.serving(g=0)[0])
+    away = zone(sim.serving(group_id=0)[0])
     gone = [ip for ip in sim.core_ips if zone(ip) == away]
     for ip in gone:
         sim.kill(ip=ip)
@@ -56,15 +56,15 @@
     """Two zones went and came back one after another: without an election both holders would stay where they are."""
     sim, _, _, _ = cluster(seed=seed, cores=9)
     sim.run(seconds=SETTLE_S)
-    first = zone(sim.serving(g=0)[0])
+    first = zone(sim.serving(group_id=0)[0])
     # Beyond the budget in machines, but links only: two zones are cut off and heal, nothing is lost.
     stay = [ip for ip in sim.core_ips if zone(ip) == first]
-    rep = sim.core(sim.serving(g=0)[0]).reps[0]
-    sim.core(sim.serving(g=0)[0]).now = sim.now
+    rep = sim.core(sim.serving(group_id=0)[0]).reps[0]
+    sim.core(sim.serving(group_id=0)[0]).now = sim.now
     away = [u for u in sim.core(stay[0]).members if zone_of(u) != first]
     rep.take(why="test", avoid=away)
     sim.run(seconds=0.6)
-    assert {zone(ip) for ip in holders(newest(sim, g=0))} == {first}
+    assert {zone(ip) for ip in holders(newest(sim, group_id=0))} == {first}
     sim.run(seconds=MEND_S)
     check(sim)
     status, _ = sim.ask(ip=stay[0], method="PUT", path="/config", doc=config(version=4), headers={"if-match": "3"})
@@ -72,7 +72,7 @@
     for ip in stay:
         sim.kill(ip=ip, power=True)
         sim.wipe(ip=ip)
-    assert sim.until(cond=lambda: len(sim.serving(g=0)) == 1, limit=6.0)
+    assert sim.until(cond=lambda: len(sim.serving(group_id=0)) == 1, limit=6.0)
     other = next(ip for ip in sim.core_ips if ip not in stay)
     assert sim.ask(ip=other, method="GET", path="/config")[1]["config-version"] == 4
 
@@ -82,9 +82,9 @@
     """Once spread, nothing is wished for any more."""
     sim, _, _, _ = cluster(seed=seed, cores=8, losses=2)
     sim.run(seconds=SETTLE_S + 4.0)
-    before = [newest(sim, g=g)["n"] for g in range(JOB_GROUPS + 1)]
+    before = [newest(sim, group_id=group_id)["n"] for group_id in range(JOB_GROUPS + 1)]
     sim.run(seconds=20.0)
-    assert [newest(sim, g=g)["n"] for g in range(JOB_GROUPS + 1)] == before
+    assert [newest(sim, group_id=group_id)["n"] for group_id in range(JOB_GROUPS + 1)] == before
 
 
 @pytest.mark.parametrize(
--- a/tests/scheduling/test_binding.py
+++ b/tests/scheduling/test_binding.py
@@ -18,7 +18,7 @@
     left = list(oracle.accepted)
     end = sim.now + limit
     while left and sim.now < end:
-        left = [j for j in left if caller.state(jid=j)[1] not in ("complete", "failed", "cancelled")]
+        left = [j for j in left if caller.state(job_id=j)[1] not in ("complete", "failed", "cancelled")]
         sim.run(seconds=0.5)
     assert oracle.broken == []
     assert left == []
@@ -36,7 +36,7 @@
             return
         seen["n"] += 1
         if seen["n"] == nth:
-            prim = sim.serving(g=1)
+            prim = sim.serving(group_id=1)
             if not prim:
                 return
             ip = prim[0]
@@ -78,13 +78,13 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_job_cancelled_in_mid_cycle_starts_nothing_later(seed: int) -> None:
     sim, oracle, caller, fleet = cluster(seed=7300 + seed, minions=4, work=5.0)
-    jid = caller.submit(stages=[{**TASK, "task-count": 4, "cpus": 3000, "gang": True}])
+    job_id = caller.submit(stages=[{**TASK, "task-count": 4, "cpus": 3000, "gang": True}])
     sim.run(seconds=0.004 + 0.004 * seed)
-    caller.cancel(jid=jid)
+    caller.cancel(job_id=job_id)
     sim.run(seconds=6.0)
     assert oracle.broken == []
     assert sum(len(m.running) for m in fleet) == 0
-    core = sim.core(sim.serving(g=1)[0])
+    core = sim.core(sim.serving(group_id=1)[0])
     placer = core.placers[1]
     assert not placer.backlog.groups and not placer.asks
     assert all(s.fly == (0, 0, 0) and s.free == s.cap for s in placer.room.spots.values())
@@ -96,12 +96,12 @@
     odd = caller.submit(stages=[{**TASK, "requires": "nowhere"}])
     wide = caller.submit(stages=[{**TASK, "task-count": 90, "cpus": 4000, "gang": True}])
     good = [caller.submit(stages=[{**TASK, "cpus": 4000}], queue="slow") for _ in range(6)]
-    assert sim.until(cond=lambda: all(caller.state(jid=j, queue="slow")[1] == "complete" for j in good), limit=30.0)
-    core = sim.core(sim.serving(g=1)[0])
+    assert sim.until(cond=lambda: all(caller.state(job_id=j, queue="slow")[1] == "complete" for j in good), limit=30.0)
+    core = sim.core(sim.serving(group_id=1)[0])
     placer = core.placers[1]
-    for jid in (never, odd, wide):
-        assert caller.state(jid=jid) == (200, "pending")
-        rows = placer.explain(jid=jid)
+    for job_id in (never, odd, wide):
+        assert caller.state(job_id=job_id) == (200, "pending")
+        rows = placer.explain(job_id=job_id)
         assert rows[0]["cycles-failed"] > 0 and rows[0]["last"]
     assert oracle.broken == []
 
@@ -109,17 +109,17 @@
 def test_leases_of_a_failed_gang_attempt_all_go_back() -> None:
     """The snapshot is old: one agent refuses; nothing starts, no room stays taken, the group is tried again."""
     sim, oracle, caller, fleet = cluster(seed=7501, minions=3)
-    core = sim.core(sim.serving(g=1)[0])
+    core = sim.core(sim.serving(group_id=1)[0])
     placer = core.placers[1]
-    victim = fleet[0].mid
+    victim = fleet[0].minion_id
     agent = next(sim.core(ip).agent for ip in sim.core_ips if victim in sim.core(ip).agent.minions)
     take = agent.minions[victim].cap
     agent.minions[victim].cap = (0, 0, 0)  # known to the agent alone until its next word
-    jid = caller.submit(stages=[{**TASK, "task-count": 3, "cpus": 4000, "gang": True}])
+    job_id = caller.submit(stages=[{**TASK, "task-count": 3, "cpus": 4000, "gang": True}])
     sim.run(seconds=0.02)
     agent.minions[victim].cap = take
     assert not any(m.running for m in fleet)
-    assert sim.until(cond=lambda: caller.state(jid=jid)[1] == "complete", limit=20.0)
+    assert sim.until(cond=lambda: caller.state(job_id=job_id)[1] == "complete", limit=20.0)
     assert oracle.broken == []
     sim.run(seconds=1.0)
     assert all(s.free == s.cap for s in placer.room.spots.values())
@@ -132,18 +132,18 @@
 def seconds_until_all_ended(*, seed: int) -> float:
     """A failed member goes back alone, keeps its group's first-seen time and is placed beside the running ones."""
     sim, oracle, caller, _ = cluster(seed=seed, minions=4, fail=0.25, work=1.5)
-    jids = [caller.submit(stages=[{**TASK, "task-count": 12}]) for _ in range(4)]
-    core = sim.core(sim.serving(g=1)[0])
+    job_ids = [caller.submit(stages=[{**TASK, "task-count": 12}]) for _ in range(4)]
+    core = sim.core(sim.serving(group_id=1)[0])
     records = core.jobs[1].jobs
     begun = sim.now
     seen: dict[tuple[str, str], set[float]] = {}
-    while not all(j in records and records[j]["st"] in ("complete", "failed") for j in jids):
+    while not all(j in records and records[j]["st"] in ("complete", "failed") for j in job_ids):
         sim.run(seconds=0.2)
         assert sim.now - begun < MOST_S, seed
         for unit, group in core.placers[1].backlog.groups.items():
             seen.setdefault(unit, set()).add(group.seen)
     assert all(len(times) == 1 for times in seen.values()) and len(seen) == 4
-    assert all(caller.state(jid=j)[1] in ("complete", "failed") for j in jids)
+    assert all(caller.state(job_id=j)[1] in ("complete", "failed") for j in job_ids)
     assert [b for b in oracle.broken if not b.startswith("BUDGET")] == oracle.broken == []
     return sim.now - begun
 
@@ -164,13 +164,13 @@
 
 def test_the_operator_is_told_why_a_job_waits_from_any_core() -> None:
     sim, _, caller, _ = cluster(seed=7801, minions=3)
-    jid = caller.submit(stages=[{**TASK, "requires": "nowhere"}])
+    job_id = caller.submit(stages=[{**TASK, "requires": "nowhere"}])
     sim.run(seconds=2.0)
-    got: list[tuple[int, Any]] = [sim.ask(ip=ip, method="GET", path=f"/jobs/{jid}") for ip in sim.core_ips]
+    got: list[tuple[int, Any]] = [sim.ask(ip=ip, method="GET", path=f"/jobs/{job_id}") for ip in sim.core_ips]
     assert sorted(status for status, _ in got) == [200, 307, 307]
     doc = next(doc for status, doc in got if status == 200)
     assert doc["state"] == "pending" and doc["groups"][0]["members-waiting"] == 0
     assert "never" in doc["groups"][0]["last"] and doc["groups"][0]["cycles-failed"] > 1
-    home = sim.serving(g=1)[0]
+    home = sim.serving(group_id=1)[0]
     assert sim.ask(ip=home, method="GET", path="/jobs/0000000000000001")[0] == 410
     assert sim.ask(ip=home, method="GET", path="/jobs/zz")[0] == 400
--- a/tests/scheduling/test_binding_model.py
+++ b/tests/scheduling/test_binding_model.py
@@ -71,7 +71,7 @@
     def commit(self: Rep, *, ev: dict[str, Any], then: Choice | None = None) -> Any:
         out = real(self, ev=ev)
         if then is not None:
-            self.w.effect(g=self.g, eff=then)
+            self.w.effect(group_id=self.group_id, eff=then)
         return out
 
     p.setattr(Rep, "commit", commit)
--- a/tests/scheduling/test_scheduling_cycle.py
+++ b/tests/scheduling/test_scheduling_cycle.py
@@ -20,7 +20,7 @@
         cap = Size(most * 1000, 4000, most)
         room.attach(
             spot=Spot(
-                mid=f"m{i}",
+                minion_id=f"m{i}",
                 agent="a",
                 fence=1,
                 seq=i,
@@ -55,26 +55,26 @@
     )
 
 
-def allowed(*, room: Room, ask: Ask, mids: tuple[str, ...]) -> bool:
+def allowed(*, room: Room, ask: Ask, minion_ids: tuple[str, ...]) -> bool:
     """The filters, written down once more: may these members go to these minions together?"""
-    for mid in set(mids):
-        spot, n = room.spots[mid], mids.count(mid)
+    for minion_id in set(minion_ids):
+        spot, n = room.spots[minion_id], minion_ids.count(minion_id)
         need = Size(ask.size.cpu * n, ask.size.mem * n, ask.size.gpu * n)
-        if not spot.free.holds(need) or (ask.req and ask.req not in spot.labels) or mid in ask.off:
+        if not spot.free.holds(need) or (ask.req and ask.req not in spot.labels) or minion_id in ask.off:
             return False
         if (ask.strict and ask.near and ask.near not in spot.labels) or any(x in spot.labels for x in ask.shun):
             return False
-        if ask.apart and n + ask.there.get(mid, 0) > ask.apart:
+        if ask.apart and n + ask.there.get(minion_id, 0) > ask.apart:
             return False
-    return not ask.tight or len({room.spots[mid].rack for mid in mids}) <= 1
+    return not ask.tight or len({room.spots[minion_id].rack for minion_id in minion_ids}) <= 1
 
 
 def most_placed(*, room: Room, ask: Ask) -> int:
     """By trying all: the most members that any placement serves."""
     for n in range(len(ask.members), 0, -1):
         if any(
-            allowed(room=room, ask=ask, mids=mids)
-            for mids in itertools.combinations_with_replacement(sorted(room.spots), n)
+            allowed(room=room, ask=ask, minion_ids=minion_ids)
+            for minion_ids in itertools.combinations_with_replacement(sorted(room.spots), n)
         ):
             return n
     return 0
@@ -88,15 +88,15 @@
     if ask.strict and not ask.near:
         ask.strict = False
     best = most_placed(room=room, ask=ask)
-    before = {mid: spot.free for mid, spot in room.spots.items()}
+    before = {minion_id: spot.free for minion_id, spot in room.spots.items()}
     got = cycle.run(room=room, ask=ask)
     assert got.feasible == (best >= ask.need)
-    assert {mid: spot.free for mid, spot in room.spots.items()} == before  # reservations die with the cycle
+    assert {minion_id: spot.free for minion_id, spot in room.spots.items()} == before  # reservations die with the cycle
     if not got.feasible:
         assert got.placed == []  # nothing binds below the criterion
         return
     assert len(got.placed) >= ask.need
-    assert allowed(room=room, ask=ask, mids=tuple(mid for _, mid in got.placed))
+    assert allowed(room=room, ask=ask, minion_ids=tuple(minion_id for _, minion_id in got.placed))
     assert [i for i, _ in got.placed] == ask.members[: len(got.placed)]  # in their order
     if not ask.tight:
         assert len(got.placed) == best
@@ -106,11 +106,24 @@
 
 def test_tightest_fit_and_data_first() -> None:
     room = Room()
-    for mid, rack, free in (("wide", "r0", [4000, 9, 4]), ("fit", "r0", [1500, 9, 1]), ("data", "r1", [4000, 9, 4])):
+    for minion_id, rack, free in (
+        ("wide", "r0", [4000, 9, 4]),
+        ("fit", "r0", [1500, 9, 1]),
+        ("data", "r1", [4000, 9, 4]),
+    ):
         room.attach(
-            spot=Spot(mid=mid, agent="a", fence=1, seq=1, svc="s", site="z", labels=("k", rack), cap=Size(4000, 9, 4))
+            spot=Spot(
+                minion_id=minion_id,
+                agent="a",
+                fence=1,
+                seq=1,
+                svc="s",
+                site="z",
+                labels=("k", rack),
+                cap=Size(4000, 9, 4),
+            )
         )
-        room.report(uid="a", rows=[[mid, *free]], shut=[], now=1.0)
+        room.report(uid="a", rows=[[minion_id, *free]], shut=[], now=1.0)
 
     def first(near: str) -> Decision:
         return cycle.run(room=room, ask=Ask(svc="s", size=Size(1000, 1, 1), members=[0], need=1, near=near))
@@ -121,9 +134,18 @@
 
 def test_retried_member_avoids_where_it_failed_unless_nothing_else_has_room() -> None:
     room = room_of(random.Random(1), n=0)
-    for mid in ("a", "b"):
+    for minion_id in ("a", "b"):
         room.attach(
-            spot=Spot(mid=mid, agent="a", fence=1, seq=1, svc="s", site="z", labels=("k", "r"), cap=Size(1000, 1, 0))
+            spot=Spot(
+                minion_id=minion_id,
+                agent="a",
+                fence=1,
+                seq=1,
+                svc="s",
+                site="z",
+                labels=("k", "r"),
+                cap=Size(1000, 1, 0),
+            )
         )
     room.report(uid="a", rows=[["a", 1000, 1, 0], ["b", 1000, 1, 0]], shut=[], now=1.0)
     ask = Ask(svc="s", size=Size(1000, 1, 0), members=[0], need=1, sore=frozenset({"a"}))
@@ -135,11 +157,11 @@
 def test_a_minion_that_fails_three_jobs_in_a_row_is_shy_but_a_bad_job_is_not_its_defect() -> None:
     room = room_of(random.Random(2), n=8)
     for _ in range(9):
-        assert not room.failed(mid="m0", jid="poison", now=1.0)
-    assert [room.failed(mid="m1", jid=j, now=1.0) for j in "abc"] == [False, False, True]
+        assert not room.failed(minion_id="m0", job_id="poison", now=1.0)
+    assert [room.failed(minion_id="m1", job_id=j, now=1.0) for j in "abc"] == [False, False, True]
     ask = Ask(svc="s", size=Size(0, 0, 0), members=[0] * 900, need=1, now=1.1)
-    assert "m1" not in {mid for _, mid in cycle.run(room=room, ask=ask).placed}
-    room.worked(mid="m1")
+    assert "m1" not in {minion_id for _, minion_id in cycle.run(room=room, ask=ask).placed}
+    room.worked(minion_id="m1")
     assert room.spots["m1"].shy == 0.0
 
 
@@ -150,13 +172,13 @@
     room = room_of(rng, n=6)
     size = Size(800, 0, 1)
     for step in range(200):
-        mid = f"m{rng.randint(0, 5)}"
-        spot = room.spots.get(mid)
+        minion_id = f"m{rng.randint(0, 5)}"
+        spot = room.spots.get(minion_id)
         move = rng.randint(0, 4)
         if spot is None or move == 0:
             room.attach(
                 spot=Spot(
-                    mid=mid,
+                    minion_id=minion_id,
                     agent="a",
                     fence=1,
                     seq=step,
@@ -167,19 +189,19 @@
                 )
             )
         elif move == 1:
-            room.report(uid="a", rows=[[mid, rng.randint(0, 4000), 4000, rng.randint(0, 4)]], shut=[], now=1.0)
+            room.report(uid="a", rows=[[minion_id, rng.randint(0, 4000), 4000, rng.randint(0, 4)]], shut=[], now=1.0)
         elif move == 2:
-            room.report(uid="a", rows=[], shut=[mid], now=1.0)
+            room.report(uid="a", rows=[], shut=[minion_id], now=1.0)
         elif move == 3:
             room.reserve(spot=spot, size=size, n=rng.choice([1, -1]))
         else:
-            room.drop(mid=mid)
+            room.drop(minion_id=minion_id)
         scan = sorted(
-            (max(s.free.gpu, 0), s.free.cpu, s.mid)
+            (max(s.free.gpu, 0), s.free.cpu, s.minion_id)
             for s in room.spots.values()
             if s.open and max(s.free.gpu, 0) >= 1 and s.free.cpu >= 800
         )
-        assert [s.mid for s in room.ordered(svc="s", size=size)] == [mid for _, _, mid in scan]
+        assert [s.minion_id for s in room.ordered(svc="s", size=size)] == [minion_id for _, _, minion_id in scan]
         shelf = room.shelves["s"]
         assert shelf.count == sum(s.open for s in room.spots.values())
         assert (
@@ -191,7 +213,12 @@
 
 def group_of(i: int, *, size: Size, rank: int = 1) -> Group:
     return Group(
-        jid=f"{i:016x}", key="0.0", svc="s", size=size, prio=(False, rank, float(i), 0.0, f"{i:016x}", "0.0"), since=0.0
+        job_id=f"{i:016x}",
+        key="0.0",
+        svc="s",
+        size=size,
+        prio=(False, rank, float(i), 0.0, f"{i:016x}", "0.0"),
+        since=0.0,
     )
 
 
@@ -202,7 +229,7 @@
     for i in range(20 * scale):
         room.attach(
             spot=Spot(
-                mid=f"m{i:05}",
+                minion_id=f"m{i:05}",
                 agent="a",
                 fence=1,
                 seq=1,
@@ -269,7 +296,7 @@
         assert log.due(now=now) == [group]
         log.wake(group=group)
     assert waits[:3] == pytest.approx([0.1, 0.2, 0.4]) and waits[-1] == pytest.approx(2.0)
-    log.remove(jid=group.jid, key=group.key)
+    log.remove(job_id=group.job_id, key=group.key)
     assert group.phase is Phase.GONE and log.load.get(("s", 1), [0, 0]) == [0, 0]
 
 
--- a/tests/scheduling/test_warm_capacity.py
+++ b/tests/scheduling/test_warm_capacity.py
@@ -22,7 +22,7 @@
 
 
 def placer_of(sim: Sim) -> Placer:
-    return sim.core(sim.serving(g=1)[0]).placers[1]
+    return sim.core(sim.serving(group_id=1)[0]).placers[1]
 
 
 def beat(*, sim: Sim, caller: SimCaller, times: int, gap: float) -> list[str]:
@@ -41,7 +41,7 @@
         left = [
             j
             for j in left
-            if caller.state(jid=j)[1] != "complete" and caller.state(jid=j, queue="slow")[1] != "complete"
+            if caller.state(job_id=j)[1] != "complete" and caller.state(job_id=j, queue="slow")[1] != "complete"
         ]
         sim.run(seconds=0.5)
     assert left == [] and oracle.broken == []
@@ -57,13 +57,13 @@
     assert sum(kept.at.values()) == 2 and kept.size.cpu == 4000
     slow = caller.submit(stages=[{**FILL, "task-count": 8}], queue="slow")
     sim.run(seconds=0.1)
-    busy = {m.mid for m in fleet if m.running}
+    busy = {m.minion_id for m in fleet if m.running}
     assert busy and not busy & set(kept.at), "later ranks keep off warm room"
     hits = placer.warmer.warm.hits
     caller.submit(stages=[URGENT])
     sim.run(seconds=0.3)
     assert placer.warmer.warm.hits == hits + 1
-    assert caller.state(jid=slow, queue="slow")[0] == 200
+    assert caller.state(job_id=slow, queue="slow")[0] == 200
     ended(sim=sim, oracle=oracle, caller=caller)
 
 
@@ -82,10 +82,10 @@
         ),
         limit=6.0,
     )
-    mids = {mid for k in placer.warmer.kept.values() for mid in k.at}
+    minion_ids = {minion_id for k in placer.warmer.kept.values() for minion_id in k.at}
     caller.submit(stages=[{**quick, "task-count": 12}], queue="slow")
     sim.run(seconds=0.1)
-    assert any(m.running for m in fleet if m.mid in mids)
+    assert any(m.running for m in fleet if m.minion_id in minion_ids)
     ended(sim=sim, oracle=oracle, caller=caller)
 
 
@@ -96,9 +96,9 @@
     placer = placer_of(sim)
     assert sim.until(cond=lambda: bool(placer.warmer.kept), limit=4.0)
     kept = next(iter(placer.warmer.kept.values()))
-    victim = next(m for m in fleet if m.mid in kept.at)
+    victim = next(m for m in fleet if m.minion_id in kept.at)
     if what == "kill":
-        ip = sim.serving(g=1)[0]
+        ip = sim.serving(group_id=1)[0]
         sim.kill(ip=ip)
         sim.at(delay=0.5, fn=lambda: sim.boot(ip=ip))
     elif what == "crash":
@@ -134,10 +134,10 @@
     sim.run(seconds=8.0)
     placer = placer_of(sim)
     for one in placer.warmer.kept.values():
-        assert victim.mid not in one.at or what in ("kill", "config")
+        assert victim.minion_id not in one.at or what in ("kill", "config")
         assert what != "config" or one.room.queue != "fast"
     spots = placer.room.spots.values()
-    assert all(s.keep == (0, 0, 0) for s in spots if not any(s.mid in k.at for k in placer.warmer.kept.values()))
+    assert all(s.keep == (0, 0, 0) for s in spots if not any(s.minion_id in k.at for k in placer.warmer.kept.values()))
     if what != "config":
         ended(sim=sim, oracle=oracle, caller=caller)
     assert oracle.broken == []
@@ -153,8 +153,8 @@
     sim.run(seconds=2.0)
     before = history(placer_of(sim))
     for _ in range(2):
-        sim.kill(ip=sim.serving(g=1)[0], power=True)
-        assert sim.until(cond=lambda: bool(sim.serving(g=1)), limit=8.0)
+        sim.kill(ip=sim.serving(group_id=1)[0], power=True)
+        assert sim.until(cond=lambda: bool(sim.serving(group_id=1)), limit=8.0)
         for ip in sim.core_ips:
             if not sim.procs[ip].up:
                 sim.boot(ip=ip)
@@ -176,7 +176,7 @@
             caller.submit(stages=[URGENT] if i % 3 == 0 else [FILL], queue="fast" if i % 3 == 0 else "slow")
             sim.run(seconds=0.7)
             if i == 15:
-                ip = sim.serving(g=1)[0]
+                ip = sim.serving(group_id=1)[0]
                 sim.kill(ip=ip)
                 sim.at(delay=0.5, fn=partial(sim.boot, ip=ip))
             if i == 20:
--- a/tests/simulator/test_determinism.py
+++ b/tests/simulator/test_determinism.py
@@ -32,7 +32,7 @@
             if i == 4:
                 day.fleet[0].crash()
             if i == 8:
-                day.sim.kill(ip=day.sim.serving(g=1)[0], power=True)
+                day.sim.kill(ip=day.sim.serving(group_id=1)[0], power=True)
         day.sim.run(seconds=6.0)
     finally:
         Sim._send = real  # type: ignore[method-assign]
--- a/tests/simulator/test_history_runs.py
+++ b/tests/simulator/test_history_runs.py
@@ -31,17 +31,17 @@
         """One job every 0.3 s, and three questions in that time."""
         if jobs == 0:
             return
-        jid = f"{self.sim.rng.getrandbits(64):016x}"
-        self.oracle.jobs[jid] = {"task-spec": f"spec-{jid}", "stages": [TASK]}
-        self.jobs.append(jid)
-        self.call(jid=jid, verb=JobVerb.SUBMIT)
+        job_id = f"{self.sim.rng.getrandbits(64):016x}"
+        self.oracle.jobs[job_id] = {"task-spec": f"spec-{job_id}", "stages": [TASK]}
+        self.jobs.append(job_id)
+        self.call(job_id=job_id, verb=JobVerb.SUBMIT)
         for _ in range(3):
-            self.call(jid=self.sim.rng.choice(self.jobs), verb=JobVerb.SHOW)
+            self.call(job_id=self.sim.rng.choice(self.jobs), verb=JobVerb.SHOW)
         if self.sim.rng.random() < 0.2:
-            self.call(jid=self.sim.rng.choice(self.jobs[-5:]), verb=JobVerb.CANCEL)
+            self.call(job_id=self.sim.rng.choice(self.jobs[-5:]), verb=JobVerb.CANCEL)
         self.sim.at(delay=0.3, fn=partial(self.work, jobs=jobs - 1))
 
-    def call(self, *, jid: str, verb: JobVerb) -> None:
+    def call(self, *, job_id: str, verb: JobVerb) -> None:
         self.number += 1
         number, invoked_s, open_ = self.number, self.sim.now, [True]
 
@@ -57,7 +57,7 @@
             operation = Operation(
                 number=number,
                 process="client",
-                argument=JobCall(job=jid, verb=verb),
+                argument=JobCall(job=job_id, verb=verb),
                 invoked_s=invoked_s,
                 returned_s=self.sim.now,
                 outcome=outcome_of(status=status),
@@ -68,7 +68,7 @@
             )
             self.history.add(operation=operation)
             if verb is not JobVerb.SHOW and operation.outcome is Outcome.UNCLEAR:
-                self.sim.at(delay=0.2, fn=lambda: self.call(jid=jid, verb=verb))
+                self.sim.at(delay=0.2, fn=lambda: self.call(job_id=job_id, verb=verb))
 
         self.sim.at(delay=PATIENCE_S, fn=lambda: ended(None))
         ip = self.sim.rng.choice(self.sim.edge_ips)
@@ -76,8 +76,8 @@
             ip=ip,
             src="client",
             method=METHODS[verb],
-            path=f"/fast/{jid}",
-            doc=self.oracle.jobs[jid] if verb is JobVerb.SUBMIT else None,
+            path=f"/fast/{job_id}",
+            doc=self.oracle.jobs[job_id] if verb is JobVerb.SUBMIT else None,
             headers={"host": HOST, "x-deadline-ms": "3000"},
             back=ended,
         )
@@ -90,7 +90,7 @@
     client.work(jobs=100)
     for _ in range(4):
         sim.run(seconds=6.0)
-        lead = sim.serving(g=1)
+        lead = sim.serving(group_id=1)
         if fault == "kill" and lead:
             sim.kill(ip=lead[0], power=True)
             sim.at(delay=1.5, fn=lambda ip=lead[0]: sim.boot(ip=ip))  # type: ignore[misc]
@@ -101,8 +101,8 @@
                 sim.kill(ip=ip, power=True)
                 sim.at(delay=1.0, fn=lambda ip=ip: sim.boot(ip=ip))  # type: ignore[misc]
     sim.run(seconds=14.0)
-    for jid in client.jobs:
-        client.call(jid=jid, verb=JobVerb.SHOW)
+    for job_id in client.jobs:
+        client.call(job_id=job_id, verb=JobVerb.SHOW)
     sim.run(seconds=4.0)
     return client, check_answers(history=client.history) or check_jobs(history=client.history)
 
@@ -122,9 +122,9 @@
     def reply(self: Calls, *, uid: str, m: dict[str, Any]) -> None:
         own = self.open.get(m["rid"])
         rids = [
-            rid
-            for rid, pend in self.open.items()
-            if own is not None and own.g == pend.g > 0 and (pend.op == own.op or not same_kind)
+            request_id
+            for request_id, pend in self.open.items()
+            if own is not None and own.group_id == pend.group_id > 0 and (pend.op == own.op or not same_kind)
         ]
         whole(self, uid=uid, m={**m, "rid": rids[0] if rids else m["rid"]})
 
--- a/tests/simulator/test_job_rules.py
+++ b/tests/simulator/test_job_rules.py
@@ -121,13 +121,13 @@
 def complete(day: Day) -> None:
     begin(day)
     over(day)
-    day.judge.shown(jid=JID, status=200, state="complete", sent=day.sim.now)
+    day.judge.shown(job_id=JID, status=200, state="complete", sent=day.sim.now)
 
 
 def shown(status: int, state: str) -> Deed:
     def deed(day: Day) -> None:
         day.judge.accepted[JID] = day.sim.now - 3.1
-        day.judge.shown(jid=JID, status=status, state=state, sent=day.sim.now)
+        day.judge.shown(job_id=JID, status=status, state=state, sent=day.sim.now)
 
     return deed
 
@@ -136,7 +136,7 @@
     begin(day)
     over(day)
     for state in ("complete", "active"):
-        day.judge.shown(jid=JID, status=200, state=state, sent=day.sim.now)
+        day.judge.shown(job_id=JID, status=200, state=state, sent=day.sim.now)
 
 
 def starves(day: Day) -> None:
--- a/tests/simulator/test_simulator.py
+++ b/tests/simulator/test_simulator.py
@@ -95,7 +95,7 @@
 def test_two_that_serve_one_group_are_a_breach(monkeypatch: pytest.MonkeyPatch) -> None:
     run = Run(settings=Settings(seed=4, seconds=6.0, faults=()))
     both = run.sim.core_ips[:2]
-    monkeypatch.setattr(run.sim, "serving", lambda *, g: both)
+    monkeypatch.setattr(run.sim, "serving", lambda *, group_id: both)
     assert run.play().rules == {"PRIMARY"}
 
 
--- a/tests/storage/write_data.py
+++ b/tests/storage/write_data.py
@@ -337,7 +337,7 @@
     for turn in range(3):
         jobs = [caller.submit(stages=stages) for stages in (PLAIN, GANG, [{"task-count": 2, "cpus": 100}])]
         sim.run(seconds=1.0)
-        caller.cancel(jid=jobs[turn % 3])
+        caller.cancel(job_id=jobs[turn % 3])
         doc, match = minions.config(version=version + 1), {"if-match": str(version)}
         status, _ = sim.ask(ip=sim.core_ips[turn], method="PUT", path="/config", doc=doc, headers=match)
         version += status == 200
--- a/tests/support/binding_explorer.py
+++ b/tests/support/binding_explorer.py
@@ -28,24 +28,24 @@
     words = {line for line in lines if all(what == "ROOM" for _, what, _ in w.lines[line])}
     out: list[Choice] = [("deliver", *line) for line in lines if line not in words]
     out[:0] = [("rooms",)] if words else []
-    out += [("write", g) for g in w.placers if w.rep(g=g).queue]
+    out += [("write", group_id) for group_id in w.placers if w.rep(group_id=group_id).queue]
     idle = [m for m in w.minis.values() if m.sent < 0]
-    out += [("beat", m.mid) for m in idle if w.now >= m.due]
+    out += [("beat", m.minion_id) for m in idle if w.now >= m.due]
     ends = [
-        (m.mid, t, "stopped" if row[2] else "done", row[2] or w.now - row[1] > WORK_S)
+        (m.minion_id, t, "stopped" if row[2] else "done", row[2] or w.now - row[1] > WORK_S)
         for m in w.minis.values()
         for t, row in m.running.items()
     ]
-    out += [("end", mid, t, how) for mid, t, how, ripe in ends if ripe]
+    out += [("end", minion_id, t, how) for minion_id, t, how, ripe in ends if ripe]
     out.append(("tick",))
-    out += [("beat", m.mid) for m in idle if w.now < m.due]
-    out += [("end", mid, t, how) for mid, t, how, ripe in ends if not ripe]
-    out += [("end", mid, t, "failed") for mid, t, _, _ in ends]
+    out += [("beat", m.minion_id) for m in idle if w.now < m.due]
+    out += [("end", minion_id, t, how) for minion_id, t, how, ripe in ends if not ripe]
+    out += [("end", minion_id, t, "failed") for minion_id, t, _, _ in ends]
     out += [("lose", *line) for line in lines if w.lines[line][0][1] not in ("NEWS", "MARK")]
-    for g in w.placers:
-        out.append(("die", g, False))
-        if w.rep(g=g).queue:
-            out.append(("die", g, True))
+    for group_id in w.placers:
+        out.append(("die", group_id, False))
+        if w.rep(group_id=group_id).queue:
+            out.append(("die", group_id, True))
     return out
 
 
@@ -59,8 +59,8 @@
             if all(kind == "ROOM" for _, kind, _ in w.lines[line]):
                 w.deliver(line=line)
     elif what == "write":
-        for eff in w.rep(g=c[1]).write():
-            w.effect(g=c[1], eff=eff)
+        for eff in w.rep(group_id=c[1]).write():
+            w.effect(group_id=c[1], eff=eff)
     elif what == "beat":
         w.minis[c[1]].beat()
     elif what == "end":
@@ -70,7 +70,7 @@
     elif what == "lose":
         lose(w, line=c[1:])
     else:
-        die(w, g=c[1], kept=c[2])
+        die(w, group_id=c[1], kept=c[2])
     judge(w)
 
 
@@ -102,17 +102,17 @@
         w.torn.add(line)
 
 
-def die(w: World, *, g: int, kept: bool) -> None:
+def die(w: World, *, group_id: int, kept: bool) -> None:
     """A placing node dies with what it was told; what it sent is still on its way. `kept`: what it wrote last is
     durable, but nothing came of it. The next one begins; agents hear of it by and by."""
-    old, n = w.uid(g=g), w.rep(g=g).base + 1
+    old, n = w.uid(group_id=group_id), w.rep(group_id=group_id).base + 1
     if kept:
-        w.rep(g=g).write()
+        w.rep(group_id=group_id).write()
     w.lines = {line: rows for line, rows in w.lines.items() if line[1] != old}
     w.torn = {line for line in w.torn if line[1] != old}
-    w.rise(g=g, n=n)
+    w.rise(group_id=group_id, n=n)
     for uid in w.agents:
-        w.push(src="news", dst=uid, what="NEWS", body={"g": g, "u": w.uid(g=g), "n": n})
+        w.push(src="news", dst=uid, what="NEWS", body={"g": group_id, "u": w.uid(group_id=group_id), "n": n})
 
 
 def judge(w: World) -> None:
@@ -122,31 +122,33 @@
             have = [
                 sum(part) for part in zip((0, 0, 0), *((x.cpu, x.mem, x.gpu) for x in m.leases.values()), strict=True)
             ]
-            need(have == m.used, "LIMIT", m.mid, "used", m.used, "leases", have)
-            need(all(h <= c for h, c in zip(have, CAP, strict=True)), "LIMIT", m.mid, "leases", have)
-            lids = [r.lid for r in m.runs.values() if r.lid]
-            need(len(set(lids)) == len(lids), "LEASE", m.mid, "serves two runs at a time", lids)
+            need(have == m.used, "LIMIT", m.minion_id, "used", m.used, "leases", have)
+            need(all(h <= c for h, c in zip(have, CAP, strict=True)), "LIMIT", m.minion_id, "leases", have)
+            lids = [r.lease_id for r in m.runs.values() if r.lease_id]
+            need(len(set(lids)) == len(lids), "LEASE", m.minion_id, "serves two runs at a time", lids)
     for mini in w.minis.values():
         cpu = sum(w.size[t.split(".")[0]] for t in mini.running)
-        need(cpu <= CAP[0], "LIMIT", mini.mid, "runs", list(mini.running))
+        need(cpu <= CAP[0], "LIMIT", mini.minion_id, "runs", list(mini.running))
 
 
 def left(w: World) -> list[str]:
     """What is not settled yet: jobs not done in the record, room not back at the agents or in a placing node's table,
     what a placing node still remembers of runs and requests that are no more."""
     out = []
-    for g, p in w.placers.items():
-        out += [f"job {jid}" for jid, job in p.jobs.jobs.items() if job["st"] not in ENDED]
-        out += [f"held {t} by {w.uid(g=g)}" for t in p.held] + [f"ask {rid} of {w.uid(g=g)}" for rid in p.asks]
-        out += [f"write {g}"] if w.rep(g=g).queue else []
+    for group_id, p in w.placers.items():
+        out += [f"job {job_id}" for job_id, job in p.jobs.jobs.items() if job["st"] not in ENDED]
+        out += [f"held {t} by {w.uid(group_id=group_id)}" for t in p.held] + [
+            f"ask {request_id} of {w.uid(group_id=group_id)}" for request_id in p.asks
+        ]
+        out += [f"write {group_id}"] if w.rep(group_id=group_id).queue else []
         out += [
-            f"room of {mid} at {w.uid(g=g)}"
-            for mid in w.minis
-            if (s := p.room.spots.get(mid)) is None or not s.open or s.free != s.cap
+            f"room of {minion_id} at {w.uid(group_id=group_id)}"
+            for minion_id in w.minis
+            if (s := p.room.spots.get(minion_id)) is None or not s.open or s.free != s.cap
         ]
     for a in w.agents.values():
-        out += [f"lease {lid} on {m.mid}" for m in a.minions.values() for lid in m.leases]
-        out += [f"run {t} on {m.mid}" for m in a.minions.values() for t in (*m.runs, *m.strays)]
+        out += [f"lease {lease_id} on {m.minion_id}" for m in a.minions.values() for lease_id in m.leases]
+        out += [f"run {t} on {m.minion_id}" for m in a.minions.values() for t in (*m.runs, *m.strays)]
     out += [
         f"{what} to {dst}"
         for (_, dst), rows in w.lines.items()
@@ -154,7 +156,7 @@
         if what != "ROOM" and dst not in w.minis
     ]
     out += [f"{src} to {dst} torn" for src, dst in w.torn]
-    return out + [f"runs or ends of {m.mid}" for m in w.minis.values() if m.running or m.ends]
+    return out + [f"runs or ends of {m.minion_id}" for m in w.minis.values() if m.running or m.ends]
 
 
 def settled(w: World) -> bool:
@@ -193,7 +195,7 @@
     nums = {n: i for i, n in enumerate(sorted(n for rows in w.lines.values() for n, _, _ in rows))}
     doc = {
         "w": {k: plain(v, set()) for k, v in vars(w).items() if k not in ("lines", "serial")},
-        "q": {g: plain(w.rep(g=g).queue, set()) for g in w.placers},
+        "q": {group_id: plain(w.rep(group_id=group_id).queue, set()) for group_id in w.placers},
         "l": {f"{a}>{b}": [[nums[n], what, body] for n, what, body in rows] for (a, b), rows in w.lines.items()},
         "p": {uid: a.hub.prims for uid, a in w.agents.items()},  # type: ignore[attr-defined]
     }
@@ -285,6 +287,6 @@
     w = World()
     while not settled(w):
         do(w, choices(w)[0])
-    for jid, stages in jobs:
-        w.put(jid=jid, stages=stages)
+    for job_id, stages in jobs:
+        w.put(job_id=job_id, stages=stages)
     return w
--- a/tests/support/binding_model.py
+++ b/tests/support/binding_model.py
@@ -37,7 +37,7 @@
     """A replica as its users see it. Invariant: what `commit` applied and `write` did not reach dies with the node."""
 
     w: "World"
-    g: int
+    group_id: int
     base: int
     state: Jobs
     queue: list[tuple[dict[str, Any] | None, Choice | None]] = field(default_factory=list)
@@ -51,9 +51,9 @@
             need(not step["gang"] or len(ev["x"]) == step["n"], "GANG", "below its criterion", ev)
             if then is not None:
                 rows = then[2]
-                need(len({(h.agent, h.lid) for *_, h in rows}) == len(ev["x"]), "LEASE", "shared", ev)
+                need(len({(h.agent, h.lease_id) for *_, h in rows}) == len(ev["x"]), "LEASE", "shared", ev)
                 for *_, h in rows:
-                    self.w.holds(uid=self.w.uid(g=self.g), agent=h.agent, lid=h.lid)
+                    self.w.holds(uid=self.w.uid(group_id=self.group_id), agent=h.agent, lease_id=h.lease_id)
         out = self.state.apply(ev)
         self.queue.append((ev, then))
         return out
@@ -62,17 +62,17 @@
         if self.queue:
             self.queue.append((None, then))
         else:
-            self.w.effect(g=self.g, eff=then)
+            self.w.effect(group_id=self.group_id, eff=then)
 
     def write(self) -> list[Choice]:
         """All that waits is durable: what follows from it."""
         rows, self.queue = self.queue, []
         for ev, _ in rows:
             if ev is not None:
-                self.w.log[self.g].append(orjson.loads(orjson.dumps(ev)))
+                self.w.log[self.group_id].append(orjson.loads(orjson.dumps(ev)))
                 if ev["t"] == "start":
                     self.w.begun.update(
-                        f"{task_name(jid=ev['id'], unit=ev['u'], idx=i)}/{run}" for i, run, _ in ev["x"]
+                        f"{task_name(job_id=ev['id'], unit=ev['u'], idx=i)}/{run}" for i, run, _ in ev["x"]
                     )
         return [then for _, then in rows if then is not None]
 
@@ -103,8 +103,8 @@
     def trusted(self) -> bool:
         return True
 
-    def primary(self, *, g: int) -> tuple[str, int] | None:
-        return self.prims[g]
+    def primary(self, *, group_id: int) -> tuple[str, int] | None:
+        return self.prims[group_id]
 
     def evacuated(self, *, site: str) -> bool:
         return False
@@ -121,13 +121,13 @@
     def trace(self, *, event: str, **fields: object) -> None:
         pass
 
-    def gone(self, *, mid: str, fence: int) -> None:
-        need(False, "LOST", mid, "was called lost, but minions never fall silent here")
+    def gone(self, *, minion_id: str, fence: int) -> None:
+        need(False, "LOST", minion_id, "was called lost, but minions never fall silent here")
 
     def route(self, *, name: str) -> dict[str, Any] | None:
         return {"backend": "s", "max-tries": 3, "target-ms": 2000, "rank": 0, "stretch": 2.0}
 
-    def reply(self, *, uid: str, rid: int, status: int, doc: Any) -> None:
+    def reply(self, *, uid: str, request_id: int, status: int, doc: Any) -> None:
         need(status == 200, "REFUSED", status, doc)
 
     def ranks(self) -> dict[str, int]:
@@ -142,7 +142,7 @@
     """A minion: one beat at a time; a start beyond every run number seen of its task only; ends kept until noted."""
 
     w: "World"
-    mid: str
+    minion_id: str
     agent: str
     fence: int = 0
     hold: float = 0.0
@@ -159,8 +159,8 @@
         self.sent = self.w.now
         cpu, mem, gpu = CAP
         self.w.agents[self.agent].beat(
-            mid=self.mid,
-            call=(self.mid, self.seq),
+            minion_id=self.minion_id,
+            call=(self.minion_id, self.seq),
             doc={
                 "backend": "s",
                 "zone": "z",
@@ -198,7 +198,9 @@
                 need(spec == f"spec-{task.split('.')[0]}", "UNASKED", task)
                 need(f"{task}/{run}" in self.w.begun, "EARLY", task, run, "is not in the record")
                 need(task not in self.w.noted, "TWICE", task, run, "after its end was noted")
-                need(not any(task in m.running for m in self.w.minis.values()), "TWICE", task, run, "on", self.mid)
+                need(
+                    not any(task in m.running for m in self.w.minis.values()), "TWICE", task, run, "on", self.minion_id
+                )
                 self.running[task] = [run, self.w.now, False]
 
     def end(self, *, task: str, how: str) -> None:
@@ -222,54 +224,58 @@
         self.grants: dict[str, str] = {}  # agent:lease, to whom it was granted
         self.back: set[str] = set()  # those that were given back
         self.size: dict[str, int] = {}
-        self.minis = {mid: Mini(w=self, mid=mid, agent=uid) for uid, mid in (("a1", "i1"), ("a2", "i2"))}
+        self.minis = {
+            minion_id: Mini(w=self, minion_id=minion_id, agent=uid) for uid, minion_id in (("a1", "i1"), ("a2", "i2"))
+        }
         self.agents: dict[str, Agent] = {}
         self.placers: dict[int, Placer] = {}
-        for g in (1, 2):
-            self.rise(g=g, n=1)
+        for group_id in (1, 2):
+            self.rise(group_id=group_id, n=1)
         for m in self.minis.values():
-            hub = Hub(w=self, uid=m.agent, prims={g: (self.uid(g=g), 1) for g in (1, 2)})
+            hub = Hub(w=self, uid=m.agent, prims={group_id: (self.uid(group_id=group_id), 1) for group_id in (1, 2)})
             self.agents[m.agent] = Agent(
                 hub=cast(AgentEnvironment, hub), hold_ms=HOLD_MS, stop_ms=STOP_MS, lag_ms=LAG_MS
             )
-            self.agents[m.agent].own(mid=m.mid, fence=5, info={})
+            self.agents[m.agent].own(minion_id=m.minion_id, fence=5, info={})
 
     # -- placing nodes
 
-    def uid(self, *, g: int) -> str:
-        return str(self.placers[g].hub.uid)
+    def uid(self, *, group_id: int) -> str:
+        return str(self.placers[group_id].hub.uid)
 
-    def rise(self, *, g: int, n: int) -> None:
+    def rise(self, *, group_id: int, n: int) -> None:
         """A placing node begins with what is durable."""
         jobs = Jobs(learn=False)
-        for ev in self.log[g]:
+        for ev in self.log[group_id]:
             jobs.apply(orjson.loads(orjson.dumps(ev)))
-        rep = Rep(w=self, g=g, base=n, state=jobs)
-        self.placers[g] = Placer(
+        rep = Rep(w=self, group_id=group_id, base=n, state=jobs)
+        self.placers[group_id] = Placer(
             defaults=SHIPPED,
-            g=g,
-            hub=Hub(w=self, uid=f"p{g}.{n}"),
+            group_id=group_id,
+            hub=Hub(w=self, uid=f"p{group_id}.{n}"),
             rep=cast(Replica, rep),
             jobs=jobs,
             far=2.0,
             status_s=120.0,
         )
 
-    def rep(self, *, g: int) -> Rep:
-        return cast(Rep, self.placers[g].rep)
+    def rep(self, *, group_id: int) -> Rep:
+        return cast(Rep, self.placers[group_id].rep)
 
-    def put(self, *, jid: str, stages: list[dict[str, Any]]) -> None:
+    def put(self, *, job_id: str, stages: list[dict[str, Any]]) -> None:
         """A job is handed in."""
-        g = 1 + int(jid[:8], 16) % 2
-        row = parse(body=orjson.dumps({"task-spec": f"spec-{jid}", "stages": stages}))
-        self.size[jid] = stages[0]["cpus"]
-        self.placers[g].call(uid="edge", rid=1, op="put", b={"id": jid, "q": "q", "j": {**row, "svc": "s", "mt": 3}})
-        for eff in self.rep(g=g).write():
-            self.effect(g=g, eff=eff)
-
-    def effect(self, *, g: int, eff: Choice) -> None:
+        group_id = 1 + int(job_id[:8], 16) % 2
+        row = parse(body=orjson.dumps({"task-spec": f"spec-{job_id}", "stages": stages}))
+        self.size[job_id] = stages[0]["cpus"]
+        self.placers[group_id].call(
+            uid="edge", request_id=1, op="put", b={"id": job_id, "q": "q", "j": {**row, "svc": "s", "mt": 3}}
+        )
+        for eff in self.rep(group_id=group_id).write():
+            self.effect(group_id=group_id, eff=eff)
+
+    def effect(self, *, group_id: int, eff: Choice) -> None:
         """As in `node/core.py`."""
-        p = self.placers[g]
+        p = self.placers[group_id]
         if eff[0] == "orders":
             p.orders(eff[2])
         elif eff[0] == "stops":
@@ -282,11 +288,11 @@
             need(eff[0] == "reply", "EFFECT", eff[0])
 
     def durable(self, *, task: str) -> bool:
-        jid, k, s, i = task.split(".")
+        job_id, k, s, i = task.split(".")
         jobs = Jobs(learn=False)
-        for ev in self.log[1 + int(jid[:8], 16) % 2]:
+        for ev in self.log[1 + int(job_id[:8], 16) % 2]:
             jobs.apply(orjson.loads(orjson.dumps(ev)))
-        job = jobs.jobs[jid]
+        job = jobs.jobs[job_id]
         return job["st"] in ENDED or job["u"][f"{k}.{s}"]["s"][int(i)] == 2
 
     # -- channels
@@ -297,24 +303,24 @@
 
     def send(self, *, src: str, dst: str, kind: Kind, body: dict[str, Any]) -> None:
         if kind is Kind.GRANT:
-            for lid, _, _ in body["x"]:
-                self.grants[f"{src}:{lid}"] = dst
+            for lease_id, _, _ in body["x"]:
+                self.grants[f"{src}:{lease_id}"] = dst
         elif kind is Kind.RETURN:
-            for _, lid in body["x"]:
-                self.holds(uid=src, agent=dst, lid=lid)
-                self.back.add(f"{dst}:{lid}")
+            for _, lease_id in body["x"]:
+                self.holds(uid=src, agent=dst, lease_id=lease_id)
+                self.back.add(f"{dst}:{lease_id}")
         elif kind is Kind.ORDER:
-            for _, _, lid, task, run, _, _ in body["x"]:
+            for _, _, lease_id, task, run, _, _ in body["x"]:
                 need(f"{task}/{run}" in self.begun, "EARLY", task, run, "is ordered and not in the record")
-                self.holds(uid=src, agent=dst, lid=lid)
-        if dst in self.agents or dst in (self.uid(g=1), self.uid(g=2)):
+                self.holds(uid=src, agent=dst, lease_id=lease_id)
+        if dst in self.agents or dst in (self.uid(group_id=1), self.uid(group_id=2)):
             self.push(src=src, dst=dst, what=kind.name, body=body)
 
-    def holds(self, *, uid: str, agent: str, lid: int) -> None:
+    def holds(self, *, uid: str, agent: str, lease_id: int) -> None:
         need(
-            self.grants.get(f"{agent}:{lid}") == uid and f"{agent}:{lid}" not in self.back,
+            self.grants.get(f"{agent}:{lease_id}") == uid and f"{agent}:{lease_id}" not in self.back,
             "LEASE",
-            f"{agent}:{lid}",
+            f"{agent}:{lease_id}",
             "is not held by",
             uid,
         )
@@ -357,13 +363,13 @@
 
     def agent(self, *, a: Agent, src: str, kind: Kind, b: dict[str, Any]) -> None:
         if kind is Kind.ORDER:
-            was = {(m.mid, r.task, r.run) for m in a.minions.values() for r in m.runs.values()}
+            was = {(m.minion_id, r.task, r.run) for m in a.minions.values() for r in m.runs.values()}
             a.order(uid=src, b=b)
-            for mid, _, lid, task, run, _, _ in b["x"]:
-                r = a.minions[mid].runs.get(task)
-                if r is not None and r.run == run and (mid, task, run) not in was:
-                    self.holds(uid=src, agent=a.hub.uid, lid=lid)
-                    need(src == a.hub.primary(g=b["g"])[0], "LEASE", src, "is no primary")  # type: ignore[index]
+            for minion_id, _, lease_id, task, run, _, _ in b["x"]:
+                r = a.minions[minion_id].runs.get(task)
+                if r is not None and r.run == run and (minion_id, task, run) not in was:
+                    self.holds(uid=src, agent=a.hub.uid, lease_id=lease_id)
+                    need(src == a.hub.primary(group_id=b["g"])[0], "LEASE", src, "is no primary")  # type: ignore[index]
         elif kind is Kind.ATTACH:
             a.attach(uid=src, b=b)
         elif kind is Kind.LEASE:
@@ -373,7 +379,7 @@
         elif kind is Kind.STOP:
             a.stop(b=b)
         elif kind is Kind.ROOMGET:
-            a.share.roomget(uid=src, g=b["g"])
+            a.share.roomget(uid=src, group_id=b["g"])
         elif kind is Kind.ENDSOK:
             a.endsok(body=b)
         else:
--- a/tests/support/replica_cell.py
+++ b/tests/support/replica_cell.py
@@ -98,13 +98,13 @@
     def note(self, *, event: str, **fields: object) -> None:
         self.notes.append((event, fields))
 
-    def installed(self, *, g: int, epoch: Epoch) -> None:
+    def installed(self, *, group_id: int, epoch: Epoch) -> None:
         self.cell.decided[epoch["n"]] = epoch
 
-    def elected(self, *, g: int) -> None:
+    def elected(self, *, group_id: int) -> None:
         self.cell.elections += 1
 
-    def deposed(self, *, g: int) -> None:
+    def deposed(self, *, group_id: int) -> None:
         pass
 
     # -- its disk
@@ -134,7 +134,7 @@
         begin = last_snapshot(records=journal)
         recs = [orjson.loads(raw) for raw in counted(records=journal, begin=max(begin, 0))]
         state = Rows()
-        rep = built(g=0, hub=self, state=state, epoch=None)
+        rep = built(group_id=0, hub=self, state=state, epoch=None)
         for rec in recs:
             if rec["k"] not in ("id", "none"):
                 rep.restore(rec)
@@ -167,7 +167,7 @@
         first: Epoch = {"n": 0, "p": uids[0], "b": uids[1 : 1 + losses], "w": uids, "t": ""}
         self.members = {uid: Member(cell=self, uid=uid) for uid in uids}
         for member in self.members.values():
-            member.rep = built(g=0, hub=member, state=member.state, epoch=first)
+            member.rep = built(group_id=0, hub=member, state=member.state, epoch=first)
             member.journal = member.snapshot()
 
     def deliver(self, *, at: int = 0) -> None:
--- a/tests/support/replication_adapter.py
+++ b/tests/support/replication_adapter.py
@@ -147,15 +147,15 @@
         if event == "campaign":
             self.left = max(self.left, int(str(fields["after"])))
 
-    def installed(self, *, g: int, epoch: Epoch) -> None:
+    def installed(self, *, group_id: int, epoch: Epoch) -> None:
         self.w.learnt(member=self, epoch=epoch)
 
-    def elected(self, *, g: int) -> None:
+    def elected(self, *, group_id: int) -> None:
         for other in self.w.members:
             if other is not self and self.epoch is not None:
                 self.w.send(src=self, dst=other.addr, kind="NEWS", body={"e": self.epoch}, copy=False)
 
-    def deposed(self, *, g: int) -> None:
+    def deposed(self, *, group_id: int) -> None:
         pass
 
     # -- what the explorer asks and does
@@ -198,7 +198,7 @@
 
     def replay(self, *, records: list[dict[str, Any]], epoch: Epoch | None = None) -> Replica:
         """The replica that a restart makes of records."""
-        rep = Replica(g=GROUP, hub=self.hub, state=Registry() if self.registry else Book(), epoch=epoch)
+        rep = Replica(group_id=GROUP, hub=self.hub, state=Registry() if self.registry else Book(), epoch=epoch)
         try:
             for rec in copy_of(records):
                 if rec["k"] != "none":
--- a/tests/support/two_operators.py
+++ b/tests/support/two_operators.py
@@ -69,12 +69,12 @@
             )
             for name in ("ann", "ben")
         ]
-        self.sim.until(cond=lambda: bool(self.sim.serving(g=0)), limit=10.0)
+        self.sim.until(cond=lambda: bool(self.sim.serving(group_id=0)), limit=10.0)
         for operator in self.operators:
             operator.start()
 
     def primary(self) -> str | None:
-        return next(iter(self.sim.serving(g=0)), None)
+        return next(iter(self.sim.serving(group_id=0)), None)
 
     def finish(self) -> Breach | None:
         """All is well again: let the work end, read everywhere, judge."""
--- a/tests/testbed/test_simulated_minion.py
+++ b/tests/testbed/test_simulated_minion.py
@@ -24,8 +24,8 @@
         self.oracle, self.judge = oracle, judge
 
     def started(self, *, m: Hollow, task: str, run: int, spec: str, saved: str) -> None:
-        jid = task.split(".")[0]
-        self.judge.sent(jid=jid, doc=self.oracle.jobs[jid], tries=self.oracle.tries)
+        job_id = task.split(".")[0]
+        self.judge.sent(job_id=job_id, doc=self.oracle.jobs[job_id], tries=self.oracle.tries)
         self.oracle.started(m=m, task=task, run=run, spec=spec, saved=saved)  # type: ignore[arg-type]
         self.judge.started(m=m, task=task, run=run, spec=spec, saved=saved)
 
@@ -73,7 +73,7 @@
                 m.miss(seq=seq, now=sim.now)
 
         sim.at(delay=1.0, fn=late)
-        sim.http(ip=dst, src=m.mid, method="PUT", path=f"/minions/{m.mid}", doc=doc, back=back)
+        sim.http(ip=dst, src=m.minion_id, method="PUT", path=f"/minions/{m.minion_id}", doc=doc, back=back)
 
 
 def hollow_cluster(
@@ -87,7 +87,7 @@
             sim=sim,
             m=Hollow(
                 yard=yard,
-                mid=f"i-{i}",
+                minion_id=f"i-{i}",
                 svc="svc",
                 site=f"z{i % len(sim.sites)}",
                 cap=(4000, 8000, 0),
@@ -104,25 +104,25 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_jobs_complete_on_hollow_minions(seed: int) -> None:
     sim, oracle, judge, caller, _ = hollow_cluster(seed=seed)
-    jids = [caller.submit(stages=[TASK, {**TASK, "depends-on": [0]}]) for _ in range(6)]
-    jids.append(caller.submit(stages=[{**TASK, "task-count": 1}, {**TASK, "anti-affinity": 1}]))
-    finish(sim, oracle, caller, jids)
+    job_ids = [caller.submit(stages=[TASK, {**TASK, "depends-on": [0]}]) for _ in range(6)]
+    job_ids.append(caller.submit(stages=[{**TASK, "task-count": 1}, {**TASK, "anti-affinity": 1}]))
+    finish(sim, oracle, caller, job_ids)
     assert judge.broken == [] and judge.starts >= 6 * 6 + 4
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_no_rule_broken_through_crashes_cuts_and_freezes(seed: int) -> None:
     sim, oracle, judge, caller, fleet = hollow_cluster(seed=seed)
-    jids = []
+    job_ids = []
     for kind in ("crash", "cut", "freeze", "kill"):
-        jids += [caller.submit(stages=[TASK, {**TASK, "depends-on": [0], "checkpoints": True}]) for _ in range(2)]
+        job_ids += [caller.submit(stages=[TASK, {**TASK, "depends-on": [0], "checkpoints": True}]) for _ in range(2)]
         sim.run(seconds=1.0)
         ip = sim.rng.choice(sim.core_ips)
         if kind == "crash" and (live := [d.m for d in fleet if d.m.up]):
             sim.rng.choice(live).crash(now=sim.now)
         elif kind == "cut":
             for other in sim.core_ips:
-                sim.cut(a=fleet[-1].m.mid, b=other)
+                sim.cut(a=fleet[-1].m.minion_id, b=other)
             sim.at(delay=9.0, fn=sim.heal)
         elif kind == "freeze":
             sim.freeze(ip=ip, seconds=3.0)
@@ -130,7 +130,7 @@
             sim.kill(ip=ip)
             sim.at(delay=0.5, fn=lambda ip=ip: sim.boot(ip=ip))  # type: ignore[misc]
         sim.run(seconds=10.0)
-    finish(sim, oracle, caller, jids)
+    finish(sim, oracle, caller, job_ids)
     assert judge.broken == []
 
 
@@ -143,9 +143,11 @@
         {"task-count": 1, "cpus": 500, "checkpoints": True},
         {"task-count": 1, "cpus": 9000},
     ]
-    judge.sent(jid=JID, doc={"task-spec": write(stages=stages, ms=[500, 500, 9000, 500]), "stages": stages}, tries=3)
+    judge.sent(job_id=JID, doc={"task-spec": write(stages=stages, ms=[500, 500, 9000, 500]), "stages": stages}, tries=3)
     yard = Yard(seed=1, bounds=Bounds(drift=0.0, **bounds), watcher=judge)
-    return Hollow(yard=yard, mid="i-1", svc="svc", site="z", cap=(4000, 8000, 0), labels=("a", "r1"), guards=guards)
+    return Hollow(
+        yard=yard, minion_id="i-1", svc="svc", site="z", cap=(4000, 8000, 0), labels=("a", "r1"), guards=guards
+    )
 
 
 def spec(m: Hollow) -> str:
@@ -316,7 +318,7 @@
     judge = Judge()
     m = one(judge=judge)
     stages = [{"task-count": 1}, {"task-count": 2, "depends-on": [0], "requires": "big", "anti-affinity": 1}]
-    judge.sent(jid="a" * 16, doc={"task-spec": "s", "stages": stages}, tries=1)
+    judge.sent(job_id="a" * 16, doc={"task-spec": "s", "stages": stages}, tries=1)
     judge.jobs["a" * 16].refused = True
 
     def start(task: str, run: int = 1, text: str = "s", saved: str = "") -> list[str]:
--- a/tests/transport/test_codec.py
+++ b/tests/transport/test_codec.py
@@ -6,7 +6,7 @@
 import orjson
 import pytest
 
-from yarrowloom.cluster_state import config as conf
+from yarrowloom.cluster_state import config
 from yarrowloom.cluster_state.registry import Registry
 from yarrowloom.common.errors import InvalidError, StampError, StartupError, YarrowError
 from yarrowloom.common.settings import check as check_startup
@@ -117,11 +117,11 @@
     rng = random.Random(seed)
     doc = noise(rng=rng, doc=CONF)
     try:
-        good = conf.check(doc=doc)
+        good = config.check(doc=doc)
     except InvalidError as err:
         assert err.findings
         return
-    table = conf.Table(doc=good)
+    table = config.Table(doc=good)
     names = {s["name"] for s in good["service-table"]}
     assert all(r["backend"] in names and r["deadline-ms"] > 0 for r in table.routes.values())
     assert len({(r["host-name"], r["path-prefix"]) for r in table.routes.values()}) == len(table.routes)
@@ -139,9 +139,9 @@
     ],
 )
 def test_each_clause_of_validity(change: dict[str, Any]) -> None:
-    conf.check(doc=CONF)
+    config.check(doc=CONF)
     with pytest.raises(InvalidError):
-        conf.check(doc={**CONF, **change})
+        config.check(doc={**CONF, **change})
 
 
 def test_registry_races_repeats_and_rising_versions() -> None:
--- a/tests/transport/test_incarnations.py
+++ b/tests/transport/test_incarnations.py
@@ -14,7 +14,7 @@
 
 def change(sim: Sim, *, version: int, base: int) -> None:
     """A configuration is accepted and in force everywhere within two seconds."""
-    ip = sim.serving(g=0)[0]
+    ip = sim.serving(group_id=0)[0]
     status, _ = sim.ask(
         ip=ip, method="PUT", path="/config", doc=config(version=version), headers={"if-match": str(base)}
     )
@@ -40,7 +40,7 @@
 def test_processes_that_restart_after_their_clocks_went_back_are_heard() -> None:
     """Seen on the bench: clocks 4.8 s ahead for 3 s, a core and an edge restarted meanwhile and once more after."""
     sim = running(seed=1)
-    main = sim.serving(g=0)[0]
+    main = sim.serving(group_id=0)[0]
     core = next(ip for ip in sim.core_ips if ip != main)
     edge = sim.edge_ips[0]
     sim.skew.update({core: 4.8, edge: 4.8})
@@ -53,8 +53,8 @@
 def test_a_primary_that_restarts_after_its_clock_went_back_an_hour_takes_part_again() -> None:
     sim = running(seed=2)
     for version in range(2, 5):
-        main = sim.serving(g=0)[0]
+        main = sim.serving(group_id=0)[0]
         sim.skew[main] = sim.skew.get(main, 0.0) - 3600.0
         restart(sim, ips=[main])
-        assert sim.until(cond=lambda: bool(sim.serving(g=0)), limit=5.0)
+        assert sim.until(cond=lambda: bool(sim.serving(group_id=0)), limit=5.0)
         change(sim, version=version, base=version - 1)
--- a/tests/transport/test_lanes.py
+++ b/tests/transport/test_lanes.py
@@ -217,7 +217,7 @@
     def send(self, *, uid: str, kind: Kind, body: dict[str, Any]) -> None:
         self.sent.append((round(self.now, 2), uid))
 
-    def primary(self, *, g: int) -> tuple[str, int] | None:
+    def primary(self, *, group_id: int) -> tuple[str, int] | None:
         return self.at
 
     def learn(self, *, eps: list[Any]) -> None:
@@ -230,7 +230,7 @@
 def test_calls_back_off_and_follow_the_primary_at_once() -> None:
     node = Node()
     calls = Calls(hub=node, base=0)
-    calls.start(g=1, op="put", b={}, done=("x",), ttl=8.0)
+    calls.start(group_id=1, op="put", b={}, done=("x",), ttl=8.0)
     while node.now < 5.0:
         calls.tick()
         node.now += 0.05
@@ -252,15 +252,15 @@
 
 def test_a_repeat_of_a_call_in_hand_is_passed_over_and_one_after_its_answer_is_not() -> None:
     sim, _, _, _ = cluster(seed=81)
-    ip = sim.serving(g=1)[0]
+    ip = sim.serving(group_id=1)[0]
     node = sim.core(ip)
     taken: list[int] = []
     placer = node.placers[1]
     real = placer.call
 
-    def call(*, uid: str, rid: int, op: str, b: dict[str, Any]) -> None:
-        taken.append(rid)
-        real(uid=uid, rid=rid, op=op, b=b)
+    def call(*, uid: str, request_id: int, op: str, b: dict[str, Any]) -> None:
+        taken.append(request_id)
+        real(uid=uid, request_id=request_id, op=op, b=b)
 
     placer.call = call  # type: ignore[method-assign]
     m = {"rid": 7, "g": 1, "op": "count", "b": {"q": "fast"}}
@@ -275,7 +275,7 @@
 
 def test_a_deposed_primary_sends_its_callers_on() -> None:
     sim, _, _, _ = cluster(seed=82)
-    ip = sim.serving(g=1)[0]
+    ip = sim.serving(group_id=1)[0]
     node = sim.core(ip)
     node.reps[1].commit(ev={"t": "forget", "ids": []})
     node.on(uid="10.0.1.1:7001#ff", kind=Kind.CALL, m={"rid": 7, "g": 1, "op": "count", "b": {"q": "fast"}})
--- a/tests/transport/test_malformed_frames.py
+++ b/tests/transport/test_malformed_frames.py
@@ -220,7 +220,7 @@
 
 def node_of(sim: Sim) -> Shell:
     """The shell of a serving core, without sockets."""
-    node = sim.core(sim.serving(g=1)[0])
+    node = sim.core(sim.serving(group_id=1)[0])
     shell = Shell(node=node, log=Lines(), ring=None, port=7000)
     shell.credit = 1e9
     shell.peers.send = lambda **_: None  # type: ignore[method-assign]
@@ -247,14 +247,14 @@
     sim, _, _, _ = cluster(seed=90 + seed)
     shell = node_of(sim)
     node = shell.node
-    node.calls.start(g=0, op="getconf", b={}, done=("none",), ttl=1e12)
-    rid = node.calls.rid
+    node.calls.start(group_id=0, op="getconf", b={}, done=("none",), ttl=1e12)
+    request_id = node.calls.request_id
     for _ in range(1500):
         kind = rng.choice([Kind.CALL, Kind.REPLY])
         m: Any = rng.choice(ODD) if rng.random() < 0.1 else {k: rng.choice(ODD) for k in rng.sample(KEYS, 8)}
         if isinstance(m, dict) and rng.random() < 0.8:
             m |= {
-                "rid": rng.choice([rid, *ODD]),
+                "rid": rng.choice([request_id, *ODD]),
                 "g": rng.choice([-1, 0, 1, 7, *ODD]),
                 "op": rng.choice(
                     ["put", "get", "del", "count", "conf", "getconf", "who", "leave", "gone", "beat", *ODD[:8]]
@@ -262,5 +262,5 @@
                 "b": rng.choice([*ODD, {"id": 7}, {"m": []}]),
             }
         shell._frames(rng.choice(sorted(sim.uids.values())), Lane.WORK, [(kind, m)], False)
-    assert rid in node.calls.open
+    assert request_id in node.calls.open
     assert any(event == "frame-malformed" for event, _ in cast(Lines, shell.log).rows)
--- a/yarrowloom/agent/agent.py
+++ b/yarrowloom/agent/agent.py
@@ -51,42 +51,42 @@
 
     # -- ownership
 
-    def own(self, *, mid: str, fence: int, info: dict[str, Any]) -> None:
+    def own(self, *, minion_id: str, fence: int, info: dict[str, Any]) -> None:
         """Group 0 gave this agent a minion."""
-        old = self.minions.get(mid)
+        old = self.minions.get(minion_id)
         if old is not None and old.fence >= fence:
             return
         if old is not None and old.call is not None:
             self.hub.respond(call=old.call.key, res=Response(status=503))
-        self.minions[mid] = Minion(
-            mid=mid,
+        self.minions[minion_id] = Minion(
+            minion_id=minion_id,
             fence=fence,
             heard=self.hub.now,
             svc=info.get("svc", ""),
             site=info.get("site", ""),
             labels=info.get("labels", []),
         )
-        self.share.stale.add(mid)
-        self.watch.add(mid)
+        self.share.stale.add(minion_id)
+        self.watch.add(minion_id)
 
-    def disown(self, *, mid: str) -> None:
+    def disown(self, *, minion_id: str) -> None:
         """Group 0 gave it to another, or took it off the list."""
-        m = self.minions.pop(mid, None)
+        m = self.minions.pop(minion_id, None)
         if m is not None and m.call is not None:
             self.hub.respond(call=m.call.key, res=Response(status=503))
-        self.share.stale.add(mid)
-        self.watch.discard(mid)
+        self.share.stale.add(minion_id)
+        self.watch.discard(minion_id)
 
     def drop_all(self) -> None:
         """This agent is no longer counted in: what it held is void."""
-        for mid in list(self.minions):
-            self.disown(mid=mid)
+        for minion_id in list(self.minions):
+            self.disown(minion_id=minion_id)
 
     # -- beats
 
-    def beat(self, *, mid: str, doc: dict[str, Any], call: Any) -> None:
+    def beat(self, *, minion_id: str, doc: dict[str, Any], call: Any) -> None:
         """A beat of an owned minion."""
-        hub, m = self.hub, self.minions[mid]
+        hub, m = self.hub, self.minions[minion_id]
         if not hub.trusted() or m.phase is Phase.LOST:
             m.heard = hub.now  # it lives, though it may not hold on to what it runs
             hub.respond(call=call, res=Response(status=503))
@@ -110,26 +110,26 @@
             return
         if m.phase is Phase.FENCED:
             m.move(Phase.KNOWN)
-        if cap != m.cap or was != m.draining or mid not in self.share.shown:
-            self.share.stale.add(mid)
-        self.watch.add(mid)
+        if cap != m.cap or was != m.draining or minion_id not in self.share.shown:
+            self.share.stale.add(minion_id)
+        self.watch.add(minion_id)
         settle(agent=self, m=m, beat=True)
         self.tell(m=m)
         m.call = Call(key=call, at=hub.now, horizon=hub.now)
         answer(agent=self, m=m, fresh=True)
 
-    def leave(self, *, mid: str, call: Any) -> None:
+    def leave(self, *, minion_id: str, call: Any) -> None:
         """A minion says that it ends. One that said before that it drains ends now. For another this is the notice: it
         serves on for `drain-ms` or longer, and what it runs counts as running until an end is listed or its hold is
         over."""
-        m = self.minions.get(mid)
+        m = self.minions.get(minion_id)
         if m is not None and m.phase is not Phase.LOST:
             if m.warned:
                 m.losing = m.losing or self.hub.now + LEFT_S
             elif not m.draining:
                 m.leave = self.hub.now + self.drain_ms / 1000
             m.draining = True
-            self.share.stale.add(mid)
+            self.share.stale.add(minion_id)
         self.hub.respond(call=call, res=Response.of(200, {}))
 
     def tell(self, *, m: Minion) -> None:
@@ -143,15 +143,17 @@
             if parts is None or len(parts[0]) != 16:
                 m.acked.add(num)
                 continue
-            g = group_of(jid=parts[0], groups=len(self.groups))
-            if g not in m.att:
+            group_id = group_of(job_id=parts[0], groups=len(self.groups))
+            if group_id not in m.att:
                 continue
             m.told[num] = now
-            batch.setdefault(g, []).append([num, task, run, how, saved])
-        for g, rows in batch.items():
-            prim = self.hub.primary(g=g)
+            batch.setdefault(group_id, []).append([num, task, run, how, saved])
+        for group_id, rows in batch.items():
+            prim = self.hub.primary(group_id=group_id)
             if prim is not None:
-                self.hub.send(uid=prim[0], kind=Kind.ENDS, body={"g": g, "m": m.mid, "f": m.fence, "x": rows})
+                self.hub.send(
+                    uid=prim[0], kind=Kind.ENDS, body={"g": group_id, "m": m.minion_id, "f": m.fence, "x": rows}
+                )
         m.note()
 
     def endsok(self, *, body: dict[str, Any]) -> None:
@@ -171,10 +173,10 @@
         r = m.runs.get(task)
         if r is not None and r.run == run:
             del m.runs[task]
-            les = m.leases.get(r.lid)
+            les = m.leases.get(r.lease_id)
             if les is not None and les.own:
-                m.reclaim(lid=r.lid)
-                self.share.stale.add(m.mid)
+                m.reclaim(lease_id=r.lease_id)
+                self.share.stale.add(m.minion_id)
             elif les is not None:
                 les.task, les.until = "", self.hub.now + IDLE_S
 
@@ -182,26 +184,26 @@
 
     def attach(self, *, uid: str, b: dict[str, Any]) -> None:
         """A group tells what it has on a minion; answer what of it never started."""
-        m, g = self.minions.get(b["m"]), b["g"]
-        prim = self.hub.primary(g=g)
+        m, group_id = self.minions.get(b["m"]), b["g"]
+        prim = self.hub.primary(group_id=group_id)
         if m is None or m.fence != b["f"] or m.phase is not Phase.KNOWN or (prim and prim[1] > b["n"]):
             return
-        if g in m.att and m.att[g] >= (b["n"], b["seq"]):
+        if group_id in m.att and m.att[group_id] >= (b["n"], b["seq"]):
             return
-        m.att[g] = (b["n"], b["seq"])
-        m.met.add(g)
+        m.att[group_id] = (b["n"], b["seq"])
+        m.met.add(group_id)
         m.asked = 0
         want = {row[0]: row for row in b["x"]}
         for task, r in list(m.runs.items()):
-            if r.g == g and (task not in want or want[task][1] != r.run):
+            if r.group_id == group_id and (task not in want or want[task][1] != r.run):
                 if r.sent or r.live:
                     r.stop = True
                 else:
                     self._clear(m=m, task=task, run=r.run)
-        for lid, les in list(m.leases.items()):
-            if les.g == g and not les.task:
-                m.reclaim(lid=lid)
-            elif les.g == g:
+        for lease_id, les in list(m.leases.items()):
+            if les.group_id == group_id and not les.task:
+                m.reclaim(lease_id=lease_id)
+            elif les.group_id == group_id:
                 les.own = True  # the attachment lists its run, but no placing node knows the lease
         void = []
         for task, run, cpu, mem, gpu, est in b["x"]:
@@ -210,16 +212,16 @@
                 if have.stop or have.sent or have.live:
                     continue
                 self._clear(m=m, task=task, run=run)
-                m.reclaim(lid=have.lid)
+                m.reclaim(lease_id=have.lease_id)
                 void.append([task, run])
             elif task in m.running and m.running[task][0] == run:
-                les = self._lease(m=m, g=g, cpu=cpu, mem=mem, gpu=gpu)
+                les = self._lease(m=m, group_id=group_id, cpu=cpu, mem=mem, gpu=gpu)
                 les.task, les.own = task, True
                 m.runs[task] = Run(
                     task=task,
                     run=run,
-                    g=g,
-                    lid=les.lid,
+                    group_id=group_id,
+                    lease_id=les.lease_id,
                     sent=True,
                     live=True,
                     since=self.hub.now,
@@ -230,15 +232,25 @@
             elif not m.ended(task=task, run=run):
                 void.append([task, run])
         self.hub.send(
-            uid=uid, kind=Kind.VERDICT, body={"g": g, "n": b["n"], "seq": b["seq"], "m": m.mid, "f": m.fence, "x": void}
+            uid=uid,
+            kind=Kind.VERDICT,
+            body={"g": group_id, "n": b["n"], "seq": b["seq"], "m": m.minion_id, "f": m.fence, "x": void},
         )
         settle(agent=self, m=m, beat=False)
         self.tell(m=m)
-        self.share.stale.add(m.mid)
-        self.watch.add(m.mid)
+        self.share.stale.add(m.minion_id)
+        self.watch.add(m.minion_id)
 
-    def _lease(self, *, m: Minion, g: int, cpu: int, mem: int, gpu: int, until: float = 0.0) -> Lease:
-        les = Lease(lid=self.next, mid=m.mid, g=g, cpu=cpu, mem=mem, gpu=gpu, until=until or self.hub.now + IDLE_S)
+    def _lease(self, *, m: Minion, group_id: int, cpu: int, mem: int, gpu: int, until: float = 0.0) -> Lease:
+        les = Lease(
+            lease_id=self.next,
+            minion_id=m.minion_id,
+            group_id=group_id,
+            cpu=cpu,
+            mem=mem,
+            gpu=gpu,
+            until=until or self.hub.now + IDLE_S,
+        )
         self.next += 1
         m.lend(les=les)
         return les
@@ -270,9 +282,9 @@
         if self.hub.trusted():
             for m in named(agent=self, b=b) if b.get("on") else pick(agent=self, b=b):
                 until = self.hub.now + b["mark"] if b.get("mark") else 0.0
-                les = self._lease(m=m, g=b["g"], cpu=b["cpu"], mem=b["mem"], gpu=b["gpu"], until=until)
-                grants.append([les.lid, m.mid, m.att[b["g"]][1]])
-                self.share.stale.add(m.mid)
+                les = self._lease(m=m, group_id=b["g"], cpu=b["cpu"], mem=b["mem"], gpu=b["gpu"], until=until)
+                grants.append([les.lease_id, m.minion_id, m.att[b["g"]][1]])
+                self.share.stale.add(m.minion_id)
         redir = ""
         if len(grants) < b["n"]:
             for other, (at, view) in sorted(self.share.views.items()):
@@ -285,9 +297,9 @@
                     redir = other
                     break
         left = [
-            [mid, *self.minions[mid].free()]
-            for mid, _ in b.get("on", ())
-            if mid in self.share.shown and mid in self.minions
+            [minion_id, *self.minions[minion_id].free()]
+            for minion_id, _ in b.get("on", ())
+            if minion_id in self.share.shown and minion_id in self.minions
         ]
         self.hub.send(
             uid=uid,
@@ -305,58 +317,68 @@
     def giveback(self, *, b: dict[str, Any]) -> None:
         """Leases that a group returns. One whose run has ended, by a beat's list, is free even before that end is
         durable: nothing runs there any more."""
-        for mid, lid in b["x"]:
-            m = self.minions.get(mid)
-            les = m.leases.get(lid) if m is not None else None
-            if m is None or les is None or les.g != b["g"]:
+        for minion_id, lease_id in b["x"]:
+            m = self.minions.get(minion_id)
+            les = m.leases.get(lease_id) if m is not None else None
+            if m is None or les is None or les.group_id != b["g"]:
                 continue
             run = m.runs.get(les.task)
-            if not les.task or (run is not None and run.lid == lid and m.ended(task=run.task, run=run.run)):
-                m.reclaim(lid=lid)
-                self.share.stale.add(mid)
+            if not les.task or (run is not None and run.lease_id == lease_id and m.ended(task=run.task, run=run.run)):
+                m.reclaim(lease_id=lease_id)
+                self.share.stale.add(minion_id)
                 if run is not None:
-                    run.lid = 0
+                    run.lease_id = 0
 
     def order(self, *, uid: str, b: dict[str, Any]) -> None:
         """Orders on leases; what cannot be carried out is sent back as never started."""
         nak = []
         touched = set()
-        prim = self.hub.primary(g=b["g"])
-        for mid, seq, lid, task, run, saved, est in b["x"]:
-            m = self.minions.get(mid)
+        prim = self.hub.primary(group_id=b["g"])
+        for minion_id, seq, lease_id, task, run, saved, est in b["x"]:
+            m = self.minions.get(minion_id)
             if m is None or m.att.get(b["g"]) != (b["n"], seq) or (prim and prim[1] > b["n"]):
                 continue  # an attachment made since, or still to be made, settles it
-            les = m.leases.get(lid)
+            les = m.leases.get(lease_id)
             if les is None or les.task or task in m.runs or task in m.running or not self.open(m=m):
-                nak.append([mid, seq, task, run])
+                nak.append([minion_id, seq, task, run])
                 continue
             les.task, les.until = task, 0.0
             m.runs[task] = Run(
-                task=task, run=run, g=b["g"], lid=lid, spec=b["sp"][task.split(".", 1)[0]], saved=saved, est=est
+                task=task,
+                run=run,
+                group_id=b["g"],
+                lease_id=lease_id,
+                spec=b["sp"][task.split(".", 1)[0]],
+                saved=saved,
+                est=est,
             )
-            touched.add(mid)
+            touched.add(minion_id)
         if nak:
             self.hub.send(uid=uid, kind=Kind.NAK, body={"g": b["g"], "n": b["n"], "x": nak})
-        for mid in sorted(touched):
-            m = self.minions[mid]
+        for minion_id in sorted(touched):
+            m = self.minions[minion_id]
             if m.call is not None:
                 answer(agent=self, m=m)
 
     def refuse(self, *, m: Minion, r: Run) -> None:
         """An order that may no longer go out."""
         self._clear(m=m, task=r.task, run=r.run)
-        prim = self.hub.primary(g=r.g)
+        prim = self.hub.primary(group_id=r.group_id)
         if prim is not None:
             self.hub.send(
                 uid=prim[0],
                 kind=Kind.NAK,
-                body={"g": r.g, "n": prim[1], "x": [[m.mid, m.att.get(r.g, (0, 0))[1], r.task, r.run]]},
+                body={
+                    "g": r.group_id,
+                    "n": prim[1],
+                    "x": [[m.minion_id, m.att.get(r.group_id, (0, 0))[1], r.task, r.run]],
+                },
             )
 
     def stop(self, *, b: dict[str, Any]) -> None:
         """A group wants runs stopped."""
-        for mid, task, run in b["x"]:
-            m = self.minions.get(mid)
+        for minion_id, task, run in b["x"]:
+            m = self.minions.get(minion_id)
             r = m.runs.get(task) if m is not None else None
             if m is None or r is None or r.run != run:
                 continue
@@ -375,11 +397,11 @@
 
     def gap(self, *, uid: str) -> None:
         """Frames from a node were lost: what its groups said last is not known."""
-        for g in self.groups:
-            prim = self.hub.primary(g=g)
+        for group_id in self.groups:
+            prim = self.hub.primary(group_id=group_id)
             if prim is not None and prim[0] == uid:
                 for m in self.minions.values():
-                    m.att.pop(g, None)
+                    m.att.pop(group_id, None)
 
     # -- time
 
--- a/yarrowloom/agent/capacity_reports.py
+++ b/yarrowloom/agent/capacity_reports.py
@@ -30,32 +30,32 @@
     def refresh(self) -> None:
         """A part of what is shown is told again, all of it in PARTS calls: no difference lasts."""
         self.turn += 1
-        self.stale.update(mid for i, mid in enumerate(sorted(self.shown)) if i % PARTS == self.turn % PARTS)
+        self.stale.update(minion_id for i, minion_id in enumerate(sorted(self.shown)) if i % PARTS == self.turn % PARTS)
 
     def tell(self) -> None:
         """Tell placing nodes what changed of the room, and other agents a summary."""
         hub = self.agent.hub
         now = hub.now
-        fresh = {g: prim for g in hub.groups() if (prim := hub.primary(g=g)) is not None}
+        fresh = {group_id: prim for group_id in hub.groups() if (prim := hub.primary(group_id=group_id)) is not None}
         due = self.stale and now - self.roomed > ROOM_S or now - self.roomed > ROOM_IDLE_S
         if not due and fresh == self.told:
             return
         rows, shut = [], []
-        for mid in sorted(self.stale):
-            m = self.agent.minions.get(mid)
+        for minion_id in sorted(self.stale):
+            m = self.agent.minions.get(minion_id)
             if m is not None and self.agent.open(m=m):
-                rows.append([mid, *m.free()])
-                self.shown.add(mid)
-            elif mid in self.shown:
-                self.shown.discard(mid)
-                shut.append(mid)
+                rows.append([minion_id, *m.free()])
+                self.shown.add(minion_id)
+            elif minion_id in self.shown:
+                self.shown.discard(minion_id)
+                shut.append(minion_id)
         self.stale.clear()
         self.roomed = now
-        for g, prim in fresh.items():
-            if self.told.get(g) == prim:
-                hub.send(uid=prim[0], kind=Kind.ROOM, body={"u": hub.uid, "g": g, "x": rows, "shut": shut})
+        for group_id, prim in fresh.items():
+            if self.told.get(group_id) == prim:
+                hub.send(uid=prim[0], kind=Kind.ROOM, body={"u": hub.uid, "g": group_id, "x": rows, "shut": shut})
             else:
-                self._all(g=g, uid=prim[0])
+                self._all(group_id=group_id, uid=prim[0])
         self.told = fresh
         if now - self.summed > ROOM_IDLE_S:
             self.summed = now
@@ -64,19 +64,25 @@
                 if uid != hub.uid:
                     hub.send(uid=uid, kind=Kind.ROOM, body=body)
 
-    def _all(self, *, g: int, uid: str) -> None:
-        rows = [[mid, *self.agent.minions[mid].free()] for mid in sorted(self.shown) if mid in self.agent.minions]
-        self.agent.hub.send(uid=uid, kind=Kind.ROOM, body={"u": self.agent.hub.uid, "g": g, "x": rows, "shut": []})
+    def _all(self, *, group_id: int, uid: str) -> None:
+        rows = [
+            [minion_id, *self.agent.minions[minion_id].free()]
+            for minion_id in sorted(self.shown)
+            if minion_id in self.agent.minions
+        ]
+        self.agent.hub.send(
+            uid=uid, kind=Kind.ROOM, body={"u": self.agent.hub.uid, "g": group_id, "x": rows, "shut": []}
+        )
 
-    def roomget(self, *, uid: str, g: int) -> None:
+    def roomget(self, *, uid: str, group_id: int) -> None:
         """A placing node lost count: tell it all."""
-        self._all(g=g, uid=uid)
+        self._all(group_id=group_id, uid=uid)
 
     def summary(self) -> dict[str, list[Any]]:
         """By service, the open minions with the most room: enough for a redirect, which may be stale."""
         view: dict[str, list[Any]] = {}
-        for mid in self.shown:
-            m = self.agent.minions.get(mid)
+        for minion_id in self.shown:
+            m = self.agent.minions.get(minion_id)
             if m is not None:
-                view.setdefault(m.svc, []).append([*m.free(), m.labels, list(m.cap), m.mid])
+                view.setdefault(m.svc, []).append([*m.free(), m.labels, list(m.cap), m.minion_id])
         return {svc: sorted(rows, key=lambda r: (-r[2], -r[0], r[5]))[:BEST] for svc, rows in view.items()}
--- a/yarrowloom/agent/environment.py
+++ b/yarrowloom/agent/environment.py
@@ -21,7 +21,7 @@
     def trusted(self) -> bool:
         """Group 0's primary still counts this agent in."""
 
-    def primary(self, *, g: int) -> tuple[str, int] | None:
+    def primary(self, *, group_id: int) -> tuple[str, int] | None:
         """Uid of a group's primary and its epoch's number."""
 
     def evacuated(self, *, site: str) -> bool:
@@ -36,5 +36,5 @@
     def note(self, *, event: str, **fields: object) -> None:
         """Log."""
 
-    def gone(self, *, mid: str, fence: int) -> None:
+    def gone(self, *, minion_id: str, fence: int) -> None:
         """Tell group 0 that a minion is no more."""
--- a/yarrowloom/agent/failure_detector.py
+++ b/yarrowloom/agent/failure_detector.py
@@ -27,14 +27,16 @@
     if not agent.trust:
         return
     claims: dict[int, list[Any]] = {}
-    primaries = {g: primary for g in agent.groups if (primary := hub.primary(g=g)) is not None}
+    primaries = {
+        group_id: primary for group_id in agent.groups if (primary := hub.primary(group_id=group_id)) is not None
+    }
     whole = now - agent.scanned > SCAN_S
     if whole:
         agent.scanned = now
         look, agent.watch = list(agent.minions.values()), set()
         agent.share.refresh()
     else:
-        look = [agent.minions[mid] for mid in sorted(agent.watch) if mid in agent.minions]
+        look = [agent.minions[minion_id] for minion_id in sorted(agent.watch) if minion_id in agent.minions]
     for m in look:
         if not whole and m.phase is Phase.KNOWN and len(m.att) == len(agent.groups):
             if m.ends:
@@ -42,40 +44,40 @@
             if m.call is not None and now >= m.call.horizon:
                 answer(agent=agent, m=m)
             if not m.ends and m.call is None:
-                agent.watch.discard(m.mid)
+                agent.watch.discard(m.minion_id)
             continue
         if m.phase is not Phase.LOST and (
             now - m.heard > agent.hold_ms / 1000 * CLOCK + SLACK_S or (m.losing and now > m.losing)
         ):
             m.move(Phase.LOST)
             m.asked = 0
-            agent.share.stale.add(m.mid)
-            hub.note(event="minion-lost", minion=m.mid, runs=len(m.runs), left=bool(m.losing))
+            agent.share.stale.add(m.minion_id)
+            hub.note(event="minion-lost", minion=m.minion_id, runs=len(m.runs), left=bool(m.losing))
         if m.phase is Phase.LOST:
             _lose(agent=agent, m=m)
         elif m.phase is Phase.KNOWN:
             _keep(agent=agent, m=m, claims=claims, primaries=primaries)
-    for g, rows in claims.items():
-        hub.send(uid=primaries[g][0], kind=Kind.CLAIM, body={"g": g, "x": rows})
+    for group_id, rows in claims.items():
+        hub.send(uid=primaries[group_id][0], kind=Kind.CLAIM, body={"g": group_id, "x": rows})
     agent.share.tell()
 
 
 def _keep(*, agent: "Agent", m: Minion, claims: dict[int, list[Any]], primaries: dict[int, tuple[str, int]]) -> None:
     """Look after a minion that answers. `primaries`: uid and epoch of each group's primary, as far as known."""
     now = agent.hub.now
-    for g, (_, epoch) in primaries.items():
-        if g in m.att and m.att[g][0] < epoch:
-            del m.att[g]
-        if g not in m.att and now - m.claimed.get(g, -9.0) > CLAIM_S * (1 + m.asked):
-            m.claimed[g] = now
+    for group_id, (_, epoch) in primaries.items():
+        if group_id in m.att and m.att[group_id][0] < epoch:
+            del m.att[group_id]
+        if group_id not in m.att and now - m.claimed.get(group_id, -9.0) > CLAIM_S * (1 + m.asked):
+            m.claimed[group_id] = now
             m.asked = min(m.asked + 1, 4)
-            claims.setdefault(g, []).append([m.mid, m.fence, m.svc, m.site, m.labels, list(m.cap)])
-    for lid, les in list(m.leases.items()):
+            claims.setdefault(group_id, []).append([m.minion_id, m.fence, m.svc, m.site, m.labels, list(m.cap)])
+    for lease_id, les in list(m.leases.items()):
         if les.until and not les.task and now > les.until:
-            m.reclaim(lid=lid)
-            agent.share.stale.add(m.mid)
-    if (m.mid in agent.share.shown) != agent.open(m=m):
-        agent.share.stale.add(m.mid)
+            m.reclaim(lease_id=lease_id)
+            agent.share.stale.add(m.minion_id)
+    if (m.minion_id in agent.share.shown) != agent.open(m=m):
+        agent.share.stale.add(m.minion_id)
     if m.runs and agent.overdue(m=m):  # what was never sent goes elsewhere, long before the minion counts as lost
         for r in [r for r in m.runs.values() if not r.sent and not r.live]:
             agent.refuse(m=m, r=r)
@@ -84,20 +86,22 @@
     if m.call is not None and now >= m.call.horizon:
         answer(agent=agent, m=m)
     if m.ends or m.call is not None or len(m.att) < len(agent.groups):
-        agent.watch.add(m.mid)
+        agent.watch.add(m.minion_id)
 
 
 def _lose(*, agent: "Agent", m: Minion) -> None:
     now = agent.hub.now
-    left = [g for g in agent.groups if g not in m.lostok]
-    agent.watch.add(m.mid)
+    left = [group_id for group_id in agent.groups if group_id not in m.lostok]
+    agent.watch.add(m.minion_id)
     if not left:
-        agent.hub.gone(mid=m.mid, fence=m.fence)
+        agent.hub.gone(minion_id=m.minion_id, fence=m.fence)
     elif now - m.claimed.get(-1, -9.0) > CLAIM_S * (1 + m.asked):
         m.claimed[-1] = now
         m.asked = min(m.asked + 1, 4)
         saved = {t: v for t, (_, v, _) in m.running.items() if v}
-        for g in left:
-            prim = agent.hub.primary(g=g)
+        for group_id in left:
+            prim = agent.hub.primary(group_id=group_id)
             if prim is not None:
-                agent.hub.send(uid=prim[0], kind=Kind.LOST, body={"g": g, "m": m.mid, "f": m.fence, "v": saved})
+                agent.hub.send(
+                    uid=prim[0], kind=Kind.LOST, body={"g": group_id, "m": m.minion_id, "f": m.fence, "v": saved}
+                )
