--- a/yarrowloom/agent/lease_selection.py
+++ b/yarrowloom/agent/lease_selection.py
@@ -35,8 +35,8 @@
     """Of the minions that a cycle chose, those that can take what was planned (one entry a lease); all or none where
     `all` is asked. The agent decides by its own table: the cycle's snapshot may be old."""
     out: list[Minion] = []
-    for mid, n in b["on"]:
-        m = agent.minions.get(mid)
+    for minion_id, n in b["on"]:
+        m = agent.minions.get(minion_id)
         if (
             m is None
             or m.svc != b["svc"]
@@ -49,7 +49,7 @@
         for need, have in ((b["cpu"], free[0]), (b["mem"], free[1]), (b["gpu"], free[2])):
             n = min(n, have // need) if need else n if have >= 0 else 0
         if b["apart"]:
-            n = min(n, b["apart"] - b["avoid"].get(mid, 0))
+            n = min(n, b["apart"] - b["avoid"].get(minion_id, 0))
         out += [m] * n
     return [] if b.get("all") and len(out) < b["n"] else out
 
@@ -62,10 +62,10 @@
         if m.svc == b["svc"] and (not b["req"] or b["req"] in m.labels) and b["g"] in m.att and agent.open(m=m):
             cpu, mem, gpu = m.free()
             if cpu >= b["cpu"] and mem >= b["mem"] and gpu >= b["gpu"]:
-                free[m.mid] = [cpu, mem, gpu]
+                free[m.minion_id] = [cpu, mem, gpu]
                 rows.append(m)
     if b.get("off"):
-        rows = [m for m in rows if m.mid not in b["off"]]
+        rows = [m for m in rows if m.minion_id not in b["off"]]
     if b.get("shun"):
         rows = [m for m in rows if not any(label in m.labels for label in b["shun"])]
     if b.get("near") and b.get("strict"):
@@ -76,7 +76,7 @@
             by.setdefault(rack(labels=m.labels), []).append(m)
         best: list[Minion] = []
         for name in sorted(by):
-            got = _fill(rows=by[name], free={m.mid: list(free[m.mid]) for m in by[name]}, b=b)
+            got = _fill(rows=by[name], free={m.minion_id: list(free[m.minion_id]) for m in by[name]}, b=b)
             if len(got) >= b["n"]:
                 return got
             if len(got) > len(best):
@@ -93,23 +93,23 @@
     out: list[Minion] = []
 
     def cost(m: "Minion") -> tuple[Any, ...]:
-        cpu, _, gpu = free[m.mid]
+        cpu, _, gpu = free[m.minion_id]
         far = bool(b.get("near")) and b["near"] not in m.labels
         # Work without GPUs keeps off minions that have them free.
-        return (far, 0 if gpu_job else gpu, gpu if gpu_job else 0, cpu, m.mid)
+        return (far, 0 if gpu_job else gpu, gpu if gpu_job else 0, cpu, m.minion_id)
 
     order = sorted(rows, key=cost)
     for m in order:
-        room = free[m.mid]
+        room = free[m.minion_id]
         limit = b.get("apart") or 0
         while len(out) < b["n"] and room[0] >= b["cpu"] and room[1] >= b["mem"] and room[2] >= b["gpu"]:
-            if limit and b["avoid"].get(m.mid, 0) + used.get(m.mid, 0) >= limit:
+            if limit and b["avoid"].get(m.minion_id, 0) + used.get(m.minion_id, 0) >= limit:
                 break
             room[0] -= b["cpu"]
             room[1] -= b["mem"]
             room[2] -= b["gpu"]
-            used[m.mid] = used.get(m.mid, 0) + 1
+            used[m.minion_id] = used.get(m.minion_id, 0) + 1
             out.append(m)
-            if b["cpu"] == b["mem"] == b["gpu"] == 0 and used[m.mid] >= 64:
+            if b["cpu"] == b["mem"] == b["gpu"] == 0 and used[m.minion_id] >= 64:
                 break
     return out
--- a/yarrowloom/agent/minion.py
+++ b/yarrowloom/agent/minion.py
@@ -30,9 +30,9 @@
     run at a time; without a run it lapses at `until`. `own`: made for a run found at an attachment, so that no
     placing node knows it and it ends with its run."""
 
-    lid: int
-    mid: str
-    g: int
+    lease_id: int
+    minion_id: str
+    group_id: int
     cpu: int
     mem: int
     gpu: int
@@ -48,8 +48,8 @@
 
     task: str
     run: int
-    g: int
-    lid: int
+    group_id: int
+    lease_id: int
     spec: str = ""
     saved: str = ""
     sent: bool = False
@@ -78,7 +78,7 @@
     this minion; no order leaves unless phase is KNOWN and every group was attached once
     under this fence (`met`); `att` holds the groups whose attachment stands now; `used` is the sum of `leases`."""
 
-    mid: str
+    minion_id: str
     fence: int
     heard: float
     svc: str = ""
@@ -122,13 +122,13 @@
 
     def lend(self, *, les: Lease) -> None:
         """A lease is granted."""
-        self.leases[les.lid] = les
+        self.leases[les.lease_id] = les
         for i, part in enumerate((les.cpu, les.mem, les.gpu)):
             self.used[i] += part
 
-    def reclaim(self, *, lid: int) -> bool:
+    def reclaim(self, *, lease_id: int) -> bool:
         """A lease ends; False: it had ended before."""
-        les = self.leases.pop(lid, None)
+        les = self.leases.pop(lease_id, None)
         if les is None:
             return False
         for i, part in enumerate((les.cpu, les.mem, les.gpu)):
--- a/yarrowloom/cli.py
+++ b/yarrowloom/cli.py
@@ -52,7 +52,7 @@
     def warm(self, addr: str) -> str:
         """Show hits, misses and core-seconds of warm room, by group of jobs, at the placing nodes of one core node."""
         doc = _fetch(url=f"http://{addr}/state")
-        return _show({g: row["warm"] for g, row in doc["placing"].items()})
+        return _show({group_id: row["warm"] for group_id, row in doc["placing"].items()})
 
     def load(self, *addrs: str, host: str, prefix: str, jobs: int = 50, rate: float = 5.0, seed: int = 1) -> str:
         """Send a seeded mix of jobs to front addresses and report latencies, losses and repeats."""
--- a/yarrowloom/cluster_state/minion_ownership.py
+++ b/yarrowloom/cluster_state/minion_ownership.py
@@ -21,9 +21,9 @@
     return Place(row.get("site", ""), rack(labels=row.get("labels", [])))
 
 
-def mark(*, mid: str, fence: int) -> int:
+def mark(*, minion_id: str, fence: int) -> int:
     """One minion's share of a digest."""
-    return crc32(f"{mid}/{fence}".encode())
+    return crc32(f"{minion_id}/{fence}".encode())
 
 
 def total(*, rows: list[tuple[str, int]]) -> list[int]:
@@ -32,7 +32,7 @@
     >>> total(rows=[("i-1", 3), ("i-2", 4)]) == total(rows=[("i-2", 4), ("i-1", 3)]) != total(rows=[("i-1", 7)])
     True
     """
-    return [len(rows), sum(mark(mid=mid, fence=f) for mid, f in rows)]
+    return [len(rows), sum(mark(minion_id=minion_id, fence=f) for minion_id, f in rows)]
 
 
 class Owners:
@@ -43,24 +43,24 @@
         self.by: dict[str, dict[str, None]] = {}
         self.sums: dict[str, int] = {}
         self.spots: dict[Place, dict[str, dict[str, None]]] = {}
-        for mid, row in rows.items():
-            self.put(mid=mid, row=row)
+        for minion_id, row in rows.items():
+            self.put(minion_id=minion_id, row=row)
 
-    def put(self, *, mid: str, row: Row, old: Row | None = None) -> None:
+    def put(self, *, minion_id: str, row: Row, old: Row | None = None) -> None:
         """A minion has a new row; `old`: the one it had."""
         if old is not None:
-            self.drop(mid=mid, row=old)
+            self.drop(minion_id=minion_id, row=old)
         uid = row["o"]
-        self.by.setdefault(uid, {})[mid] = None
-        self.sums[uid] = self.sums.get(uid, 0) + mark(mid=mid, fence=row["f"])
-        self.spots.setdefault(place(row=row), {}).setdefault(uid, {})[mid] = None
+        self.by.setdefault(uid, {})[minion_id] = None
+        self.sums[uid] = self.sums.get(uid, 0) + mark(minion_id=minion_id, fence=row["f"])
+        self.spots.setdefault(place(row=row), {}).setdefault(uid, {})[minion_id] = None
 
-    def drop(self, *, mid: str, row: Row) -> None:
+    def drop(self, *, minion_id: str, row: Row) -> None:
         """A minion's row is no more."""
         uid, spot = row["o"], place(row=row)
         held, there = self.by[uid], self.spots[spot]
-        del held[mid], there[uid][mid]
-        self.sums[uid] -= mark(mid=mid, fence=row["f"])
+        del held[minion_id], there[uid][minion_id]
+        self.sums[uid] -= mark(minion_id=minion_id, fence=row["f"])
         if not held:
             del self.by[uid], self.sums[uid]
         if not there[uid]:
@@ -109,14 +109,14 @@
         out: list[tuple[str, str]] = []
         for spot, there in self.owners.spots.items():
             home = self.near.get(spot.site, [])
-            parts = sorted((len(mids), uid) for uid, mids in there.items() if uid in self.sites)
+            parts = sorted((len(minion_ids), uid) for uid, minion_ids in there.items() if uid in self.sites)
             best = max((p for p in parts if p[1] in home), default=None)
             for size, uid in parts if home else ():
                 stray = uid not in home or (spot.rack and best is not None and uid != best[1])
                 if stray and (not out or len(out) + size <= most):
                     out += [
-                        (mid, self.pick(spot=spot) if best is None else best[1])
-                        for mid in list(there[uid])[: most - len(out)]
+                        (minion_id, self.pick(spot=spot) if best is None else best[1])
+                        for minion_id in list(there[uid])[: most - len(out)]
                     ]
         if out:
             return out
@@ -127,5 +127,5 @@
             for spot, there in self.owners.spots.items() if half > 0 else ():
                 held = list(there.get(full, ()))
                 if spot.site == site and held and (not spot.rack or len(held) <= min(half, most)):
-                    return [(mid, bare) for mid in held[: min(half, most)]]
+                    return [(minion_id, bare) for minion_id in held[: min(half, most)]]
         return []
--- a/yarrowloom/cluster_state/registry.py
+++ b/yarrowloom/cluster_state/registry.py
@@ -105,16 +105,16 @@
             self.mods += 1
             self.members.pop(ev["uid"], None)
         elif kind == "own":
-            for mid, owner, info in ev["ms"]:
+            for minion_id, owner, info in ev["ms"]:
                 self.fence += 1
-                old = self.minions.get(mid)
-                row = self.minions[mid] = {**(old or {}), **info, "o": owner, "f": self.fence}
-                self.owners.put(mid=mid, row=row, old=old)
+                old = self.minions.get(minion_id)
+                row = self.minions[minion_id] = {**(old or {}), **info, "o": owner, "f": self.fence}
+                self.owners.put(minion_id=minion_id, row=row, old=old)
         elif kind == "gone":
             gone = self.minions.get(ev["m"])
             if gone is not None and gone["f"] <= ev["f"]:
                 del self.minions[ev["m"]]
-                self.owners.drop(mid=ev["m"], row=gone)
+                self.owners.drop(minion_id=ev["m"], row=gone)
 
     def judge_evacuation(self, *, zone: str, on: bool, known: int) -> dict[str, Any]:
         """The event that an evacuation order makes. `known`: the version of the node that took it, at that time.
--- a/yarrowloom/jobs/state_machine.py
+++ b/yarrowloom/jobs/state_machine.py
@@ -29,13 +29,13 @@
 WAIT, RUN, DONE = 0, 1, 2
 
 
-def task_name(*, jid: str, unit: str, idx: int) -> str:
+def task_name(*, job_id: str, unit: str, idx: int) -> str:
     """ID.K.STEP.INDEX.
 
     >>> task_name(jid="ab", unit="0.1", idx=3)
     'ab.0.1.3'
     """
-    return f"{jid}.{unit}.{idx}"
+    return f"{job_id}.{unit}.{idx}"
 
 
 def split_name(*, task: str) -> tuple[str, str, int] | None:
@@ -80,13 +80,13 @@
             self.past.load(past)
         self.jobs = doc
         self.on, self.pending = {}, {}
-        for jid, job in self.jobs.items():
+        for job_id, job in self.jobs.items():
             if job["st"] == State.PENDING:
                 self.pending[job["q"]] = self.pending.get(job["q"], 0) + 1
             for key, unit in job.get("u", {}).items():
                 for i, st in enumerate(unit["s"]):
                     if st == RUN:
-                        self.on.setdefault(unit["m"][i], set()).add((jid, key, i))
+                        self.on.setdefault(unit["m"][i], set()).add((job_id, key, i))
 
     def apply(self, ev: dict[str, Any]) -> list[Effect]:
         """Take one event."""
@@ -101,8 +101,8 @@
             self.pending[job["q"]] -= 1
         job["st"] = st.value
 
-    def _units(self, *, jid: str, k: int) -> list[Effect]:
-        job = self.jobs[jid]
+    def _units(self, *, job_id: str, k: int) -> list[Effect]:
+        job = self.jobs[job_id]
         out: list[Effect] = []
         for s, step in enumerate(job["steps"]):
             n = step["n"]
@@ -116,15 +116,15 @@
                 "fr": 0,
             }
             if not step["deps"]:
-                out.append(("ready", jid, f"{k}.{s}"))
+                out.append(("ready", job_id, f"{k}.{s}"))
         job["k"] = k + 1
         job["open"] = job["open"] + [k]
         return out
 
-    def _off(self, *, jid: str, key: str, unit: dict[str, Any], i: int) -> None:
+    def _off(self, *, job_id: str, key: str, unit: dict[str, Any], i: int) -> None:
         held = self.on.get(unit["m"][i])
         if held is not None:
-            held.discard((jid, key, i))
+            held.discard((job_id, key, i))
             if not held:
                 del self.on[unit["m"][i]]
 
@@ -133,56 +133,56 @@
             for name in ("u", "spec", "steps", "open"):
                 job.pop(name, None)
 
-    def _halt(self, *, jid: str, st: State, at: int) -> list[Effect]:
+    def _halt(self, *, job_id: str, st: State, at: int) -> list[Effect]:
         """Show an end that is not complete; what still runs is to be stopped."""
-        job = self.jobs[jid]
+        job = self.jobs[job_id]
         if job["st"] == State.PENDING and st is State.FAILED:
             self._show(job=job, st=State.ACTIVE)
         self._show(job=job, st=st)
-        self._learned(jid=jid, job=job, at=at)
-        out: list[Effect] = [("over", jid)]
+        self._learned(job_id=job_id, job=job, at=at)
+        out: list[Effect] = [("over", job_id)]
         for key, unit in job["u"].items():
             out += [
-                ("stop", unit["m"][i], task_name(jid=jid, unit=key, idx=i), unit["r"][i])
+                ("stop", unit["m"][i], task_name(job_id=job_id, unit=key, idx=i), unit["r"][i])
                 for i, s in enumerate(unit["s"])
                 if s == RUN
             ]
         self._slim(job=job)
         return out
 
-    def _finished(self, *, jid: str, key: str) -> list[Effect]:
+    def _finished(self, *, job_id: str, key: str) -> list[Effect]:
         """A unit has no task left: later steps, then the time, then the job."""
-        job = self.jobs[jid]
+        job = self.jobs[job_id]
         k, s = key.split(".")
         out: list[Effect] = []
         for later, step in enumerate(job["steps"]):
             if int(s) in step["deps"] and all(job["u"][f"{k}.{d}"]["left"] == 0 for d in step["deps"]):
-                out.append(("ready", jid, f"{k}.{later}"))
+                out.append(("ready", job_id, f"{k}.{later}"))
         if all(job["u"][f"{k}.{d}"]["left"] == 0 for d in range(len(job["steps"]))):
             job["open"] = [o for o in job["open"] if o != int(k)]
             if not job["open"] and job["k"] >= max(job["times"], 1):
                 self._show(job=job, st=State.COMPLETE)
-                out.append(("over", jid))
+                out.append(("over", job_id))
         return out
 
-    def _learned(self, *, jid: str, job: dict[str, Any], at: int) -> None:
+    def _learned(self, *, job_id: str, job: dict[str, Any], at: int) -> None:
         """A job may have ended: the history takes note before its steps are dropped."""
         if self.learn and at and job["st"] in ENDED and "steps" in job:
-            self.past.note_over(at=at, jid=jid, q=job["q"], steps=job["steps"], done=job["st"] == State.COMPLETE)
+            self.past.note_over(at=at, job_id=job_id, q=job["q"], steps=job["steps"], done=job["st"] == State.COMPLETE)
 
     # -- events
 
     def _job(self, ev: dict[str, Any]) -> list[Effect]:
-        jid = ev["id"]
-        if jid in self.jobs:
+        job_id = ev["id"]
+        if job_id in self.jobs:
             return []
         job = {**ev["j"], "st": State.PENDING.value, "k": 0, "open": [], "u": {}}
-        self.jobs[jid] = job
+        self.jobs[job_id] = job
         self.pending[job["q"]] = self.pending.get(job["q"], 0) + 1
         if self.learn:
             self.past.note_job(
                 at=job["at"],
-                jid=jid,
+                job_id=job_id,
                 q=job["q"],
                 svc=job["svc"],
                 steps=job["steps"],
@@ -191,59 +191,59 @@
                 times=job["times"],
             )
         if job["times"]:
-            return [("timed", jid)]
-        return self._units(jid=jid, k=0)
+            return [("timed", job_id)]
+        return self._units(job_id=job_id, k=0)
 
     def _due(self, ev: dict[str, Any]) -> list[Effect]:
         job = self.jobs.get(ev["id"])
         if job is None or job["st"] in ENDED or job["k"] != ev["k"] or ev["k"] >= job["times"]:
             return []
-        return self._units(jid=ev["id"], k=ev["k"])
+        return self._units(job_id=ev["id"], k=ev["k"])
 
     def _start(self, ev: dict[str, Any]) -> list[Effect]:
-        jid, key = ev["id"], ev["u"]
-        job = self.jobs[jid]
+        job_id, key = ev["id"], ev["u"]
+        job = self.jobs[job_id]
         unit = job["u"][key]
         if job["st"] == State.PENDING:
             self._show(job=job, st=State.ACTIVE)
-        for i, run, mid in ev["x"]:
+        for i, run, minion_id in ev["x"]:
             assert unit["s"][i] == WAIT and run > unit["r"][i]
-            unit["s"][i], unit["r"][i], unit["m"][i] = RUN, run, mid
+            unit["s"][i], unit["r"][i], unit["m"][i] = RUN, run, minion_id
             unit.setdefault("t", {})[str(i)] = ev.get("at", 0)
-            self.on.setdefault(mid, set()).add((jid, key, i))
+            self.on.setdefault(minion_id, set()).add((job_id, key, i))
         return []
 
     def _end(self, ev: dict[str, Any]) -> list[Effect]:
-        jid, key, i = ev["id"], ev["u"], ev["i"]
-        job = self.jobs.get(jid)
+        job_id, key, i = ev["id"], ev["u"], ev["i"]
+        job = self.jobs.get(job_id)
         unit = job["u"].get(key) if job is not None and "u" in job else None
         if job is None or unit is None or i >= len(unit["s"]) or unit["r"][i] != ev["run"] or unit["s"][i] != RUN:
             return []
         step = job["steps"][int(key.split(".")[1])]
-        self._off(jid=jid, key=key, unit=unit, i=i)
+        self._off(job_id=job_id, key=key, unit=unit, i=i)
         began = unit.get("t", {}).pop(str(i), 0)
         if self.learn and began and "at" in ev:
             self.past.note_end(
                 q=job["q"],
                 step=step,
-                task=task_name(jid=jid, unit=key, idx=i),
+                task=task_name(job_id=job_id, unit=key, idx=i),
                 run=ev["run"],
                 how=ev["how"],
                 ms=float(max(ev["at"] - began, 0)),
-                mid=unit["m"][i],
+                minion_id=unit["m"][i],
                 whole=not unit["v"][0 if step["gang"] else i],
             )
         out: list[Effect] = []
         if ev["how"] == "done" and not step["last"]:
             for j in range(len(unit["s"])) if step["gang"] else (i,):
                 if unit["s"][j] == RUN:
-                    self._off(jid=jid, key=key, unit=unit, i=j)
+                    self._off(job_id=job_id, key=key, unit=unit, i=j)
                 if unit["s"][j] != DONE:
                     unit["s"][j] = DONE
                     unit["left"] -= 1
             if unit["left"] == 0 and job["st"] not in ENDED:
-                out += self._finished(jid=jid, key=key)
-                self._learned(jid=jid, job=job, at=ev.get("at", 0))
+                out += self._finished(job_id=job_id, key=key)
+                self._learned(job_id=job_id, job=job, at=ev.get("at", 0))
         else:
             unit["s"][i] = WAIT
             at = 0 if step["gang"] else i
@@ -254,12 +254,12 @@
                 unit["f"][at] += 1
             if job["st"] not in ENDED:
                 if ev["how"] == "failed" and not step["last"] and unit["f"][at] >= max(1, ev["mt"]):
-                    out += self._halt(jid=jid, st=State.FAILED, at=ev.get("at", 0))
+                    out += self._halt(job_id=job_id, st=State.FAILED, at=ev.get("at", 0))
                 elif not step["gang"] or RUN not in unit["s"]:
-                    out.append(("ready", jid, key))
+                    out.append(("ready", job_id, key))
                 elif step["gang"]:  # also those whose order is still on its way: they would wait alone
                     out += [
-                        ("stop", unit["m"][j], task_name(jid=jid, unit=key, idx=j), unit["r"][j])
+                        ("stop", unit["m"][j], task_name(job_id=job_id, unit=key, idx=j), unit["r"][j])
                         for j, s in enumerate(unit["s"])
                         if s == RUN
                     ]
@@ -269,16 +269,16 @@
     def _lost(self, ev: dict[str, Any]) -> list[Effect]:
         """A minion is gone with all that it ran."""
         out: list[Effect] = []
-        for jid, key, i in sorted(self.on.get(ev["m"], ())):
-            job = self.jobs[jid]
-            task = task_name(jid=jid, unit=key, idx=i)
+        for job_id, key, i in sorted(self.on.get(ev["m"], ())):
+            job = self.jobs[job_id]
+            task = task_name(job_id=job_id, unit=key, idx=i)
             run = job["u"][key]["r"][i]
             if ev["x"] is not None and [task, run] not in ev["x"]:
                 continue
             out += self._end(
                 {
                     "t": "end",
-                    "id": jid,
+                    "id": job_id,
                     "u": key,
                     "i": i,
                     "run": run,
@@ -293,11 +293,11 @@
         job = self.jobs.get(ev["id"])
         if job is None or job["st"] in ENDED:
             return []
-        return self._halt(jid=ev["id"], st=State.CANCELLED, at=ev.get("at", 0))
+        return self._halt(job_id=ev["id"], st=State.CANCELLED, at=ev.get("at", 0))
 
     def _forget(self, ev: dict[str, Any]) -> list[Effect]:
-        for jid in ev["ids"]:
-            job = self.jobs.get(jid)
+        for job_id in ev["ids"]:
+            job = self.jobs.get(job_id)
             if job is not None and job["st"] in ENDED and "u" not in job:
-                del self.jobs[jid]
+                del self.jobs[job_id]
         return []
--- a/yarrowloom/jobs/submission.py
+++ b/yarrowloom/jobs/submission.py
@@ -43,7 +43,7 @@
 _TEXTS = {"requires": "req", "affinity": "near"}
 
 
-def job_id(*, text: str) -> bool:
+def is_job_id(*, text: str) -> bool:
     """16 hex digits.
 
     >>> job_id(text="5c0e7a21d94b36f8"), job_id(text="5c0e"), job_id(text="5c0e7a21d94b36fX")
@@ -52,13 +52,13 @@
     return len(text) == 16 and _ID.issuperset(text)
 
 
-def group_of(*, jid: str, groups: int) -> int:
+def group_of(*, job_id: str, groups: int) -> int:
     """The job group that keeps a job; groups are numbered from 1.
 
     >>> 1 <= group_of(jid="5c0e7a21d94b36f8", groups=3) <= 3
     True
     """
-    return 1 + int(jid[:8], 16) % groups
+    return 1 + int(job_id[:8], 16) % groups
 
 
 def _step(*, row: Any, at: int, bad: list[Finding]) -> Step:
--- a/yarrowloom/loadgen/generator.py
+++ b/yarrowloom/loadgen/generator.py
@@ -67,8 +67,8 @@
         rows = [(self.job(rng=rng), rng.choice(self.addrs)) for _ in range(self.jobs)]
         async with httpcore.AsyncConnectionPool(max_connections=100, network_backend=None) as pool:
             async with trio.open_nursery() as nursery:
-                for (jid, doc), addr in rows:
-                    nursery.start_soon(self._one, pool, addr, jid, doc)
+                for (job_id, doc), addr in rows:
+                    nursery.start_soon(self._one, pool, addr, job_id, doc)
                     await trio.sleep(1 / self.rate)
         if self.unreached and not self.accept_ms and not self.refused:
             raise UsageError(
@@ -77,12 +77,12 @@
             )
 
     async def _call(
-        self, *, pool: httpcore.AsyncConnectionPool, addr: str, method: str, jid: str, body: bytes = b""
+        self, *, pool: httpcore.AsyncConnectionPool, addr: str, method: str, job_id: str, body: bytes = b""
     ) -> tuple[int, Any]:
         try:
             res = await pool.request(
                 method,
-                f"http://{addr}{self.prefix}{jid}",
+                f"http://{addr}{self.prefix}{job_id}",
                 content=body,
                 headers={
                     "Host": self.host,
@@ -95,12 +95,12 @@
         except (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError, orjson.JSONDecodeError):
             return 0, None
 
-    async def _one(self, pool: httpcore.AsyncConnectionPool, addr: str, jid: str, doc: dict[str, Any]) -> None:
+    async def _one(self, pool: httpcore.AsyncConnectionPool, addr: str, job_id: str, doc: dict[str, Any]) -> None:
         begun = trio.current_time()
         body = orjson.dumps(doc)
         for again in range(TRIES):
             self.repeats += again > 0
-            status, _ = await self._call(pool=pool, addr=addr, method="POST", jid=jid, body=body)
+            status, _ = await self._call(pool=pool, addr=addr, method="POST", job_id=job_id, body=body)
             if status not in (0, 502, 504):
                 break
         if status != 200:
@@ -109,9 +109,9 @@
             return
         self.accept_ms.append((trio.current_time() - begun) * 1000)
         while trio.current_time() - begun < self.wait_s:
-            status, got = await self._call(pool=pool, addr=addr, method="GET", jid=jid)
+            status, got = await self._call(pool=pool, addr=addr, method="GET", job_id=job_id)
             if status == 410:
-                self.lost.append(jid)
+                self.lost.append(job_id)
                 return
             state = got.get("state") if status == 200 and isinstance(got, dict) else ""
             if state in ("complete", "failed", "cancelled"):
@@ -119,7 +119,7 @@
                 self.done_ms.append((trio.current_time() - begun) * 1000)
                 return
             await trio.sleep(self.poll_s)
-        self.lost.append(jid)
+        self.lost.append(job_id)
 
 
 def report(*, load: Load) -> dict[str, Any]:
--- a/yarrowloom/node/controller.py
+++ b/yarrowloom/node/controller.py
@@ -83,26 +83,30 @@
             self.stale[uid] = list(node.reg.owners.by.get(uid, ()))
             self._renew(uid=uid)
         self.incarnations[uid] = b["incarnation"]
-        leave = [mid for mid, (was, _) in self.shed.items() if was == uid]
+        leave = [minion_id for minion_id, (was, _) in self.shed.items() if was == uid]
         if "own" not in b:
             if b["dig"] != node.reg.owners.digest(uid=uid):
                 return {"list": True}
             self.asked.update(leave)
             return {"lease": True, **({"shed": leave} if leave else {})}
         have = dict(b["own"])
-        self._let_go(uid=uid, mids=[mid for mid in leave if mid in self.asked and mid not in have])
+        self._let_go(
+            uid=uid, minion_ids=[minion_id for minion_id in leave if minion_id in self.asked and minion_id not in have]
+        )
         mine = node.reg.owners.by.get(uid, {})
         old = {*self.stale.get(uid, ())}
         give = [
-            self._row(mid)
-            for mid in mine
-            if have.get(mid, 0) < node.reg.minions[mid]["f"] and mid not in old and mid not in self.shed
+            self._row(minion_id)
+            for minion_id in mine
+            if have.get(minion_id, 0) < node.reg.minions[minion_id]["f"]
+            and minion_id not in old
+            and minion_id not in self.shed
         ]
-        return {"lease": True, "own": give, "dis": [mid for mid in have if mid not in mine]}
+        return {"lease": True, "own": give, "dis": [minion_id for minion_id in have if minion_id not in mine]}
 
-    def _row(self, mid: str) -> list[Any]:
-        row = self.node.reg.minions[mid]
-        return [mid, row["f"], row]
+    def _row(self, minion_id: str) -> list[Any]:
+        row = self.node.reg.minions[minion_id]
+        return [minion_id, row["f"], row]
 
     def _enrol(self, *, b: dict[str, Any]) -> None:
         node, uid = self.node, b["u"]
@@ -124,21 +128,21 @@
 
     def _renew(self, *, uid: str) -> None:
         """A core's process began anew: its minions get new fences."""
-        mids = self.stale.pop(uid)
-        self.stale.update({uid: mids[BATCH:]} if mids[BATCH:] else {})
+        minion_ids = self.stale.pop(uid)
+        self.stale.update({uid: minion_ids[BATCH:]} if minion_ids[BATCH:] else {})
         mine = self.node.reg.owners.by.get(uid, {})
-        rows: list[list[Any]] = [[mid, uid, {}] for mid in mids[:BATCH] if mid in mine]
+        rows: list[list[Any]] = [[minion_id, uid, {}] for minion_id in minion_ids[:BATCH] if minion_id in mine]
         if rows:
             self._give(rows=rows)
         self.stirred = self.node.now
 
-    def who(self, *, uid: str, rid: int, b: dict[str, Any]) -> None:
+    def who(self, *, uid: str, request_id: int, b: dict[str, Any]) -> None:
         """Which agent holds a minion; a new one gets an owner, together with others that come at the time."""
         row = self.node.reg.minions.get(b["m"])
         if row is not None:
-            self.node.reps[0].barrier(then=("reply", uid, rid, 200, {"o": row["o"]}))
+            self.node.reps[0].barrier(then=("reply", uid, request_id, 200, {"o": row["o"]}))
             return
-        self.asks.append((uid, rid, b))
+        self.asks.append((uid, request_id, b))
         if len(self.asks) >= BATCH or self.node.now - self.admitted >= ADMIT_S:
             self._admit()
 
@@ -152,36 +156,40 @@
                 rows[b["m"]] = [b["m"], pick.pick(spot=place(row=info)), info]
         if rows:
             self._give(rows=list(rows.values()))
-        for uid, rid, b in asks:
-            node.reps[0].barrier(then=("reply", uid, rid, 200, {"o": node.reg.minions[b["m"]]["o"]}))
+        for uid, request_id, b in asks:
+            node.reps[0].barrier(then=("reply", uid, request_id, 200, {"o": node.reg.minions[b["m"]]["o"]}))
 
-    def owned(self, *, mids: list[str]) -> None:
+    def owned(self, *, minion_ids: list[str]) -> None:
         """Ownerships are durable: tell the owners."""
         by: dict[str, list[Any]] = {}
-        for mid in mids:
-            row = self.node.reg.minions.get(mid)
+        for minion_id in minion_ids:
+            row = self.node.reg.minions.get(minion_id)
             if row is not None:
-                by.setdefault(row["o"], []).append(self._row(mid))
+                by.setdefault(row["o"], []).append(self._row(minion_id))
         for uid, rows in by.items():
             self.node.send(uid=uid, kind=Kind.HEARTOK, body={"own": rows})
 
     def _move(self, *, owner: str) -> bool:
         """Give some of a dead agent's minions to live ones; whether there were any."""
         node = self.node
-        mids = list(node.reg.owners.by.get(owner, ()))[:BATCH]
-        if not mids:
+        minion_ids = list(node.reg.owners.by.get(owner, ()))[:BATCH]
+        if not minion_ids:
             return False
         pick = self._picker()
-        node.note(event="minions-moved", owner=owner, count=len(mids))
-        self._give(rows=[[mid, pick.pick(spot=place(row=node.reg.minions[mid])), {}] for mid in mids])
+        node.note(event="minions-moved", owner=owner, count=len(minion_ids))
+        self._give(
+            rows=[[minion_id, pick.pick(spot=place(row=node.reg.minions[minion_id])), {}] for minion_id in minion_ids]
+        )
         self.stirred = node.now
         return True
 
-    def _let_go(self, *, uid: str, mids: list[str]) -> None:
+    def _let_go(self, *, uid: str, minion_ids: list[str]) -> None:
         """An agent holds these no longer, as it was asked to."""
-        to = {mid: self.shed.pop(mid)[1] for mid in mids}
+        to = {minion_id: self.shed.pop(minion_id)[1] for minion_id in minion_ids}
         mine = self.node.reg.owners.by.get(uid, {})
-        rows: list[list[Any]] = [[mid, new, {}] for mid, new in to.items() if mid in mine and self.live(uid=new)]
+        rows: list[list[Any]] = [
+            [minion_id, new, {}] for minion_id, new in to.items() if minion_id in mine and self.live(uid=new)
+        ]
         if rows:
             self.node.note(event="minions-evened", owner=uid, count=len(rows))
             self._give(rows=rows)
@@ -198,7 +206,7 @@
             return
         rows = self._picker().uneven(most=EASE)
         self.eased = now
-        self.shed = {mid: (node.reg.minions[mid]["o"], new) for mid, new in rows}
+        self.shed = {minion_id: (node.reg.minions[minion_id]["o"], new) for minion_id, new in rows}
 
     def _resumed(self) -> None:
         """This primary serves. Hearts that came while it did not, without a lease or contact, were not counted: that
--- a/yarrowloom/node/core.py
+++ b/yarrowloom/node/core.py
@@ -75,40 +75,40 @@
     def _none(self) -> None:
         pass
 
-    def _near(self, g: int, n: int, last: int) -> None:
-        self.reps[g].near(n=n, last=last)
+    def _near(self, group_id: int, n: int, last: int) -> None:
+        self.reps[group_id].near(n=n, last=last)
 
-    def _copied(self, g: int, tag: str) -> None:
-        camp = self.reps[g].camp
+    def _copied(self, group_id: int, tag: str) -> None:
+        camp = self.reps[group_id].camp
         if camp is not None:
             camp.copied(tag=tag, uid="")
 
     def _sendeff(self, uid: str, kind: int, body: dict[str, Any]) -> None:
         self.send(uid=uid, kind=Kind(kind), body=body)
 
-    def _reply(self, uid: str, rid: int, status: int, doc: Any) -> None:
-        self.reply(uid=uid, rid=rid, status=status, doc=doc)
+    def _reply(self, uid: str, request_id: int, status: int, doc: Any) -> None:
+        self.reply(uid=uid, request_id=request_id, status=status, doc=doc)
 
     def _news(self, doc: dict[str, Any]) -> None:
         self.take_news(doc=doc)
 
-    def _owned(self, mids: list[str]) -> None:
+    def _owned(self, minion_ids: list[str]) -> None:
         if self.chief is not None:
-            self.chief.owned(mids=mids)
+            self.chief.owned(minion_ids=minion_ids)
 
     def _selfown(self, doc: dict[str, Any]) -> None:
         self._heartok(uid=self.uid, m=doc)
 
-    def _stops(self, g: int, rows: list[Any]) -> None:
-        if g in self.placers:
-            self.placers[g].stops(rows)
+    def _stops(self, group_id: int, rows: list[Any]) -> None:
+        if group_id in self.placers:
+            self.placers[group_id].stops(rows)
 
-    def _orders(self, g: int, rows: list[Any]) -> None:
-        if g in self.placers and self.reps[g].serving():
-            self.placers[g].orders(rows)
+    def _orders(self, group_id: int, rows: list[Any]) -> None:
+        if group_id in self.placers and self.reps[group_id].serving():
+            self.placers[group_id].orders(rows)
 
-    def _endsok(self, g: int, uid: str, mid: str, fence: int, rows: list[Any]) -> None:
-        self.send(uid=uid, kind=Kind.ENDSOK, body={"g": g, "m": mid, "f": fence, "x": rows})
+    def _endsok(self, group_id: int, uid: str, minion_id: str, fence: int, rows: list[Any]) -> None:
+        self.send(uid=uid, kind=Kind.ENDSOK, body={"g": group_id, "m": minion_id, "f": fence, "x": rows})
 
     # -- inputs
 
@@ -129,7 +129,7 @@
 
     def heart(self) -> dict[str, Any]:
         """A core's heart tells what its agent owns: a digest, and all of it if the chief asked."""
-        own = [(m.mid, m.fence) for m in self.agent.minions.values()]
+        own = [(m.minion_id, m.fence) for m in self.agent.minions.values()]
         body = {**super().heart(), "dig": total(rows=own), "echo": self.echo}
         if self.listing:
             body["own"] = own
@@ -164,49 +164,49 @@
             placer.pump()
 
     def _call(self, *, uid: str, m: dict[str, Any]) -> None:
-        g, rid, op, b = m["g"], m["rid"], m["op"], m["b"]
-        refusal = self.hand.refusal(uid=uid, rid=rid)
+        group_id, request_id, op, b = m["g"], m["rid"], m["op"], m["b"]
+        refusal = self.hand.refusal(uid=uid, request_id=request_id)
         if refusal is not None:
-            super().reply(uid=uid, rid=rid, status=refusal.status, doc=refusal.doc)
+            super().reply(uid=uid, request_id=request_id, status=refusal.status, doc=refusal.doc)
             return
-        if not self.hand.take(uid=uid, rid=rid, g=g, now=self.now):
+        if not self.hand.take(uid=uid, request_id=request_id, group_id=group_id, now=self.now):
             return
-        if g < 0 and m["to"] != self.uid:  # for the agent of a node that is no more; groups know who serves them
-            self.reply(uid=uid, rid=rid, status=503, doc={})
-        elif g < 0:
-            self._handed(uid=uid, rid=rid, op=op, b=b)
-        elif not self.reps[g].serving():
-            self.reply(uid=uid, rid=rid, status=NOT_PRIMARY, doc=[[k, e] for k, e in self.eps.items()])
-        elif g == 0:
-            self._serve0(uid=uid, rid=rid, op=op, b=b)
+        if group_id < 0 and m["to"] != self.uid:  # for the agent of a node that is no more; groups know who serves them
+            self.reply(uid=uid, request_id=request_id, status=503, doc={})
+        elif group_id < 0:
+            self._handed(uid=uid, request_id=request_id, op=op, b=b)
+        elif not self.reps[group_id].serving():
+            self.reply(uid=uid, request_id=request_id, status=NOT_PRIMARY, doc=[[k, e] for k, e in self.eps.items()])
+        elif group_id == 0:
+            self._serve0(uid=uid, request_id=request_id, op=op, b=b)
         else:
-            self.placers[g].call(uid=uid, rid=rid, op=op, b=b)
+            self.placers[group_id].call(uid=uid, request_id=request_id, op=op, b=b)
 
     def too_late(self, *, uid: str, m: dict[str, Any]) -> None:
         """A call about jobs waited until its caller is about to give up: it is not taken and never will be, unless a
         copy of it was, whose answer may have got lost. Told so, the caller may try again; told nothing, it could not
         know."""
-        rid = m["rid"]
-        if self.hand.holds(uid=uid, rid=rid):
+        request_id = m["rid"]
+        if self.hand.holds(uid=uid, request_id=request_id):
             return
         if m["op"] == "put" and m["b"]["id"] in self.jobs[m["g"]].jobs:
             self._call(uid=uid, m=m)
             return
-        self.hand.refuse(uid=uid, rid=rid, status=503, doc=OVERLOADED, now=self.now)
-        super().reply(uid=uid, rid=rid, status=503, doc=OVERLOADED)
+        self.hand.refuse(uid=uid, request_id=request_id, status=503, doc=OVERLOADED, now=self.now)
+        super().reply(uid=uid, request_id=request_id, status=503, doc=OVERLOADED)
 
-    def reply(self, *, uid: str, rid: int, status: int, doc: Any) -> None:
+    def reply(self, *, uid: str, request_id: int, status: int, doc: Any) -> None:
         """Answer a call of another node."""
-        g = self.hand.drop(uid=uid, rid=rid)
-        if g > 0 and status in REFUSALS:
-            self.hand.refuse(uid=uid, rid=rid, status=status, doc=doc, now=self.now)
-        super().reply(uid=uid, rid=rid, status=status, doc=doc)
+        group_id = self.hand.drop(uid=uid, request_id=request_id)
+        if group_id > 0 and status in REFUSALS:
+            self.hand.refuse(uid=uid, request_id=request_id, status=status, doc=doc, now=self.now)
+        super().reply(uid=uid, request_id=request_id, status=status, doc=doc)
 
-    def deposed(self, *, g: int) -> None:
+    def deposed(self, *, group_id: int) -> None:
         """Calls in hand are not answered here any more: their callers look for the next primary at once."""
-        super().deposed(g=g)
-        for uid, rid in self.hand.leave(g=g):
-            self.reply(uid=uid, rid=rid, status=NOT_PRIMARY, doc=[[k, e] for k, e in self.eps.items()])
+        super().deposed(group_id=group_id)
+        for uid, request_id in self.hand.leave(group_id=group_id):
+            self.reply(uid=uid, request_id=request_id, status=NOT_PRIMARY, doc=[[k, e] for k, e in self.eps.items()])
 
     def _jobs(self, *, uid: str, kind: Kind, m: dict[str, Any]) -> None:
         if kind is Kind.ATTACH:
@@ -220,7 +220,7 @@
         elif kind is Kind.STOP:
             self.agent.stop(b=m)
         elif kind is Kind.ROOMGET:
-            self.agent.share.roomget(uid=uid, g=m["g"])
+            self.agent.share.roomget(uid=uid, group_id=m["g"])
         elif kind is Kind.ENDSOK:
             self.agent.endsok(body=m)
         elif kind is Kind.LOSTOK:
@@ -268,12 +268,12 @@
                 self.echo = [m.get("by"), m["at"]]
             if m.get("lease") and m.get("mods", -1) <= self.mods:  # with all evacuations that the primary knew of
                 self.lease = max(self.lease, m["t"] + LEASE_S)
-        for mid, fence, info in m.get("own", []):
-            self.agent.own(mid=mid, fence=fence, info=info)
-        for mid in m.get("dis", []):
-            self.agent.disown(mid=mid)
+        for minion_id, fence, info in m.get("own", []):
+            self.agent.own(minion_id=minion_id, fence=fence, info=info)
+        for minion_id in m.get("dis", []):
+            self.agent.disown(minion_id=minion_id)
         if m.get("list") or m.get("shed"):
-            self.let_go(mids=m.get("shed", []))
+            self.let_go(minion_ids=m.get("shed", []))
             self.listing, self.hearted = True, -9.0
 
     def gap(self, *, uid: str) -> None:
@@ -289,8 +289,8 @@
 
     def gap_place(self, *, uid: str) -> None:
         """Perhaps what an agent told."""
-        for g, p in self.placers.items():
-            if self.reps[g].serving():
+        for group_id, p in self.placers.items():
+            if self.reps[group_id].serving():
                 p.gap(uid=uid)
 
     def tick(self) -> None:
@@ -310,8 +310,8 @@
 
     def place_chores(self) -> None:
         """Placing: may take long, so a busy process does it less often."""
-        for g, p in list(self.placers.items()):
-            if self.reps[g].serving():
+        for group_id, p in list(self.placers.items()):
+            if self.reps[group_id].serving():
                 p.tick()
         self._flush()
 
@@ -364,7 +364,7 @@
 
     def only_copies(self) -> list[int]:
         """Groups of which this node knows no other live holder."""
-        return [g for g, rep in self.reps.items() if not copied_elsewhere(hub=self, epoch=rep.epoch)]
+        return [group_id for group_id, rep in self.reps.items() if not copied_elsewhere(hub=self, epoch=rep.epoch)]
 
     # -- disk
 
@@ -375,10 +375,10 @@
                 self._replay(rec=self.load(body=raw))
             except Exception as err:  # a reducer may raise anything
                 raise ReplayError(text=f"{type(err).__name__}: {err}", number=number) from err
-        for g, rep in self.reps.items():
+        for group_id, rep in self.reps.items():
             rep.settle()
             if rep.epoch is not None:
-                NodeBase.learn(self, eps=[[g, rep.epoch]])
+                NodeBase.learn(self, eps=[[group_id, rep.epoch]])
 
     def _replay(self, *, rec: dict[str, Any]) -> None:
         if rec["k"] not in NODE_RECORDS:
--- a/yarrowloom/node/core_environment.py
+++ b/yarrowloom/node/core_environment.py
@@ -42,14 +42,14 @@
         super().__init__(startup=startup, uid=uid, incarnation=incarnation, log=log, now=now, rand=rand)
         self.reg = Registry()
         self.defaults = defaults or SHIPPED
-        self.jobs = {g: Jobs(learn=self.defaults["learn"]["on"]) for g in self.groups()}
+        self.jobs = {group_id: Jobs(learn=self.defaults["learn"]["on"]) for group_id in self.groups()}
         self.reps: dict[int, Replica] = {}
-        for g in range(JOB_GROUPS + 1):
-            state = self.reg if g == 0 else self.jobs[g]
-            first_epoch = self._genesis(g=g) if first else None
+        for group_id in range(JOB_GROUPS + 1):
+            state = self.reg if group_id == 0 else self.jobs[group_id]
+            first_epoch = self._genesis(group_id=group_id) if first else None
             if first_epoch is not None:
-                self.eps[g] = first_epoch
-            self.reps[g] = Replica(g=g, hub=self, state=state, epoch=first_epoch)
+                self.eps[group_id] = first_epoch
+            self.reps[group_id] = Replica(group_id=group_id, hub=self, state=state, epoch=first_epoch)
         self.placers: dict[int, Placer] = {}
         self.chief: Chief | None = None
         hold = min(startup.bound(name="max-hold-ms", default=6000), max(3.0 * startup.beat_ms, 4000.0))
@@ -74,53 +74,53 @@
         """Job groups."""
         return range(1, JOB_GROUPS + 1)
 
-    def _genesis(self, *, g: int) -> Epoch:
+    def _genesis(self, *, group_id: int) -> Epoch:
         seeds = [s.replace("#?", "#0") for s in self.seeds()]
         n = len(seeds)
         return {
             "n": 0,
-            "p": seeds[g % n],
+            "p": seeds[group_id % n],
             "w": seeds,
             "t": "",
-            "b": [seeds[(g + i) % n] for i in range(1, min(self.startup.losses, n - 1) + 1)],
+            "b": [seeds[(group_id + i) % n] for i in range(1, min(self.startup.losses, n - 1) + 1)],
         }
 
     def write(self, *, rec: dict[str, Any], done: tuple[Any, ...]) -> None:
         """To disk."""
         self.out.writes.append((dump(body=rec), done))
 
-    def elected(self, *, g: int) -> None:
+    def elected(self, *, group_id: int) -> None:
         """This node now serves the group."""
-        e = self.reps[g].epoch
+        e = self.reps[group_id].epoch
         assert e is not None
-        was = self.before.get(g, "")
-        self.note(event="primary", group=g, epoch=e["n"], backups=",".join(e["b"]))
-        self._spread(g=g)
-        if g == 0:
+        was = self.before.get(group_id, "")
+        self.note(event="primary", group=group_id, epoch=e["n"], backups=",".join(e["b"]))
+        self._spread(group_id=group_id)
+        if group_id == 0:
             self.chief = Chief(node=self, late=was if was != self.uid else "")
             self._publish()
         else:
-            self.placers[g] = Placer(
+            self.placers[group_id] = Placer(
                 defaults=self.defaults,
-                g=g,
+                group_id=group_id,
                 hub=self,
-                rep=self.reps[g],
-                jobs=self.jobs[g],
+                rep=self.reps[group_id],
+                jobs=self.jobs[group_id],
                 far=self.startup.bound(name="spread-factor", default=2),
                 status_s=self.startup.bound(name="status_s", default=120),
             )
 
-    def deposed(self, *, g: int) -> None:
+    def deposed(self, *, group_id: int) -> None:
         """It no longer does."""
-        self.placers.pop(g, None)
-        if g == 0:
+        self.placers.pop(group_id, None)
+        if group_id == 0:
             self.chief = None
 
-    def _spread(self, *, g: int) -> None:
-        e = self.reps[g].epoch
+    def _spread(self, *, group_id: int) -> None:
+        e = self.reps[group_id].epoch
         for uid in self.cores():
             if uid != self.uid:
-                self.send(uid=uid, kind=Kind.NEWS, body={"eps": [[g, e]]})
+                self.send(uid=uid, kind=Kind.NEWS, body={"eps": [[group_id, e]]})
 
     def trusted(self) -> bool:
         """The agent may act: group 0's primary gave its word lately, or is this node."""
@@ -137,13 +137,13 @@
         self.prove_own()
         return super().proof()
 
-    def let_go(self, *, mids: list[str]) -> None:
+    def let_go(self, *, minion_ids: list[str]) -> None:
         """The chief wants these given to others. Let go of are those in good order, with none on its way out: the
         next agent would have to find out anew that a minion is silent or about to leave."""
-        for mid in mids:
-            m = self.agent.minions.get(mid)
+        for minion_id in minion_ids:
+            m = self.agent.minions.get(minion_id)
             if m is not None and self.agent.open(m=m) and all(r.sent or r.live for r in m.runs.values()):
-                self.agent.disown(mid=mid)
+                self.agent.disown(minion_id=minion_id)
 
     def evacuated(self, *, site: str) -> bool:
         """Nothing may start there."""
@@ -157,31 +157,33 @@
         """Sites to which nothing is to be sent."""
         return frozenset(self.evac)
 
-    def gone(self, *, mid: str, fence: int) -> None:
+    def gone(self, *, minion_id: str, fence: int) -> None:
         """A minion is no more."""
-        self.agent.disown(mid=mid)
-        self.calls.start(g=0, op="gone", b={"m": mid, "f": fence}, done=("none",), ttl=30.0)
+        self.agent.disown(minion_id=minion_id)
+        self.calls.start(group_id=0, op="gone", b={"m": minion_id, "f": fence}, done=("none",), ttl=30.0)
 
-    def reply(self, *, uid: str, rid: int, status: int, doc: Any) -> None:
+    def reply(self, *, uid: str, request_id: int, status: int, doc: Any) -> None:
         """Answer a call of another node."""
-        self.send(uid=uid, kind=Kind.REPLY, body={"rid": rid, "to": uid, "s": status, "d": doc} | self.proofs(uid=uid))
+        self.send(
+            uid=uid, kind=Kind.REPLY, body={"rid": request_id, "to": uid, "s": status, "d": doc} | self.proofs(uid=uid)
+        )
 
     def learn(self, *, eps: list[Any]) -> None:
         """Epochs go to the replicas first, which report what is news."""
-        for g, e in eps:
-            self.reps[g].learn(e)
+        for group_id, e in eps:
+            self.reps[group_id].learn(e)
 
     def configured(self) -> None:
         """A newer configuration is in force here."""
         for placer in self.placers.values():
             placer.configured()
 
-    def installed(self, *, g: int, epoch: Epoch) -> None:
+    def installed(self, *, group_id: int, epoch: Epoch) -> None:
         """A newer epoch is decided."""
-        old = self.eps.get(g)
+        old = self.eps.get(group_id)
         if old is not None:
-            self.before[g] = old["p"]
-        super().learn(eps=[[g, epoch]])
+            self.before[group_id] = old["p"]
+        super().learn(eps=[[group_id, epoch]])
         self.push()
 
     # -- group 0
@@ -201,7 +203,7 @@
             doc["conf"] = self.reg.conf
         self.take_news(doc=doc)
 
-    def _serve0(self, *, uid: str, rid: int, op: str, b: dict[str, Any]) -> None:
+    def _serve0(self, *, uid: str, request_id: int, op: str, b: dict[str, Any]) -> None:
         rep, chief = self.reps[0], self.chief
         assert chief is not None
         if op == "conf":
@@ -209,57 +211,62 @@
                 ev = self.reg.judge(method=b["m"], base=b["base"], body=b["body"].encode())
             except YarrowError as err:
                 status, doc = refusal(err=err)
-                rep.barrier(then=("reply", uid, rid, status, doc))
+                rep.barrier(then=("reply", uid, request_id, status, doc))
                 return
             if ev is not None:
                 rep.commit(ev=ev)
                 rep.barrier(then=("news", {"conf": self.reg.conf}))
                 self.note(event="config-accepted", stamp=self.reg.stamp)
-            rep.barrier(then=("reply", uid, rid, 200, {}))
+            rep.barrier(then=("reply", uid, request_id, 200, {}))
         elif op == "getconf":
-            rep.barrier(then=("reply", uid, rid, 200 if self.reg.conf else 404, self.reg.conf or {}))
+            rep.barrier(then=("reply", uid, request_id, 200 if self.reg.conf else 404, self.reg.conf or {}))
         elif op == "evac":
             try:
                 ev = self.reg.judge_evacuation(zone=b["site"], on=b["on"], known=b["mods"])
             except YarrowError as err:
                 status, doc = refusal(err=err)
-                rep.barrier(then=("reply", uid, rid, status, doc))
+                rep.barrier(then=("reply", uid, request_id, status, doc))
                 return
             self.commit0(ev=ev, news=True)
-            rep.barrier(then=("reply", uid, rid, 200, {}))
+            rep.barrier(then=("reply", uid, request_id, 200, {}))
         elif op == "who":
-            chief.who(uid=uid, rid=rid, b=b)
+            chief.who(uid=uid, request_id=request_id, b=b)
         elif op == "gone":
-            rep.commit(ev={"t": "gone", "m": b["m"], "f": b["f"]}, then=("reply", uid, rid, 200, {}))
+            rep.commit(ev={"t": "gone", "m": b["m"], "f": b["f"]}, then=("reply", uid, request_id, 200, {}))
         elif op == "leave":
             row = self.reg.minions.get(b["m"])
-            rep.barrier(then=("reply", uid, rid, 200, {} if row is None else {"o": row["o"]}))
+            rep.barrier(then=("reply", uid, request_id, 200, {} if row is None else {"o": row["o"]}))
 
     # -- beats
 
-    def agent_beat(self, *, mid: str, doc: dict[str, Any], call: Any) -> None:
+    def agent_beat(self, *, minion_id: str, doc: dict[str, Any], call: Any) -> None:
         """A beat of an owned minion; what cannot be read is refused."""
         try:
-            self.agent.beat(mid=mid, doc=doc, call=call)
+            self.agent.beat(minion_id=minion_id, doc=doc, call=call)
         except (ValueError, TypeError, KeyError, IndexError, AttributeError) as err:
-            self.log.warn("beat-malformed", minion=mid, why=repr(err))
+            self.log.warn("beat-malformed", minion=minion_id, why=repr(err))
             self.respond(call=call, res=Response.of(400, {"error": "not a beat"}))
 
-    def beat_elsewhere(self, *, mid: str, doc: dict[str, Any], call: Any) -> None:
+    def beat_elsewhere(self, *, minion_id: str, doc: dict[str, Any], call: Any) -> None:
         """Hand a beat to the minion's agent."""
-        owner, at = self.owner.get(mid, ("", -9.0))
+        owner, at = self.owner.get(minion_id, ("", -9.0))
         if owner and owner != self.uid and self.now - at < OWNER_S:
             self.calls.start(
-                g=-1, to=owner, op="beat", b={"m": mid, "d": doc}, done=("beat", call, mid, owner), ttl=BEAT_TTL
+                group_id=-1,
+                to=owner,
+                op="beat",
+                b={"m": minion_id, "d": doc},
+                done=("beat", call, minion_id, owner),
+                ttl=BEAT_TTL,
             )
             return
         b = {
-            "m": mid,
+            "m": minion_id,
             "site": str(doc.get("zone", "")),
             "svc": str(doc.get("backend", "")),
             "labels": [str(x) for x in doc.get("labels", [])],
         }
-        self.calls.start(g=0, op="who", b=b, done=("who", call, mid, doc), ttl=BEAT_TTL)
+        self.calls.start(group_id=0, op="who", b=b, done=("who", call, minion_id, doc), ttl=BEAT_TTL)
 
     def called(self, *, done: tuple[Any, ...], status: int, doc: Any, sent: bool) -> None:
         """A call of this node has ended."""
@@ -270,32 +277,32 @@
                 res=Response.of(status, doc) if status else Response.of(503, {"error": "no primary in reach"}),
             )
         elif kind == "leave":
-            self._leave_found(call=done[1], mid=done[2], until=done[3], status=status, doc=doc)
+            self._leave_found(call=done[1], minion_id=done[2], until=done[3], status=status, doc=doc)
         elif kind == "who":
-            _, call, mid, beat = done
+            _, call, minion_id, beat = done
             if status != 200:
                 self.respond(call=call, res=Response(status=503))
             elif doc["o"] == self.uid:
-                if mid in self.agent.minions:
-                    self.agent_beat(mid=mid, doc=beat, call=call)
+                if minion_id in self.agent.minions:
+                    self.agent_beat(minion_id=minion_id, doc=beat, call=call)
                 else:
                     self.respond(call=call, res=Response(status=503))
             else:
-                self.owner[mid] = (doc["o"], self.now)
+                self.owner[minion_id] = (doc["o"], self.now)
                 if len(self.owner) > 20000:
                     self.owner.clear()
                 self.calls.start(
-                    g=-1,
+                    group_id=-1,
                     to=doc["o"],
                     op="beat",
-                    b={"m": mid, "d": beat},
-                    done=("beat", call, mid, doc["o"]),
+                    b={"m": minion_id, "d": beat},
+                    done=("beat", call, minion_id, doc["o"]),
                     ttl=BEAT_TTL,
                 )
         elif kind == "beat":
-            _, call, mid, owner = done
+            _, call, minion_id, owner = done
             if status != 200:
-                self.owner.pop(mid, None)
+                self.owner.pop(minion_id, None)
                 self.respond(call=call, res=Response(status=503))
                 return
             ctl = self.members.get(owner, {}).get("ctl") or self.info.get(owner, {}).get("ctl")
@@ -303,32 +310,36 @@
                 doc = {**doc, "beat-target": ctl}
             self.respond(call=call, res=Response.of(200, doc))
 
-    def _leave_found(self, *, call: Any, mid: str, until: float, status: int, doc: Any) -> None:
+    def _leave_found(self, *, call: Any, minion_id: str, until: float, status: int, doc: Any) -> None:
         """Group 0 told which agent a minion that ends is with: none (it has left before), this one or another."""
         owner = doc.get("o") if status == 200 else ""
         if status == 200 and owner is None:
             self.respond(call=call, res=Response.of(200, {}))
-        elif owner == self.uid and mid in self.agent.minions and self.trusted():
-            self.agent.leave(mid=mid, call=call)
+        elif owner == self.uid and minion_id in self.agent.minions and self.trusted():
+            self.agent.leave(minion_id=minion_id, call=call)
         elif owner and owner != self.uid and until > self.now:
-            self.calls.start(g=-1, to=owner, op="leave", b={"m": mid}, done=("http", call), ttl=until - self.now)
+            self.calls.start(
+                group_id=-1, to=owner, op="leave", b={"m": minion_id}, done=("http", call), ttl=until - self.now
+            )
         else:
             self.respond(call=call, res=Response(status=503))
 
     def respond(self, *, call: Any, res: Response) -> None:
         """Answer a call: over HTTP, or to the node that handed the beat over."""
         if isinstance(call, tuple) and call[0] == "far":
-            self.reply(uid=call[1], rid=call[2], status=res.status, doc=self.load(body=res.body) if res.body else {})
+            self.reply(
+                uid=call[1], request_id=call[2], status=res.status, doc=self.load(body=res.body) if res.body else {}
+            )
         else:
             super().respond(call=call, res=res)
 
-    def _handed(self, *, uid: str, rid: int, op: str, b: dict[str, Any]) -> None:
+    def _handed(self, *, uid: str, request_id: int, op: str, b: dict[str, Any]) -> None:
         if b["m"] not in self.agent.minions or not self.trusted():
-            self.reply(uid=uid, rid=rid, status=503, doc={})
+            self.reply(uid=uid, request_id=request_id, status=503, doc={})
         elif op == "leave":
-            self.agent.leave(mid=b["m"], call=("far", uid, rid))
+            self.agent.leave(minion_id=b["m"], call=("far", uid, request_id))
         else:
-            self.agent_beat(mid=b["m"], doc=b["d"], call=("far", uid, rid))
+            self.agent_beat(minion_id=b["m"], doc=b["d"], call=("far", uid, request_id))
 
     def effect(self, *, eff: tuple[Any, ...]) -> None:
         """Carry out an effect that is now durable."""
@@ -344,12 +355,13 @@
             "evacuated": sorted(self.evac),
             "members": self.members,
             "groups": {
-                str(g): {"role": r.role.value, "epoch": r.epoch, "serving": r.serving()} for g, r in self.reps.items()
+                str(group_id): {"role": r.role.value, "epoch": r.epoch, "serving": r.serving()}
+                for group_id, r in self.reps.items()
             },
             "minions": {
-                m.mid: {"phase": m.phase.value, "free": m.free(), "runs": len(m.runs)}
+                m.minion_id: {"phase": m.phase.value, "free": m.free(), "runs": len(m.runs)}
                 for m in self.agent.minions.values()
             },
-            "backlog": {str(g): len(p.backlog) for g, p in self.placers.items()},
-            "placing": {str(g): p.figures() for g, p in self.placers.items()},
+            "backlog": {str(group_id): len(p.backlog) for group_id, p in self.placers.items()},
+            "placing": {str(group_id): p.figures() for group_id, p in self.placers.items()},
         }
--- a/yarrowloom/node/edge.py
+++ b/yarrowloom/node/edge.py
@@ -9,7 +9,7 @@
 from ..common.errors import InvalidError
 from ..common.log import Log
 from ..common.settings import Startup
-from ..jobs.submission import group_of, job_id, parse
+from ..jobs.submission import group_of, is_job_id, parse
 from ..transport.envelope import Kind
 from ..transport.http_server import Limits, Request, Response
 from .edge_relays import FANOUT
@@ -75,7 +75,10 @@
         records."""
         near = self.freshness.age(now=self.now) < self.freshness.ready_s
         return (
-            near and self.table is not None and not self.closing and all(g in self.eps for g in range(JOB_GROUPS + 1))
+            near
+            and self.table is not None
+            and not self.closing
+            and all(group_id in self.eps for group_id in range(JOB_GROUPS + 1))
         )
 
     def sure(self) -> bool:
@@ -119,7 +122,7 @@
             return self._by_table(res=res)
         if method == "GET" and not way.rest:
             return None
-        if not job_id(text=way.rest):
+        if not is_job_id(text=way.rest):
             return self._by_table(res=Response.of(400 if method == "POST" else 410, {"error": "not a job id"}))
         return None
 
@@ -159,17 +162,17 @@
         seen = self._seen(way)
         if method == "GET" and not way.rest:
             count: dict[str, Any] = {"left": JOB_GROUPS, "sum": 0}
-            for g in range(1, JOB_GROUPS + 1):
-                done = ("count", way.call, size if g == 1 else 0, count)
-                self.calls.start(g=g, op="count", b={"q": name, **seen}, done=done, ttl=ttl)
+            for group_id in range(1, JOB_GROUPS + 1):
+                done = ("count", way.call, size if group_id == 1 else 0, count)
+                self.calls.start(group_id=group_id, op="count", b={"q": name, **seen}, done=done, ttl=ttl)
             return
-        g = group_of(jid=way.rest, groups=JOB_GROUPS)
+        group_id = group_of(job_id=way.rest, groups=JOB_GROUPS)
         b: dict[str, Any] = {"id": way.rest, "q": name, **seen}
         if method == "POST":
             assert way.job is not None
             b["j"] = {**way.job, "svc": way.route["backend"], "mt": int(way.route.get("max-tries", 1))}
         op = {"POST": "put", "GET": "get", "DELETE": "del"}[method]
-        self.calls.start(g=g, op=op, b=b, done=(op, way.call, size), ttl=ttl)
+        self.calls.start(group_id=group_id, op=op, b=b, done=(op, way.call, size), ttl=ttl)
 
     def _seen(self, way: Way) -> dict[str, Any]:
         """By which configuration a call was routed; and while that may be out of date, whither the caller wrote, so
--- a/yarrowloom/node/group_calls.py
+++ b/yarrowloom/node/group_calls.py
@@ -30,7 +30,7 @@
     def send(self, *, uid: str, kind: Kind, body: dict[str, Any]) -> None:
         """To another node."""
 
-    def primary(self, *, g: int) -> tuple[str, int] | None:
+    def primary(self, *, group_id: int) -> tuple[str, int] | None:
         """Who serves a group."""
 
     def learn(self, *, eps: list[Any]) -> None:
@@ -44,8 +44,8 @@
 class Pending:
     """A call in flight. `to` fixes a node; otherwise the primary of `g` is asked."""
 
-    rid: int
-    g: int
+    request_id: int
+    group_id: int
     to: str
     op: str
     b: dict[str, Any]
@@ -74,18 +74,29 @@
 
     def __init__(self, *, hub: CallHub, base: int) -> None:
         self.hub = hub
-        self.rid = base
+        self.request_id = base
         self.open: dict[int, Pending] = {}
 
-    def start(self, *, g: int, op: str, b: dict[str, Any], done: tuple[Any, ...], ttl: float, to: str = "") -> None:
+    def start(
+        self, *, group_id: int, op: str, b: dict[str, Any], done: tuple[Any, ...], ttl: float, to: str = ""
+    ) -> None:
         """Begin a call."""
-        self.rid += 1
-        pend = Pending(rid=self.rid, g=g, to=to, op=op, b=b, done=done, horizon=self.hub.now + ttl, began=self.hub.now)
-        self.open[pend.rid] = pend
+        self.request_id += 1
+        pend = Pending(
+            request_id=self.request_id,
+            group_id=group_id,
+            to=to,
+            op=op,
+            b=b,
+            done=done,
+            horizon=self.hub.now + ttl,
+            began=self.hub.now,
+        )
+        self.open[pend.request_id] = pend
         self._send(pend)
 
     def _send(self, pend: Pending) -> None:
-        prim = self.hub.primary(g=pend.g)
+        prim = self.hub.primary(group_id=pend.group_id)
         uid = pend.to or (prim[0] if prim is not None else "")
         pend.again = self.hub.now + (pend.wait if uid else RETRY_S)
         pend.asked = prim
@@ -97,9 +108,9 @@
                 uid=uid,
                 kind=Kind.CALL,
                 body={
-                    "rid": pend.rid,
+                    "rid": pend.request_id,
                     "to": uid,
-                    "g": pend.g,
+                    "g": pend.group_id,
                     "op": pend.op,
                     "b": pend.b,
                     "ttl": round(pend.horizon - self.hub.now, 3),
@@ -123,14 +134,14 @@
             return
         if m["s"] == NOT_PRIMARY and not pend.to:
             pend.nodes[uid] = max(pend.nodes[uid] - 1, 0)
-            before = self.hub.primary(g=pend.g)
+            before = self.hub.primary(group_id=pend.group_id)
             self.hub.learn(eps=m["d"])
-            if self.hub.primary(g=pend.g) != before:
+            if self.hub.primary(group_id=pend.group_id) != before:
                 self._anew(pend)
             else:
                 pend.again = self.hub.now + RETRY_S
             return
-        del self.open[pend.rid]
+        del self.open[pend.request_id]
         if m["s"] in REFUSALS and any(copies for node, copies in pend.nodes.items() if node != uid):
             self.hub.called(done=pend.done, status=0, doc=None, sent=True)  # another node may have taken it
         else:
@@ -141,9 +152,9 @@
         now = self.hub.now
         for pend in list(self.open.values()):
             if now >= pend.horizon:
-                del self.open[pend.rid]
+                del self.open[pend.request_id]
                 self.hub.called(done=pend.done, status=0, doc=None, sent=pend.sent)
-            elif not pend.to and self.hub.primary(g=pend.g) != pend.asked:
+            elif not pend.to and self.hub.primary(group_id=pend.group_id) != pend.asked:
                 self._anew(pend)
             elif now >= pend.again:
                 self._send(pend)
@@ -168,7 +179,7 @@
         self._refused: dict[tuple[str, int], Refusal] = {}
         self._swept = 0.0
 
-    def take(self, *, uid: str, rid: int, g: int, now: float) -> bool:
+    def take(self, *, uid: str, request_id: int, group_id: int, now: float) -> bool:
         """Whether a call is new.
 
         >>> hand = InHand()
@@ -179,30 +190,30 @@
         >>> hand.take(uid="a", rid=1, g=1, now=0.8), hand.leave(g=1)
         (True, [('a', 1)])
         """
-        if (uid, rid) in self._at:
+        if (uid, request_id) in self._at:
             return False
-        self._at[uid, rid] = (g, now)
+        self._at[uid, request_id] = (group_id, now)
         return True
 
-    def holds(self, *, uid: str, rid: int) -> bool:
+    def holds(self, *, uid: str, request_id: int) -> bool:
         """Whether a call was taken and is not answered yet."""
-        return (uid, rid) in self._at
+        return (uid, request_id) in self._at
 
-    def drop(self, *, uid: str, rid: int) -> int:
+    def drop(self, *, uid: str, request_id: int) -> int:
         """It is answered; the group that it was for, -1 if it was for none or is not known."""
-        return self._at.pop((uid, rid), (-1, 0.0))[0]
+        return self._at.pop((uid, request_id), (-1, 0.0))[0]
 
-    def refuse(self, *, uid: str, rid: int, status: int, doc: Any, now: float) -> None:
+    def refuse(self, *, uid: str, request_id: int, status: int, doc: Any, now: float) -> None:
         """It is refused for good."""
-        self._refused[uid, rid] = Refusal(status=status, doc=doc, until=now + REFUSED_S)
+        self._refused[uid, request_id] = Refusal(status=status, doc=doc, until=now + REFUSED_S)
 
-    def refusal(self, *, uid: str, rid: int) -> Refusal | None:
+    def refusal(self, *, uid: str, request_id: int) -> Refusal | None:
         """How a call was refused before."""
-        return self._refused.get((uid, rid))
+        return self._refused.get((uid, request_id))
 
-    def leave(self, *, g: int) -> list[tuple[str, int]]:
+    def leave(self, *, group_id: int) -> list[tuple[str, int]]:
         """Let go of all of a group."""
-        return [key for key, (of, _) in list(self._at.items()) if of == g and self._at.pop(key)]
+        return [key for key, (of, _) in list(self._at.items()) if of == group_id and self._at.pop(key)]
 
     def sweep(self, *, now: float) -> None:
         """Forget what nobody waits for any more."""
--- a/yarrowloom/node/http_routes.py
+++ b/yarrowloom/node/http_routes.py
@@ -7,7 +7,7 @@
 import orjson
 
 from ..common.errors import YarrowError
-from ..jobs.submission import group_of, job_id
+from ..jobs.submission import group_of, is_job_id
 from ..transport.http_server import JSON, Request, Response
 from .node_base import JOB_GROUPS
 
@@ -50,7 +50,7 @@
 
 
 @declare("PUT", r"/minions/([^/]+)")
-def beat(node: "CoreHub", call: Any, req: Request, mid: str) -> None:
+def beat(node: "CoreHub", call: Any, req: Request, minion_id: str) -> None:
     """A minion's beat: to its agent, here or elsewhere."""
     try:
         doc = orjson.loads(req.body)
@@ -59,19 +59,25 @@
     except ValueError:
         node.respond(call=call, res=Response.of(400, {"error": "not a beat"}))
         return
-    if mid in node.agent.minions and node.trusted():
-        node.agent_beat(mid=mid, doc=doc, call=call)
+    if minion_id in node.agent.minions and node.trusted():
+        node.agent_beat(minion_id=minion_id, doc=doc, call=call)
         return
-    node.beat_elsewhere(mid=mid, doc=doc, call=call)
+    node.beat_elsewhere(minion_id=minion_id, doc=doc, call=call)
 
 
 @declare("DELETE", r"/minions/([^/]+)")
-def leave(node: "CoreHub", call: Any, req: Request, mid: str) -> None:
+def leave(node: "CoreHub", call: Any, req: Request, minion_id: str) -> None:
     """A minion ends."""
-    if mid in node.agent.minions and node.trusted():
-        node.agent.leave(mid=mid, call=call)
+    if minion_id in node.agent.minions and node.trusted():
+        node.agent.leave(minion_id=minion_id, call=call)
     else:
-        node.calls.start(g=0, op="leave", b={"m": mid}, done=("leave", call, mid, node.now + BEAT_TTL), ttl=BEAT_TTL)
+        node.calls.start(
+            group_id=0,
+            op="leave",
+            b={"m": minion_id},
+            done=("leave", call, minion_id, node.now + BEAT_TTL),
+            ttl=BEAT_TTL,
+        )
 
 
 @declare("PUT", r"/config")
@@ -93,7 +99,7 @@
         node.respond(call=call, res=Response.of(400, {"error": "invalid", "findings": ["(body): not UTF-8"]}))
         return
     node.calls.start(
-        g=0,
+        group_id=0,
         op="conf",
         b={"m": req.method, "base": req.headers.get("if-match"), "body": text},
         done=("http", call),
@@ -104,7 +110,7 @@
 @declare("GET", r"/config")
 def get_config(node: "CoreHub", call: Any, req: Request, _arg: str) -> None:
     """The newest configuration, whole."""
-    node.calls.start(g=0, op="getconf", b={}, done=("http", call), ttl=CONF_TTL)
+    node.calls.start(group_id=0, op="getconf", b={}, done=("http", call), ttl=CONF_TTL)
 
 
 @declare("POST", r"/evacuation/([^/]+)")
@@ -122,7 +128,9 @@
 def _evacuate(*, node: "CoreHub", call: Any, site: str, on: bool) -> None:
     """The order goes with the registry's version that is known here now: a copy that is delayed can't undo a later
     order."""
-    node.calls.start(g=0, op="evac", b={"site": site, "on": on, "mods": node.mods}, done=("http", call), ttl=CONF_TTL)
+    node.calls.start(
+        group_id=0, op="evac", b={"site": site, "on": on, "mods": node.mods}, done=("http", call), ttl=CONF_TTL
+    )
 
 
 @declare("GET", r"/state")
@@ -132,27 +140,33 @@
 
 
 @declare("GET", r"/jobs/([^/]+)")
-def explain(node: "CoreHub", call: Any, req: Request, jid: str) -> None:
+def explain(node: "CoreHub", call: Any, req: Request, job_id: str) -> None:
     """Why a job waits: its groups, their last cycle, its place in the queue. Elsewhere than at the placing node, the
     answer names that one (307)."""
-    if not job_id(text=jid):
+    if not is_job_id(text=job_id):
         node.respond(call=call, res=Response.of(400, {"error": "not a job id"}))
         return
-    g = group_of(jid=jid, groups=JOB_GROUPS)
-    if g in node.placers and node.reps[g].serving():
-        job = node.jobs[g].jobs.get(jid)
+    group_id = group_of(job_id=job_id, groups=JOB_GROUPS)
+    if group_id in node.placers and node.reps[group_id].serving():
+        job = node.jobs[group_id].jobs.get(job_id)
         node.respond(
             call=call,
             res=Response.of(410, {"error": "no such job"})
             if job is None
             else Response.of(
-                200, {"id": jid, "queue": job["q"], "state": job["st"], "groups": node.placers[g].explain(jid=jid)}
+                200,
+                {
+                    "id": job_id,
+                    "queue": job["q"],
+                    "state": job["st"],
+                    "groups": node.placers[group_id].explain(job_id=job_id),
+                },
             ),
         )
         return
-    prim = node.primary(g=g)
+    prim = node.primary(group_id=group_id)
     ctl = node.info.get(prim[0], {}).get("ctl") or node.members.get(prim[0], {}).get("ctl") if prim else ""
     if not ctl:
         node.respond(call=call, res=Response.of(503, {"error": "no placing node known"}))
     else:
-        node.respond(call=call, res=Response(status=307, headers=(("location", f"http://{ctl}/jobs/{jid}"),)))
+        node.respond(call=call, res=Response(status=307, headers=(("location", f"http://{ctl}/jobs/{job_id}"),)))
--- a/yarrowloom/node/input_scheduler.py
+++ b/yarrowloom/node/input_scheduler.py
@@ -46,8 +46,8 @@
     if kind in _PLACE or (kind is Kind.ROOM and isinstance(m, dict) and "x" in m):
         return Rank.PLACE  # changes of room keep their order with grants
     if kind is Kind.CALL and isinstance(m, dict):
-        g = m.get("g")
-        return Rank.LATE if isinstance(g, int) and g > 0 else Rank.AGENT
+        group_id = m.get("g")
+        return Rank.LATE if isinstance(group_id, int) and group_id > 0 else Rank.AGENT
     return Rank.AGENT
 
 
--- a/yarrowloom/node/node_base.py
+++ b/yarrowloom/node/node_base.py
@@ -82,24 +82,24 @@
 
     # -- epochs and news
 
-    def primary(self, *, g: int) -> tuple[str, int] | None:
+    def primary(self, *, group_id: int) -> tuple[str, int] | None:
         """Who serves a group, as far as known."""
-        e = self.eps.get(g)
+        e = self.eps.get(group_id)
         return (e["p"], e["n"]) if e is not None else None
 
     def learn(self, *, eps: list[Any]) -> None:
         """Take note of epochs: (group, epoch)."""
-        for g, e in eps:
+        for group_id, e in eps:
             check_epoch(epoch=e)
-            if g not in self.eps or self.eps[g]["n"] < e["n"]:
-                self.eps[g] = e
+            if group_id not in self.eps or self.eps[group_id]["n"] < e["n"]:
+                self.eps[group_id] = e
 
     def mine(self) -> dict[str, Any]:
         """What this node has of the news."""
         return {
             "conf": self.table.stamp if self.table and not self.torn else 0,
             "mods": self.mods,
-            "ep": {str(g): e["n"] for g, e in self.eps.items()},
+            "ep": {str(group_id): e["n"] for group_id, e in self.eps.items()},
         }
 
     def newer(self, *, uid: str) -> dict[str, Any]:
@@ -128,13 +128,13 @@
             out["reg"] = {"mods": self.mods, "evac": sorted(self.evac), "members": self.members}
             way.mods, way.till = self.mods, self.now + RESEND_S
         eps = {
-            g: e
-            for g, e in self.eps.items()
-            if have["ep"].get(str(g), -1) < e["n"] and (due or way.eps.get(g, -1) < e["n"])
+            group_id: e
+            for group_id, e in self.eps.items()
+            if have["ep"].get(str(group_id), -1) < e["n"] and (due or way.eps.get(group_id, -1) < e["n"])
         }
         if eps:
-            out["eps"] = [[g, e] for g, e in eps.items()]
-            way.eps.update({g: e["n"] for g, e in eps.items()})
+            out["eps"] = [[group_id, e] for group_id, e in eps.items()]
+            way.eps.update({group_id: e["n"] for group_id, e in eps.items()})
             way.till = self.now + RESEND_S
         return out
 
@@ -152,9 +152,9 @@
             self.mods, self.evac, self.members = reg["mods"], set(reg["evac"]), dict(reg["members"])
             fresh = True
         if doc.get("eps"):
-            before = {g: e["n"] for g, e in self.eps.items()}
+            before = {group_id: e["n"] for group_id, e in self.eps.items()}
             self.learn(eps=doc["eps"])
-            fresh = fresh or before != {g: e["n"] for g, e in self.eps.items()}
+            fresh = fresh or before != {group_id: e["n"] for group_id, e in self.eps.items()}
         if fresh and push:
             self.push()
 
@@ -235,7 +235,7 @@
         while nobody answers or no members are known (the address of a primary may answer that lost its disk); some
         of these in turn while those that answer can't prove contact with a primary."""
         out = ring(uid=self.uid, among=list(self.members), n=WATCHERS if self.kind == "core" else 2)
-        prim = self.primary(g=0)
+        prim = self.primary(group_id=0)
         if self.kind == "core" and prim is not None and prim[0] != self.uid:
             out.append(prim[0])
         if self.now - self.contact > 1.0 or not self.members:
--- a/yarrowloom/prediction/backfill.py
+++ b/yarrowloom/prediction/backfill.py
@@ -26,7 +26,7 @@
 class Minion:
     """A minion as a planner sees it. Invariant: `free` is what no member of `runs` holds: cpu, mem, gpu."""
 
-    mid: str
+    minion_id: str
     rack: str
     labels: frozenset[str]
     free: tuple[int, int, int]
@@ -69,9 +69,9 @@
     return max(0, out)
 
 
-def _sum(*, mid: str, held: Sequence[Reservation]) -> tuple[int, int, int]:
+def _sum(*, minion_id: str, held: Sequence[Reservation]) -> tuple[int, int, int]:
     """What reservations take of a minion together."""
-    rows = [(r.places.get(mid, 0), r.form) for r in held]
+    rows = [(r.places.get(minion_id, 0), r.form) for r in held]
     return sum(n * f.cpu for n, f in rows), sum(n * f.mem for n, f in rows), sum(n * f.gpu for n, f in rows)
 
 
@@ -90,18 +90,18 @@
     for m in minions:
         if not form.req or form.req in m.labels:
             cpu, mem, gpu = m.at(when=when, now=now)
-            off = _sum(mid=m.mid, held=held)
+            off = _sum(minion_id=m.minion_id, held=held)
             got = copies(free=(cpu - off[0], mem - off[1], gpu - off[2]), form=form, most=min(n, apart) if apart else n)
             if got:
-                racks.setdefault(m.rack if tight else "", []).append((-got, m.mid))
+                racks.setdefault(m.rack if tight else "", []).append((-got, m.minion_id))
     fits = [rows for _, rows in sorted(racks.items()) if -sum(got for got, _ in rows) >= n]
     if not fits:
         return None
     out: dict[str, int] = {}
-    for got, mid in sorted(max(fits, key=lambda rows: -sum(got for got, _ in rows))):
+    for got, minion_id in sorted(max(fits, key=lambda rows: -sum(got for got, _ in rows))):
         if n > 0:
-            out[mid] = min(-got, n)
-            n -= out[mid]
+            out[minion_id] = min(-got, n)
+            n -= out[minion_id]
     return out
 
 
@@ -122,12 +122,14 @@
     low, high = 0, len(times) - 1
     best: dict[str, int] | None = None
     while low <= high:
-        mid = (low + high) // 2
-        got = _place(when=times[mid], now=now, minions=minions, form=form, n=n, tight=tight, apart=apart, held=held)
+        minion_id = (low + high) // 2
+        got = _place(
+            when=times[minion_id], now=now, minions=minions, form=form, n=n, tight=tight, apart=apart, held=held
+        )
         if got is None:
-            low = mid + 1
+            low = minion_id + 1
         else:
-            best, high = got, mid - 1
+            best, high = got, minion_id - 1
     return Reservation(at=times[low], form=form, places=best) if best is not None else None
 
 
@@ -145,10 +147,10 @@
     """
     if form.req and form.req not in minion.labels or not copies(free=minion.free, form=form, most=1):
         return False
-    mine = [r for r in held if minion.mid in r.places]
+    mine = [r for r in held if minion.minion_id in r.places]
     if not mine:
         return True
-    used = _sum(mid=minion.mid, held=mine)
+    used = _sum(minion_id=minion.minion_id, held=mine)
     used = used[0] + form.cpu, used[1] + form.mem, used[2] + form.gpu
     return all(
         now + upper_ms <= r.at - slack_ms
@@ -160,7 +162,7 @@
 def in_the_way(*, now: float, minion: Minion, held: Reservation) -> list[Run]:
     """Once a reservation's time has come: the fillers to stop on a minion so that it can start, those that keep
     their progress first, then the ones that would end last, none in vain; nothing if stopping them does not help."""
-    n = held.places.get(minion.mid, 0)
+    n = held.places.get(minion.minion_id, 0)
 
     def enough(runs: Sequence[Run]) -> bool:
         free = (
--- a/yarrowloom/prediction/call_times.py
+++ b/yarrowloom/prediction/call_times.py
@@ -133,10 +133,10 @@
         """Try few periods on the calls kept; at most 3 x GAPS steps."""
         gaps = self.gaps
         vals = sorted(gaps)
-        mid = float(vals[len(vals) // 2])
+        minion_id = float(vals[len(vals) // 2])
         pair = sorted(a + b for a, b in zip(gaps, gaps[1:], strict=False))
         best = (0.0, 0.0, 0.0, 0.0)
-        for period in (mid, float(pair[len(pair) // 2]), mid / 2):
+        for period in (minion_id, float(pair[len(pair) // 2]), minion_id / 2):
             if not LEAST_PERIOD <= period <= MOST_PERIOD:
                 continue
             p, ref, err, ok, beats = period, 0.0, 0.0, 0, 0
@@ -172,10 +172,10 @@
         if not self.gscore.on:
             return None
         past = now - self.at
-        left = sorted(g for g in self.gaps if g > past)
+        left = sorted(group_id for group_id in self.gaps if group_id > past)
         if not left:
             return None
-        soon = sum(g <= past + horizon for g in left)
+        soon = sum(group_id <= past + horizon for group_id in left)
         chance = self.gscore.rate * soon / (len(left) + 0.5)
         return (
             self.at + left[0] - left[0] // 10,
--- a/yarrowloom/prediction/history.py
+++ b/yarrowloom/prediction/history.py
@@ -86,7 +86,7 @@
         self,
         *,
         at: int,
-        jid: str,
+        job_id: str,
         q: str,
         svc: str,
         steps: "Sequence[Step]",
@@ -100,10 +100,10 @@
         key = kind_key(q=q, steps=steps, period=period if times else 0)
         form = Form(first_step["cpu"], first_step["mem"], first_step["gpu"], first_step["req"])
         if times:
-            self.timers.pop(jid, None)
+            self.timers.pop(job_id, None)
             if len(self.timers) >= TIMERS:
                 del self.timers[next(iter(self.timers))]
-            self.timers[jid] = [
+            self.timers[job_id] = [
                 key,
                 q,
                 svc,
@@ -153,9 +153,9 @@
         del self.kinds[worst]
         self.follow.drop(kind=worst)
 
-    def note_over(self, *, at: int, jid: str, q: str, steps: "Sequence[Step]", done: bool) -> None:
+    def note_over(self, *, at: int, job_id: str, q: str, steps: "Sequence[Step]", done: bool) -> None:
         """A job has ended at wall time `at`; `done`: it is complete, not failed or cancelled."""
-        if self.timers.pop(jid, None) is None and done:
+        if self.timers.pop(job_id, None) is None and done:
             t, _ = self._inner(at)
             for key in (kind_key(q=q, steps=steps), queue_key(q=q)):
                 if key in self.kinds:
@@ -172,20 +172,20 @@
         ms: float,
         far: float = 1.0,
         whole: bool = True,
-        mid: str = "",
+        minion_id: str = "",
     ) -> None:
         """Run `run` of `task` ended as `how` after `ms` milliseconds of running. `far`: by how much being away from
         its data made it longer (1.0: not at all); `whole`: it began without saved progress; `mid`: the minion, if slow
         ones are to be told apart. All but whole `done` runs are passed over, and so is an end told again among the
         last SEEN ones. One member of a gang stands for all."""
-        self.runs.note(q=q, step=step, task=task, run=run, how=how, ms=ms, far=far, whole=whole, mid=mid)
+        self.runs.note(q=q, step=step, task=task, run=run, how=how, ms=ms, far=far, whole=whole, minion_id=minion_id)
 
     # -- questions; none of them changes the state
 
-    def times(self, *, q: str, step: "Step", far: float = 1.0, mid: str = "") -> Times:
+    def times(self, *, q: str, step: "Step", far: float = 1.0, minion_id: str = "") -> Times:
         """How long a task of this step runs, in milliseconds, if being away makes it `far` times as long; on the
         minion `mid`, or on one that is not slow."""
-        return self.runs.times(q=q, step=step, far=far, mid=mid)
+        return self.runs.times(q=q, step=step, far=far, minion_id=minion_id)
 
     def predict(self, *, now_ms: int, horizon_ms: int) -> list[Prediction]:
         """Calls expected from now until the horizon, the earliest first; at most MOST, one for each kind beside the
@@ -250,14 +250,14 @@
                 self.looked += 1
                 if not pair.open or key not in self.kinds or not pair.lags:
                     continue
-                low, mid, high = pair.band()
+                low, minion_id, high = pair.band()
                 if now <= trig.at + high:
                     calls = self.kinds[key].calls
                     take(
                         key=key,
                         why=Why.FOLLOW,
                         early=trig.at + low,
-                        likely=trig.at + mid,
+                        likely=trig.at + minion_id,
                         late=trig.at + high,
                         confidence=pair.worth(rate=calls.rate(now=now)),
                         jobs=calls.usual,
--- a/yarrowloom/prediction/run_times.py
+++ b/yarrowloom/prediction/run_times.py
@@ -116,7 +116,7 @@
         ms: float,
         far: float = 1.0,
         whole: bool = True,
-        mid: str = "",
+        minion_id: str = "",
     ) -> None:
         """See `History.note_end`."""
         if how != "done" or not whole or ms < 0 or step["last"]:
@@ -136,11 +136,11 @@
                 del self.rings[next(iter(self.rings))]
         self.rings[key] = ring
         ran, est = _log(ms / far if far > 1.0 else ms), _log_est(step["est"] or BLIND_MS)
-        if mid and len(ring.rows) >= 8:
-            ran -= self.slow.note(mid=mid, off=ran - est - (ring.lo + ring.hi) // 2)
+        if minion_id and len(ring.rows) >= 8:
+            ran -= self.slow.note(minion_id=minion_id, off=ran - est - (ring.lo + ring.hi) // 2)
         ring.put(ran=ran, est=est)
 
-    def times(self, *, q: str, step: "Step", far: float = 1.0, mid: str = "") -> Times:
+    def times(self, *, q: str, step: "Step", far: float = 1.0, minion_id: str = "") -> Times:
         """See `History.times`."""
         est = _log_est(step["est"] or BLIND_MS)
         ring = self.rings.get(run_key(q=q, step=step))
@@ -148,7 +148,7 @@
         by_est, vals = ring.sorted() if ring is not None else (True, [])
         if n < len(PRIOR):
             vals = sorted([*vals, *(_log(p * 1000) - _log(1000) for p in PRIOR[n:])])
-        base = (est if by_est else 0) + (self.slow.log(mid=mid) if mid else 0)
+        base = (est if by_est else 0) + (self.slow.log(minion_id=minion_id) if minion_id else 0)
         p50, p90, p95 = (far * math.exp((base + rank(vals=vals, q=q)) / SCALE) for q in (0.5, 0.9, 0.95))
         return Times(p50=p50, p90=p90, p95=p95, n=n, confidence=n / (n + 4))
 
--- a/yarrowloom/prediction/slow_minions.py
+++ b/yarrowloom/prediction/slow_minions.py
@@ -21,13 +21,13 @@
         self.base = 0
         self.left = EVERY
 
-    def note(self, *, mid: str, off: int) -> int:
+    def note(self, *, minion_id: str, off: int) -> int:
         """A run took `off` (log) longer than its kind usually does; returns what `log` says now."""
-        row = self.rows.get(mid)
+        row = self.rows.get(minion_id)
         if row is None:
             if len(self.rows) >= MINIONS:
                 del self.rows[next(iter(self.rows))]
-            row = self.rows[mid] = [0, self.base]
+            row = self.rows[minion_id] = [0, self.base]
         if row[0] < LEAST:
             row[0] += 1
         row[1] += ((CUT if off > CUT else -CUT if off < -CUT else off) - row[1]) // 4
@@ -39,13 +39,13 @@
         more = row[1] - self.base
         return more if more >= FROM and row[0] >= LEAST else 0
 
-    def log(self, *, mid: str) -> int:
+    def log(self, *, minion_id: str) -> int:
         """How much longer runs take there, as a log; 0 for all that is not clearly slow.
 
         >>> Slow().log(mid="m")
         0
         """
-        row = self.rows.get(mid)
+        row = self.rows.get(minion_id)
         if row is None or row[0] < LEAST or row[1] - self.base < FROM:
             return 0
         return row[1] - self.base
--- a/yarrowloom/replication/election.py
+++ b/yarrowloom/replication/election.py
@@ -114,7 +114,7 @@
         self.calmed = hub.now
         for uid in e["b"]:
             if uid not in self.avoid:
-                hub.send(uid=uid, kind=Kind.PING, body={"g": self.rep.g, "n": e["n"], "t": hub.now})
+                hub.send(uid=uid, kind=Kind.PING, body={"g": self.rep.group_id, "n": e["n"], "t": hub.now})
 
     def _pick(self) -> None:
         rep, hub = self.rep, self.rep.hub
@@ -154,7 +154,11 @@
         self.asked = ask
         if self.copies and ask:
             hub.note(
-                event="campaign-goes-on", group=rep.g, round=self.copies, asked=",".join(ask), have=",".join(self.have)
+                event="campaign-goes-on",
+                group=rep.group_id,
+                round=self.copies,
+                asked=",".join(ask),
+                have=",".join(self.have),
             )
         if ask:
             self.patience = min(COPY_S * 2**self.copies, COPY_MOST_S) * (1 + hub.jitter() / 2)
@@ -177,12 +181,12 @@
         rec = rep.proposed(n=inst)
         if rec is not None:
             self.resumed = True
-            hub.write(rec={"k": "none", "g": rep.g}, done=("copied", rep.g, rec["tag"]))
+            hub.write(rec={"k": "none", "g": rep.group_id}, done=("copied", rep.group_id, rec["tag"]))
         else:
             self.text = self.text or encode(state=rep.state)
             tag = f"{hub.uid}/{hub.now:.4f}/{int(hub.jitter() * 1e9)}"
-            rec = {"k": "ck", "g": rep.g, "inst": inst, "tag": tag, "applied": rep.applied, "st": self.text}
-            hub.write(rec=rec, done=("copied", rep.g, tag))
+            rec = {"k": "ck", "g": rep.group_id, "inst": inst, "tag": tag, "applied": rep.applied, "st": self.text}
+            hub.write(rec=rec, done=("copied", rep.group_id, tag))
             rep.keep(rec=rec)
         self.tag = rec["tag"]
 
@@ -218,14 +222,14 @@
         self.votes += 1
         if self.votes > 2:
             self.rep.hub.note(
-                event="campaign-votes-again", group=self.rep.g, round=self.votes, witnesses=",".join(e["w"])
+                event="campaign-votes-again", group=self.rep.group_id, round=self.votes, witnesses=",".join(e["w"])
             )
         self.round += 1
         self.best = None
         self.ballot = [self.round, self.rep.hub.uid, self.rep.hub.incarnation]
         for uid in e["w"]:
             self.rep.hub.send(
-                uid=uid, kind=Kind.PREP, body={"g": self.rep.g, "n": e["n"] + 1, "bal": self.ballot, "cert": e}
+                uid=uid, kind=Kind.PREP, body={"g": self.rep.group_id, "n": e["n"] + 1, "bal": self.ballot, "cert": e}
             )
 
     def on(self, *, uid: str, kind: Kind, m: dict[str, Any]) -> None:
@@ -258,7 +262,7 @@
                     self.rep.hub.send(
                         uid=wit,
                         kind=Kind.ACCEPT,
-                        body={"g": self.rep.g, "n": e["n"] + 1, "bal": self.ballot, "val": val, "cert": e},
+                        body={"g": self.rep.group_id, "n": e["n"] + 1, "bal": self.ballot, "val": val, "cert": e},
                     )
         elif kind is Kind.ACCEPTED and self.phase is Phase.ACCEPT:
             self.ok.add(uid)
@@ -268,7 +272,7 @@
                 self.rep.learn(val)
                 if self.rep.camp is not self:
                     for peer in sorted({*old["w"], *val["w"], val["p"], *val["b"]} - {""}):
-                        self.rep.hub.send(uid=peer, kind=Kind.INSTALL, body={"g": self.rep.g, "e": val})
+                        self.rep.hub.send(uid=peer, kind=Kind.INSTALL, body={"g": self.rep.group_id, "e": val})
 
     def decided(self, *, epoch: Epoch) -> None:
         """The epoch that this campaign proposed is decided."""
@@ -283,7 +287,9 @@
         assert self.value is not None
         self.sent = self.rep.hub.now
         for peer in sorted({*self.value["w"], *self.value["b"], *self.rep.hub.everyone()} - {"", *self.ok}):
-            self.rep.hub.send(uid=peer, kind=Kind.INSTALL, body={"g": self.rep.g, "e": self.value, "t": self.sent})
+            self.rep.hub.send(
+                uid=peer, kind=Kind.INSTALL, body={"g": self.rep.group_id, "e": self.value, "t": self.sent}
+            )
 
     def _installed(self, *, uid: str, n: int, sent: float | None) -> None:
         val = self.value
--- a/yarrowloom/replication/environment.py
+++ b/yarrowloom/replication/environment.py
@@ -75,13 +75,13 @@
     def note(self, *, event: str, **fields: object) -> None:
         """Log."""
 
-    def installed(self, *, g: int, epoch: Epoch) -> None:
+    def installed(self, *, group_id: int, epoch: Epoch) -> None:
         """A newer epoch is decided."""
 
-    def elected(self, *, g: int) -> None:
+    def elected(self, *, group_id: int) -> None:
         """This node now serves the group."""
 
-    def deposed(self, *, g: int) -> None:
+    def deposed(self, *, group_id: int) -> None:
         """It no longer does."""
 
 
--- a/yarrowloom/replication/handover.py
+++ b/yarrowloom/replication/handover.py
@@ -12,7 +12,7 @@
 class Member(Protocol):
     """What relief needs of the replica that it belongs to."""
 
-    g: int
+    group_id: int
     hub: Hub
     wit: Witness
     role: Role
@@ -87,7 +87,7 @@
             return  # several leave at once: they would only hand the copy to and fro
         self._asked = member.hub.now
         if member.role is Role.BACKUP:
-            member.hub.send(uid=epoch["p"], kind=Kind.YIELD, body={"g": member.g, "n": epoch["n"]})
+            member.hub.send(uid=epoch["p"], kind=Kind.YIELD, body={"g": member.group_id, "n": epoch["n"]})
         elif member.role is Role.PRIMARY:
             self._hand_over(epoch=epoch)
 
--- a/yarrowloom/replication/leader_lease.py
+++ b/yarrowloom/replication/leader_lease.py
@@ -15,11 +15,11 @@
     """Invariants: `until` is at most PROMISE_S after the time at which the question was sent that the backup longest
     silent has answered; a primary without `contact` stays one, asks on, and serves again once it is back."""
 
-    def __init__(self, *, hub: Hub, g: int) -> None:
+    def __init__(self, *, hub: Hub, group_id: int) -> None:
         self.until = 0.0
         self.contact = Contact()
         self._hub = hub
-        self._group = g
+        self._group = group_id
         self._answers: dict[str, float] = {}  # by backup: when the last question that it answered was sent
         self._pinged = 0.0
         self._probed = 0.0
--- a/yarrowloom/replication/replica.py
+++ b/yarrowloom/replication/replica.py
@@ -22,11 +22,11 @@
     leaves, also not after a restart. What a restarted member has is a beginning of its epoch's events with all that
     were confirmed: a proposal, which counts once the backups of a new epoch have copied it."""
 
-    def __init__(self, *, g: int, hub: Hub, state: Reducer, epoch: Epoch | None) -> None:
-        super().__init__(g=g, uid=hub.uid, state=state, epoch=epoch)
+    def __init__(self, *, group_id: int, hub: Hub, state: Reducer, epoch: Epoch | None) -> None:
+        super().__init__(group_id=group_id, uid=hub.uid, state=state, epoch=epoch)
         self.hub = hub
         self.role = Role.IDLE
-        self.lease = Lease(hub=hub, g=g)
+        self.lease = Lease(hub=hub, group_id=group_id)
         self.heard = 0.0
         self.rest = 0.0
         self.camp: Campaign | None = None
@@ -68,7 +68,9 @@
         try:
             result = self.state.apply(event)
         except Exception as err:
-            self.hub.note(event="copy-void", group=self.g, epoch=self.base, number=self.applied + 1, cause=repr(err))
+            self.hub.note(
+                event="copy-void", group=self.group_id, epoch=self.base, number=self.applied + 1, cause=repr(err)
+            )
             self.base = -1
             self._become(Role.IDLE)
             raise
@@ -98,7 +100,7 @@
             self.queue.clear()
             self.in_flight = None
             self.camp = None
-            self.hub.deposed(g=self.g)
+            self.hub.deposed(group_id=self.group_id)
 
     def _place(self) -> None:
         """Take the part that the known epoch gives."""
@@ -123,7 +125,7 @@
         if not self.wit.learn(epoch):
             return
         self._save(done=("none",))
-        self.hub.installed(g=self.g, epoch=epoch)
+        self.hub.installed(group_id=self.group_id, epoch=epoch)
         camp = self.camp
         # An earlier life may have served in an epoch whose copy it proposed: this one goes on to the next.
         if camp is not None and epoch["p"] == self.hub.uid and epoch["t"] == camp.tag and not camp.resumed:
@@ -134,7 +136,7 @@
         self._place()
 
     def _save(self, *, done: tuple[Any, ...]) -> None:
-        self.hub.write(rec={"k": "w", "g": self.g, **self.wit.dump()}, done=done)
+        self.hub.write(rec={"k": "w", "g": self.group_id, **self.wit.dump()}, done=done)
 
     # -- disk
 
@@ -182,7 +184,7 @@
         self.lease.end()
         order = [to] if to else [u for u in self.hub.partners(first=e["b"]) if u in e["b"]]
         for uid in (order or e["b"])[:1]:
-            self.hub.send(uid=uid, kind=Kind.YIELD, body={"g": self.g, "n": e["n"]})
+            self.hub.send(uid=uid, kind=Kind.YIELD, body={"g": self.group_id, "n": e["n"]})
         self._become(Role.LAPSED)
         self.rest = self.hub.now + REST_S
 
@@ -231,7 +233,7 @@
             self.in_flight.acknowledged_by.add(uid)
             self._landed()
         elif self.lease.better_off(answer=m):
-            self.hub.note(event="yield-for-contact", group=self.g, to=uid)
+            self.hub.note(event="yield-for-contact", group=self.group_id, to=uid)
             self.give_up(to=uid)
 
     def hand_over(self) -> None:
@@ -241,7 +243,7 @@
     def take(self, *, why: str, avoid: list[str] | None = None) -> None:
         """Campaign to be the primary of the next epoch."""
         assert self.wit.seen is not None
-        self.hub.note(event="campaign", group=self.g, why=why, after=self.wit.seen["n"])
+        self.hub.note(event="campaign", group=self.group_id, why=why, after=self.wit.seen["n"])
         self._become(Role.TAKING)
         self.camp = Campaign(rep=self, why=why, avoid=set(avoid or ()), first=self.wit.seen["b"])
         self.camp.tick()
@@ -261,8 +263,8 @@
         assert e is not None
         self.in_flight = Batch(first=first, last=last, events=events, effects=effects, begun_at=self.hub.now)
         self.hub.write(
-            rec={"k": "lg", "g": self.g, "n": e["n"], "first": first, "evs": events},
-            done=("near", self.g, e["n"], last),
+            rec={"k": "lg", "g": self.group_id, "n": e["n"], "first": first, "evs": events},
+            done=("near", self.group_id, e["n"], last),
         )
         if e["b"]:
             self._fire()
@@ -276,7 +278,13 @@
                 self.hub.send(
                     uid=uid,
                     kind=Kind.LOG,
-                    body={"g": self.g, "n": e["n"], "first": batch.first, "evs": batch.events, "t": self.hub.now},
+                    body={
+                        "g": self.group_id,
+                        "n": e["n"],
+                        "first": batch.first,
+                        "evs": batch.events,
+                        "t": self.hub.now,
+                    },
                 )
 
     def near(self, *, n: int, last: int) -> None:
@@ -309,7 +317,7 @@
         self.queue, self.in_flight, self.camp = [], None, None
         self._become(Role.PRIMARY)
         self.reset = self.hub.now + 1.0
-        self.hub.elected(g=self.g)
+        self.hub.elected(group_id=self.group_id)
         for eff in effs:
             self.hub.effect(eff=eff)
 
@@ -324,9 +332,9 @@
         elif kind is Kind.CKPT:
             if self.wit.seen is None or m["inst"] > self.wit.seen["n"]:
                 rec = {key: m[key] for key in ("inst", "tag", "st")}
-                rec.update(k="ck", g=self.g, applied=int(m["applied"]))
+                rec.update(k="ck", g=self.group_id, applied=int(m["applied"]))
                 self.keep(rec=rec)
-                self.hub.write(rec=rec, done=("send", uid, int(Kind.CKPTOK), {"g": self.g, "tag": m["tag"]}))
+                self.hub.write(rec=rec, done=("send", uid, int(Kind.CKPTOK), {"g": self.group_id, "tag": m["tag"]}))
         elif kind is Kind.LOG:
             self._log(uid=uid, m=m)
         elif kind is Kind.PING:
@@ -353,7 +361,7 @@
             if self.role is not Role.BACKUP or self.base != e["n"]:
                 return
             self.heard = self.hub.now
-        self._save(done=("send", uid, int(Kind.INSTALLED), {"g": self.g, "n": e["n"], "t": m.get("t")}))
+        self._save(done=("send", uid, int(Kind.INSTALLED), {"g": self.group_id, "n": e["n"], "t": m.get("t")}))
 
     def _vote(self, *, uid: str, kind: Kind, m: dict[str, Any]) -> None:
         if m.get("cert"):
@@ -366,7 +374,7 @@
             back = Kind.ACCEPTED
         if res is None:
             return
-        body = {"g": self.g, "n": m["n"], "bal": m["bal"], **res}
+        body = {"g": self.group_id, "n": m["n"], "bal": m["bal"], **res}
         if res["ok"]:
             self._save(done=("send", uid, int(back), body))
         else:
@@ -380,16 +388,16 @@
         try:
             fresh = unapplied(first=m["first"], events=m["evs"], applied=self.applied)
         except ReplayError as err:
-            self.hub.note(event="log-gap", group=self.g, epoch=self.base, cause=err.text)
+            self.hub.note(event="log-gap", group=self.group_id, epoch=self.base, cause=err.text)
             return
-        rec: dict[str, Any] = {"k": "none", "g": self.g}
+        rec: dict[str, Any] = {"k": "none", "g": self.group_id}
         if fresh:
-            rec = {"k": "lg", "g": self.g, "n": m["n"], "first": self.applied + 1, "evs": fresh}
+            rec = {"k": "lg", "g": self.group_id, "n": m["n"], "first": self.applied + 1, "evs": fresh}
         try:
             for event in fresh:
                 self._apply(event=event)
         except Exception:  # noted, and the copy is void; the primary replaces a backup that does not answer
             return
         self.hub.write(
-            rec=rec, done=("send", uid, int(Kind.LOGOK), {"g": self.g, "n": m["n"], "last": last, "t": m["t"]})
+            rec=rec, done=("send", uid, int(Kind.LOGOK), {"g": self.group_id, "n": m["n"], "last": last, "t": m["t"]})
         )
--- a/yarrowloom/replication/replica_storage.py
+++ b/yarrowloom/replication/replica_storage.py
@@ -12,8 +12,8 @@
     """Invariants: `state` holds exactly the events up to number `applied` of epoch `base`, each once; a journal that
     is replayed from its last whole snapshot on gives a beginning of these that has all that was synced."""
 
-    def __init__(self, *, g: int, uid: str, state: Reducer, epoch: Epoch | None) -> None:
-        self.g = g
+    def __init__(self, *, group_id: int, uid: str, state: Reducer, epoch: Epoch | None) -> None:
+        self.group_id = group_id
         self.uid = uid
         self.state = state
         self.wit = Witness(uid=uid, seen=epoch)
@@ -60,8 +60,10 @@
         """What a snapshot consists of; `whole`: with the state itself."""
         out: list[dict[str, Any]] = []
         if whole and self.base >= 0:
-            out.append({"k": "st", "g": self.g, "n": self.base, "applied": self.applied, "st": self.state.dump()})
-        out.append({"k": "w", "g": self.g, **self.wit.dump()})
+            out.append(
+                {"k": "st", "g": self.group_id, "n": self.base, "applied": self.applied, "st": self.state.dump()}
+            )
+        out.append({"k": "w", "g": self.group_id, **self.wit.dump()})
         return out + list(self.spares.values())
 
     def keep(self, *, rec: dict[str, Any]) -> None:
--- a/yarrowloom/scheduling/admission.py
+++ b/yarrowloom/scheduling/admission.py
@@ -11,45 +11,45 @@
 class Admission(Binding):
     """Invariant: an answer waits until what it rests on is durable; what is refused never runs."""
 
-    def call(self, *, uid: str, rid: int, op: str, b: dict[str, Any]) -> None:
+    def call(self, *, uid: str, request_id: int, op: str, b: dict[str, Any]) -> None:
         """A caller's request; the answer waits until what it rests on is durable."""
-        jid = b.get("id", "")
-        job = self.jobs.jobs.get(jid)
+        job_id = b.get("id", "")
+        job = self.jobs.jobs.get(job_id)
         if op == "put":
-            self._put(uid=uid, rid=rid, b=b, jid=jid, job=job)
+            self._put(uid=uid, request_id=request_id, b=b, job_id=job_id, job=job)
         elif op == "count" and "cv" in b and self._unrouted(b=b):
-            self._refuse_route(uid=uid, rid=rid, b=b)
+            self._refuse_route(uid=uid, request_id=request_id, b=b)
         elif op == "count":
-            self.rep.barrier(then=("reply", uid, rid, 200, {"pending": self.jobs.pending.get(b["q"], 0)}))
+            self.rep.barrier(then=("reply", uid, request_id, 200, {"pending": self.jobs.pending.get(b["q"], 0)}))
         elif job is None or job["q"] != b["q"]:
-            self.rep.barrier(then=("reply", uid, rid, 410, {}))
+            self.rep.barrier(then=("reply", uid, request_id, 410, {}))
         elif op == "get":
-            self.rep.barrier(then=("reply", uid, rid, 200, {"state": job["st"]}))
+            self.rep.barrier(then=("reply", uid, request_id, 200, {"state": job["st"]}))
         elif op == "del":
             if job["st"] in ENDED:
-                self.rep.barrier(then=("reply", uid, rid, 200, {}))
+                self.rep.barrier(then=("reply", uid, request_id, 200, {}))
             else:
                 self.effects(
                     self.rep.commit(
-                        ev={"t": "cancel", "id": jid, "at": int(self.hub.wall * 1000)},
-                        then=("reply", uid, rid, 200, {}),
+                        ev={"t": "cancel", "id": job_id, "at": int(self.hub.wall * 1000)},
+                        then=("reply", uid, request_id, 200, {}),
                     )
                 )
 
-    def _put(self, *, uid: str, rid: int, b: dict[str, Any], jid: str, job: dict[str, Any] | None) -> None:
+    def _put(self, *, uid: str, request_id: int, b: dict[str, Any], job_id: str, job: dict[str, Any] | None) -> None:
         if job is not None:
-            self.rep.barrier(then=("reply", uid, rid, 200 if job["q"] == b["q"] else 409, {}))
+            self.rep.barrier(then=("reply", uid, request_id, 200 if job["q"] == b["q"] else 409, {}))
             return
         if "cv" in b and self._unrouted(b=b):
-            self._refuse_route(uid=uid, rid=rid, b=b)
+            self._refuse_route(uid=uid, request_id=request_id, b=b)
             return
         row = {**b["j"], "q": b["q"], "at": int(self.hub.wall * 1000)}
         why = self._refusal(job=row)
         if why:
-            self.hub.reply(uid=uid, rid=rid, status=429, doc={"error": why})
+            self.hub.reply(uid=uid, request_id=request_id, status=429, doc={"error": why})
             return
         self.live += 1
-        self.effects(self.rep.commit(ev={"t": "job", "id": jid, "j": row}, then=("reply", uid, rid, 200, {})))
+        self.effects(self.rep.commit(ev={"t": "job", "id": job_id, "j": row}, then=("reply", uid, request_id, 200, {})))
         self.pump()
 
     def _unrouted(self, *, b: dict[str, Any]) -> bool:
@@ -61,10 +61,10 @@
             return True
         return "at" in b and self.hub.select(host=b["at"][0], path=b["at"][1]) != b["q"]
 
-    def _refuse_route(self, *, uid: str, rid: int, b: dict[str, Any]) -> None:
+    def _refuse_route(self, *, uid: str, request_id: int, b: dict[str, Any]) -> None:
         """404 where the path leads nowhere for sure; else the caller is to ask again."""
         nowhere = "at" in b and not self.hub.select(host=b["at"][0], path=b["at"][1])
-        self.hub.reply(uid=uid, rid=rid, status=404 if nowhere else 503, doc={"error": "no such queue"})
+        self.hub.reply(uid=uid, request_id=request_id, status=404 if nowhere else 503, doc={"error": "no such queue"})
 
     def _refusal(self, *, job: dict[str, Any]) -> str:
         """Why a job can't be taken: too many in hand, or what waits before it would take so long that it could earn
--- a/yarrowloom/scheduling/binding.py
+++ b/yarrowloom/scheduling/binding.py
@@ -34,7 +34,7 @@
 class LeaseAsk:
     """A request to one agent that has not been answered. `on` is (minion, attachment, how many)."""
 
-    rid: int
+    request_id: int
     agent: str
     at: float
     size: Size
@@ -53,31 +53,31 @@
     def __init__(self, **kw: Any) -> None:
         self.asks: dict[int, LeaseAsk] = {}
         super().__init__(**kw)
-        self.rid = self.rep.base * ASKS_PER_EPOCH  # whoever places in another epoch numbers its asks otherwise
+        self.request_id = self.rep.base * ASKS_PER_EPOCH  # whoever places in another epoch numbers its asks otherwise
 
     def bind(self, *, group: Group, decision: Decision) -> None:
         """Cached leases serve at once, agents are asked for the rest, all in parallel: they answer at once, so no
         attempt ever waits for another's."""
         plan: dict[str, list[int]] = {}
-        for idx, mid in decision.placed:
-            plan.setdefault(mid, []).append(idx)
+        for idx, minion_id in decision.placed:
+            plan.setdefault(minion_id, []).append(idx)
         att = Attempt(group=group, need=len(decision.placed), plan=plan)
         asks: dict[str, list[tuple[str, int, int]]] = {}
         back: list[Held] = []
         group.out.update(decision.placed)
-        for mid, idxs in plan.items():
-            spot = self.room.spots[mid]
-            for held in self.pool.take(mid=mid, size=group.size, n=len(idxs)):
+        for minion_id, idxs in plan.items():
+            spot = self.room.spots[minion_id]
+            for held in self.pool.take(minion_id=minion_id, size=group.size, n=len(idxs)):
                 att.rows.append((idxs.pop(), held))
             if idxs:
                 bare = spot.view.plus(spot.owed).plus(spot.fly, -1)
                 if not bare.holds(Size(0, 0, 0).plus(group.size, len(idxs))):
-                    back += self.pool.clear(mid=mid)
-                asks.setdefault(spot.agent, []).append((mid, spot.seq, len(idxs)))
+                    back += self.pool.clear(minion_id=minion_id)
+                asks.setdefault(spot.agent, []).append((minion_id, spot.seq, len(idxs)))
         self.release(back)
         for uid, on in sorted(asks.items()):
-            for mid, _, n in on:
-                self.room.reserve(spot=self.room.spots[mid], size=group.size, n=n)
+            for minion_id, _, n in on:
+                self.room.reserve(spot=self.room.spots[minion_id], size=group.size, n=n)
             self._ask(att=att, agent=uid, on=on, n=sum(n for _, _, n in on), been=[uid])
         self._settle(att=att)
 
@@ -85,16 +85,23 @@
         """Send a request for room: metadata only."""
         group = att.group
         avoid = self._there(group=group) if group.apart else {}
-        for mid, _, k in on if group.apart else ():
-            avoid[mid] -= k  # what is asked for now is not there yet
-        self.rid += 1
+        for minion_id, _, k in on if group.apart else ():
+            avoid[minion_id] -= k  # what is asked for now is not there yet
+        self.request_id += 1
         att.open += 1
-        self.asks[self.rid] = LeaseAsk(
-            rid=self.rid, agent=agent, at=self.hub.now, size=group.size, attempt=att, on=on, n=n, been=been
+        self.asks[self.request_id] = LeaseAsk(
+            request_id=self.request_id,
+            agent=agent,
+            at=self.hub.now,
+            size=group.size,
+            attempt=att,
+            on=on,
+            n=n,
+            been=been,
         )
         body: dict[str, Any] = {
-            "g": self.g,
-            "rid": self.rid,
+            "g": self.group_id,
+            "rid": self.request_id,
             "svc": group.svc,
             "cpu": group.size.cpu,
             "mem": group.size.mem,
@@ -105,7 +112,7 @@
             "been": been,
             "apart": group.apart,
             "avoid": avoid,
-            "on": [[mid, k] for mid, _, k in on],
+            "on": [[minion_id, k] for minion_id, _, k in on],
         }
         if group.gang:
             body.update(all=True, mark=MARK_S)
@@ -113,10 +120,10 @@
 
     def _there(self, *, group: Group) -> dict[str, int]:
         """Members that run or are on their way, by minion."""
-        unit = self.jobs.jobs[group.jid]["u"][group.key]
+        unit = self.jobs.jobs[group.job_id]["u"][group.key]
         out: dict[str, int] = {}
-        for mid in group.out.values():
-            out[mid] = out.get(mid, 0) + 1
+        for minion_id in group.out.values():
+            out[minion_id] = out.get(minion_id, 0) + 1
         for i, st in enumerate(unit["s"]):
             if st == RUN:
                 out[unit["m"][i]] = out.get(unit["m"][i], 0) + 1
@@ -128,22 +135,24 @@
         if ask is not None and ask.agent != uid:
             ask = None
         if ask is not None:
-            del self.asks[ask.rid]
+            del self.asks[ask.request_id]
             self._landed(ask=ask)
         if b.get("r"):
             self.room.report(uid=uid, rows=b["r"], shut=[], now=self.hub.now)
         got: list[Held] = []
         size = ask.size if ask is not None else Size(*b["size"])
-        for lid, mid, seq in b["x"]:
-            spot = self.room.spots.get(mid)
+        for lease_id, minion_id, seq in b["x"]:
+            spot = self.room.spots.get(minion_id)
             if spot is not None and spot.seq == seq:
-                got.append(Held(agent=uid, mid=mid, lid=lid, seq=seq, since=self.hub.now, size=size))
+                got.append(
+                    Held(agent=uid, minion_id=minion_id, lease_id=lease_id, seq=seq, since=self.hub.now, size=size)
+                )
         if ask is None:
             self.release(got)
             return
         att = ask.attempt
         for held in got:
-            idxs = att.plan.get(held.mid) or next((v for v in att.plan.values() if v), None)
+            idxs = att.plan.get(held.minion_id) or next((v for v in att.plan.values() if v), None)
             if idxs:
                 att.rows.append((idxs.pop(), held))
             else:
@@ -159,13 +168,13 @@
     def silence(self, *, uid: str) -> None:
         """An agent fell silent: what it told of its room counts no longer, and it is to tell all of it once it can."""
         self.room.close(uid=uid)
-        self.hub.send(uid=uid, kind=Kind.ROOMGET, body={"g": self.g})
+        self.hub.send(uid=uid, kind=Kind.ROOMGET, body={"g": self.group_id})
 
     def _landed(self, *, ask: LeaseAsk) -> None:
         """An ask is answered or given up: its room no longer flies."""
         ask.attempt.open -= 1
-        for mid, seq, n in ask.on:
-            spot = self.room.spots.get(mid)
+        for minion_id, seq, n in ask.on:
+            spot = self.room.spots.get(minion_id)
             if spot is not None and spot.seq == seq:
                 self.room.reserve(spot=spot, size=ask.size, n=-n)
 
@@ -173,7 +182,7 @@
         """Start what may start; once nothing is open, what was refused waits again."""
         group = att.group
         live = group.phase is not Phase.GONE
-        fresh = [(i, h) for i, h in att.rows if (s := self.room.spots.get(h.mid)) is not None and s.seq == h.seq]
+        fresh = [(i, h) for i, h in att.rows if (s := self.room.spots.get(h.minion_id)) is not None and s.seq == h.seq]
         if not group.gang:
             att.rows = []
             if live and fresh:
@@ -188,7 +197,7 @@
                 self.start(group=group, batch=sorted(fresh, key=lambda r: r[0]))
             else:
                 self.release([h for _, h in fresh])
-                self.hub.trace(event="gang-put-off", id=group.jid, unit=group.key, n=att.need, got=len(rows))
+                self.hub.trace(event="gang-put-off", id=group.job_id, unit=group.key, n=att.need, got=len(rows))
                 att.bad = True
                 group.out.clear()
         left = [i for idxs in att.plan.values() for i in idxs]
@@ -206,8 +215,8 @@
 
     def start(self, *, group: Group, batch: list[tuple[int, Held]]) -> None:
         """Record starts; the orders follow once durable."""
-        jid, key = group.jid, group.key
-        job = self.jobs.jobs[jid]
+        job_id, key = group.job_id, group.key
+        job = self.jobs.jobs[job_id]
         unit = job["u"][key]
         top = max(unit["r"]) if group.gang else 0
         x: list[tuple[int, int, str]] = []
@@ -218,14 +227,14 @@
                 self.release([held])
                 continue
             run = top + 1 if group.gang else unit["r"][i] + 1
-            x.append((i, run, held.mid))
-            self.held[task_name(jid=jid, unit=key, idx=i)] = held
-            orders.append([jid, key, i, run, held])
+            x.append((i, run, held.minion_id))
+            self.held[task_name(job_id=job_id, unit=key, idx=i)] = held
+            orders.append([job_id, key, i, run, held])
         if not x:
             return
         self.hub.trace(
             event="start",
-            id=jid,
+            id=job_id,
             unit=key,
             queue=job["q"],
             n=len(x),
@@ -235,15 +244,15 @@
             near=group.near,
             cycles=group.tries,
         )
-        self.nominator.drop(unit=(jid, key), now=self.hub.now)
+        self.nominator.drop(unit=(job_id, key), now=self.hub.now)
         self.effects(
             self.rep.commit(
-                ev={"t": "start", "id": jid, "u": key, "x": x, "at": int(self.hub.wall * 1000)},
-                then=("orders", self.g, orders),
+                ev={"t": "start", "id": job_id, "u": key, "x": x, "at": int(self.hub.wall * 1000)},
+                then=("orders", self.group_id, orders),
             )
         )
         for i in [row[0] for row in x]:
-            self._began(jid=jid, key=key, i=i)
+            self._began(job_id=job_id, key=key, i=i)
         self.weigh(group=group)
 
     def orders(self, rows: list[Any]) -> None:
@@ -251,30 +260,32 @@
         by: dict[str, list[Any]] = {}
         specs: dict[str, dict[str, str]] = {}
         late = []
-        for jid, key, i, run, held in rows:
-            job, spot = self.jobs.jobs.get(jid), self.room.spots.get(held.mid)
+        for job_id, key, i, run, held in rows:
+            job, spot = self.jobs.jobs.get(job_id), self.room.spots.get(held.minion_id)
             if job is None or "u" not in job or spot is None or spot.seq != held.seq:
                 continue
             unit, step = job["u"][key], job["steps"][int(key.split(".")[1])]
             if unit["s"][i] != RUN or unit["r"][i] != run:
                 continue
             if job["st"] in ENDED:
-                late.append([held.mid, spot.seq, task_name(jid=jid, unit=key, idx=i), run])
+                late.append([held.minion_id, spot.seq, task_name(job_id=job_id, unit=key, idx=i), run])
                 continue
             by.setdefault(spot.agent, []).append(
                 [
-                    held.mid,
+                    held.minion_id,
                     spot.seq,
-                    held.lid,
-                    task_name(jid=jid, unit=key, idx=i),
+                    held.lease_id,
+                    task_name(job_id=job_id, unit=key, idx=i),
                     run,
                     unit["v"][0 if step["gang"] else i],
                     -1 if step["last"] else step["est"],
                 ]
             )
-            specs.setdefault(spot.agent, {})[jid] = job["spec"]
+            specs.setdefault(spot.agent, {})[job_id] = job["spec"]
         for uid, part in by.items():
-            self.hub.send(uid=uid, kind=Kind.ORDER, body={"g": self.g, "n": self.rep.base, "sp": specs[uid], "x": part})
+            self.hub.send(
+                uid=uid, kind=Kind.ORDER, body={"g": self.group_id, "n": self.rep.base, "sp": specs[uid], "x": part}
+            )
         if late:
             self.void(rows=late)
 
@@ -290,7 +301,7 @@
         for uid in sorted({ask.agent for ask in late if self.room.heard.get(ask.agent, ask.at) < ask.at}):
             self.silence(uid=uid)
         for ask in late:
-            del self.asks[ask.rid]
+            del self.asks[ask.request_id]
             self._landed(ask=ask)
             ask.attempt.bad = True
             self._settle(att=ask.attempt)
--- a/yarrowloom/scheduling/capacity.py
+++ b/yarrowloom/scheduling/capacity.py
@@ -52,7 +52,7 @@
     `view` (the agent's last word) + `idle` (own leases without a run) + `owed` (given back since) - `fly` (asked
     for, not answered); it stands in its shelf's index exactly while `open` and `heard`."""
 
-    mid: str
+    minion_id: str
     agent: str
     fence: int
     seq: int
@@ -78,7 +78,7 @@
     def attached_anew(self, *, seq: int, now: float) -> "Spot":
         """The same minion under a new attachment: what was known of its room, and leases on it, are void."""
         return Spot(
-            mid=self.mid,
+            minion_id=self.minion_id,
             agent=self.agent,
             fence=self.fence,
             seq=seq,
@@ -103,7 +103,7 @@
     """The open minions of one rack and service. Invariant: `free` is the sum of what is free on them, where that is
     above 0: no more than `free.copies(size)` tasks of a size fit in."""
 
-    mids: set[str] = field(default_factory=set)
+    minion_ids: set[str] = field(default_factory=set)
     free: Size = NONE
 
 
@@ -137,31 +137,31 @@
 
     def attach(self, *, spot: Spot) -> None:
         """A minion as it stands now; an older attachment of it is void."""
-        self.drop(mid=spot.mid)
-        self.spots[spot.mid] = spot
-        self.of.setdefault(spot.agent, set()).add(spot.mid)
+        self.drop(minion_id=spot.minion_id)
+        self.spots[spot.minion_id] = spot
+        self.of.setdefault(spot.agent, set()).add(spot.minion_id)
 
-    def drop(self, *, mid: str) -> None:
+    def drop(self, *, minion_id: str) -> None:
         """Forget a minion."""
-        spot = self.spots.pop(mid, None)
+        spot = self.spots.pop(minion_id, None)
         if spot is not None:
             spot.open = False
             self._refile(spot)
-            self.of[spot.agent].discard(mid)
+            self.of[spot.agent].discard(minion_id)
 
     # -- what agents say
 
     def report(self, *, uid: str, rows: list[list[int | str]], shut: list[str], now: float) -> None:
         """Rows [minion, cpu, mem, gpu] of open minions; `shut` are no longer open."""
         self.heard[uid] = now
-        for mid, cpu, mem, gpu in rows:
-            spot = self.spots.get(str(mid))
+        for minion_id, cpu, mem, gpu in rows:
+            spot = self.spots.get(str(minion_id))
             if spot is not None and spot.agent == uid:
                 spot.open, spot.owed = True, NONE
                 spot.view = Size(int(cpu), int(mem), int(gpu))
                 self._refile(spot)
-        for mid in shut:
-            spot = self.spots.get(mid)
+        for minion_id in shut:
+            spot = self.spots.get(minion_id)
             if spot is not None and spot.agent == uid and spot.open:
                 spot.open = False
                 self._refile(spot)
@@ -173,9 +173,9 @@
     def close(self, *, uid: str) -> None:
         """The rows of an agent count no longer, until it tells them again."""
         self.heard.pop(uid, None)
-        for mid in self.of.get(uid, ()):
-            self.spots[mid].open = False
-            self._refile(self.spots[mid])
+        for minion_id in self.of.get(uid, ()):
+            self.spots[minion_id].open = False
+            self._refile(self.spots[minion_id])
 
     # -- what the placing node does
 
@@ -210,31 +210,31 @@
             rack = shelf.racks[spot.rack]
             rack.free = rack.free.plus(was.above_zero(), -1)
             if key is None:
-                rack.mids.discard(spot.mid)
+                rack.minion_ids.discard(spot.minion_id)
             row = shelf.levels[had[0]]
             if key != had:
-                del row[bisect_left(row, (had[1], spot.mid))]
+                del row[bisect_left(row, (had[1], spot.minion_id))]
                 if not row:
                     del shelf.levels[had[0]]
                 if key is None:
                     shelf.count -= 1
                     shelf.total = shelf.total.plus(spot.cap, -1)
                     for label in spot.labels:
-                        shelf.by[label].discard(spot.mid)
+                        shelf.by[label].discard(spot.minion_id)
         if key is not None:
             shelf.free = shelf.free.plus(free)
             rack = shelf.racks.setdefault(spot.rack, Rack())
             rack.free = rack.free.plus(free.above_zero())
-            rack.mids.add(spot.mid)
+            rack.minion_ids.add(spot.minion_id)
             if key != had:
-                insort(shelf.levels.setdefault(key[0], []), (key[1], spot.mid))
+                insort(shelf.levels.setdefault(key[0], []), (key[1], spot.minion_id))
             if had is None:
                 shelf.count += 1
                 shelf.total = shelf.total.plus(spot.cap)
                 for label in spot.labels:
-                    shelf.by.setdefault(label, set()).add(spot.mid)
+                    shelf.by.setdefault(label, set()).add(spot.minion_id)
             if had is None or any(a > b for a, b in zip(free, was, strict=True)):
-                self.grown.setdefault(spot.svc, {})[spot.mid] = free
+                self.grown.setdefault(spot.svc, {})[spot.minion_id] = free
         spot.filed = key
 
     def take_grown(self) -> dict[str, list[Size]]:
@@ -251,13 +251,13 @@
 
     # -- failures of minions
 
-    def failed(self, *, mid: str, jid: str, now: float) -> bool:
+    def failed(self, *, minion_id: str, job_id: str, now: float) -> bool:
         """A task's first run failed here. Three jobs in a row, none done in between: the minion, not the jobs; it
         gets nothing new for a while, unless a quarter of the service is shy already. True if so."""
-        spot = self.spots.get(mid)
-        if spot is None or spot.last == jid:
+        spot = self.spots.get(minion_id)
+        if spot is None or spot.last == job_id:
             return False
-        spot.last = jid
+        spot.last = job_id
         spot.streak += 1
         shelf = self.shelves.get(spot.svc)
         if spot.streak < 3 or shelf is None:
@@ -268,9 +268,9 @@
         spot.shy = now + min(1.5 * 2.0 ** (spot.streak - 3), 12.0)
         return True
 
-    def worked(self, *, mid: str) -> None:
+    def worked(self, *, minion_id: str) -> None:
         """A run was done here."""
-        spot = self.spots.get(mid)
+        spot = self.spots.get(minion_id)
         if spot is not None and spot.streak:
             spot.streak, spot.shy = 0, 0.0
 
@@ -281,7 +281,7 @@
         shelf = self.shelves.get(svc)
         if shelf is None:
             return
-        for level in sorted(g for g in shelf.levels if g >= size.gpu):
+        for level in sorted(group_id for group_id in shelf.levels if group_id >= size.gpu):
             row = shelf.levels[level]
             for at in range(bisect_left(row, (size.cpu, "")), len(row)):
                 self.looks += 1
@@ -292,9 +292,9 @@
         shelf = self.shelves.get(svc)
         if shelf is None:
             return []
-        out = [self.spots[mid] for mid in shelf.by.get(label, ())]
+        out = [self.spots[minion_id] for minion_id in shelf.by.get(label, ())]
         self.looks += len(out)
-        return sorted(out, key=lambda s: (s.free.gpu, s.free.cpu, s.mid))
+        return sorted(out, key=lambda s: (s.free.gpu, s.free.cpu, s.minion_id))
 
     def racks(self, *, svc: str) -> dict[str, Rack]:
         """Open minions by rack; some racks may have none."""
@@ -303,17 +303,19 @@
 
     def of_rack(self, *, rack: Rack) -> list[Spot]:
         """The minions of a rack."""
-        self.looks += len(rack.mids)
-        return [self.spots[mid] for mid in rack.mids]
+        self.looks += len(rack.minion_ids)
+        return [self.spots[minion_id] for minion_id in rack.minion_ids]
 
     def could(self, *, svc: str, size: Size, req: str, n: int) -> bool:
         """Whether the open minions, were they empty, could take `n` tasks at once."""
         shelf = self.shelves.get(svc)
         if shelf is None:
             return False
-        mids = shelf.by.get(req, ()) if req else (mid for row in shelf.levels.values() for _, mid in row)
-        for mid in mids:
-            n -= self.spots[mid].cap.copies(size)
+        minion_ids = (
+            shelf.by.get(req, ()) if req else (minion_id for row in shelf.levels.values() for _, minion_id in row)
+        )
+        for minion_id in minion_ids:
+            n -= self.spots[minion_id].cap.copies(size)
             if n <= 0:
                 return True
         return False
--- a/yarrowloom/scheduling/environment.py
+++ b/yarrowloom/scheduling/environment.py
@@ -24,7 +24,7 @@
     def select(self, *, host: str, path: str) -> str:
         """The queue that a path belongs to; empty: none."""
 
-    def reply(self, *, uid: str, rid: int, status: int, doc: Any) -> None:
+    def reply(self, *, uid: str, request_id: int, status: int, doc: Any) -> None:
         """Answer a call."""
 
     def note(self, *, event: str, **fields: object) -> None:
--- a/yarrowloom/scheduling/job_queue.py
+++ b/yarrowloom/scheduling/job_queue.py
@@ -25,8 +25,8 @@
     """Invariants: a start is durable before its order leaves; a unit with a task to start has a group in `backlog`;
     every task that is RUN is held by the spot of its minion or awaits that minion's next attachment."""
 
-    def __init__(self, *, g: int, hub: PlacerHub, rep: Replica, jobs: Jobs, far: float, status_s: float) -> None:
-        self.g = g
+    def __init__(self, *, group_id: int, hub: PlacerHub, rep: Replica, jobs: Jobs, far: float, status_s: float) -> None:
+        self.group_id = group_id
         self.hub = hub
         self.rep = rep
         self.jobs = jobs
@@ -44,26 +44,26 @@
         self.over: deque[tuple[float, str]] = deque()
         self.live = 0  # jobs that are not ended
         self.seq = 0
-        for jid, job in jobs.jobs.items():
-            self._adopt(jid=jid, job=job)
+        for job_id, job in jobs.jobs.items():
+            self._adopt(job_id=job_id, job=job)
 
-    def _adopt(self, *, jid: str, job: dict[str, Any]) -> None:
+    def _adopt(self, *, job_id: str, job: dict[str, Any]) -> None:
         if job["st"] in ENDED:
-            self.over.append((self.hub.now, jid))
+            self.over.append((self.hub.now, job_id))
         else:
             self.live += 1
             if job["times"] and job["k"] < job["times"]:
-                self._timed(jid=jid)
+                self._timed(job_id=job_id)
         for key, unit in job.get("u", {}).items():
             if job["st"] not in ENDED and unit["left"] and WAIT in unit["s"] and self._turn_has_come(job=job, key=key):
-                self.enter(jid=jid, key=key)
+                self.enter(job_id=job_id, key=key)
             for i, st in enumerate(unit["s"]):
                 if st == RUN:
-                    self._began(jid=jid, key=key, i=i)
+                    self._began(job_id=job_id, key=key, i=i)
 
-    def _timed(self, *, jid: str) -> None:
-        job = self.jobs.jobs[jid]
-        heapq.heappush(self.timed, (job["first"] + job["period"] * job["k"], jid))
+    def _timed(self, *, job_id: str) -> None:
+        job = self.jobs.jobs[job_id]
+        heapq.heappush(self.timed, (job["first"] + job["period"] * job["k"], job_id))
 
     @staticmethod
     def _turn_has_come(*, job: dict[str, Any], key: str) -> bool:
@@ -95,29 +95,29 @@
         chain: int = sum(s["est"] for s in job["steps"])
         return max(float(route.get("target-ms", 0)) + float(route.get("stretch", 1)) * chain, 500.0)
 
-    def prio(self, *, jid: str, key: str, seen: float) -> tuple[Prio, float]:
+    def prio(self, *, job_id: str, key: str, seen: float) -> tuple[Prio, float]:
         """A group's place: what can still earn, the queue's rank, the latest start within the aim, first seen; and
         when (wall seconds) it can earn nothing any more."""
-        job = self.jobs.jobs[jid]
+        job = self.jobs.jobs[job_id]
         k, at = key.split(".")
         base = job["first"] + job["period"] * int(k) if job["times"] else job["at"]
         aim = self.aim(job=job)
         rest = sum(s["est"] for s in job["steps"][int(at) :])
         late_at = (base + LATE * aim) / 1000
-        return (self.hub.wall > late_at, self.rank(job=job), base + aim - rest, seen, jid, key), late_at
+        return (self.hub.wall > late_at, self.rank(job=job), base + aim - rest, seen, job_id, key), late_at
 
-    def enter(self, *, jid: str, key: str) -> None:
+    def enter(self, *, job_id: str, key: str) -> None:
         """A group has a member to start: both are known now."""
-        group = self.backlog.groups.get((jid, key))
-        now, job = self.hub.now, self.jobs.jobs[jid]
+        group = self.backlog.groups.get((job_id, key))
+        now, job = self.hub.now, self.jobs.jobs[job_id]
         if job["st"] in ENDED or "u" not in job:
             return
         if group is None:
             step = job["steps"][int(key.split(".")[1])]
-            prio, late_at = self.prio(jid=jid, key=key, seen=now)
+            prio, late_at = self.prio(job_id=job_id, key=key, seen=now)
             self.ranking.setdefault(job["q"], self._ranking(queue=job["q"]))
             group = Group(
-                jid=jid,
+                job_id=job_id,
                 key=key,
                 svc=self.service(job=job),
                 size=Size(step["cpu"], step["mem"], step["gpu"]),
@@ -146,15 +146,15 @@
 
     def weigh(self, *, group: Group) -> None:
         """Count what of a group waits."""
-        unit = self.jobs.jobs[group.jid]["u"][group.key]
+        unit = self.jobs.jobs[group.job_id]["u"][group.key]
         n = unit["s"].count(WAIT) - len(group.out)
         self.backlog.weigh(group=group, n=0 if group.never else n)
 
-    def leave(self, *, jid: str) -> None:
+    def leave(self, *, job_id: str) -> None:
         """A job's groups are gone."""
-        for key in list(self.backlog.of.get(jid, ())):
-            self.nominator.drop(unit=(jid, key), now=self.hub.now)
-            self.backlog.remove(jid=jid, key=key)
+        for key in list(self.backlog.of.get(job_id, ())):
+            self.nominator.drop(unit=(job_id, key), now=self.hub.now)
+            self.backlog.remove(job_id=job_id, key=key)
 
     def _ranking(self, *, queue: str) -> tuple[Any, ...]:
         route = self.hub.route(name=queue) or {}
@@ -167,11 +167,11 @@
         self.ranking = ranking
         if not changed:
             return
-        for (jid, key), group in list(self.backlog.groups.items()):
-            if self.jobs.jobs[jid]["q"] not in changed:
+        for (job_id, key), group in list(self.backlog.groups.items()):
+            if self.jobs.jobs[job_id]["q"] not in changed:
                 continue
-            prio, group.late_at = self.prio(jid=jid, key=key, seen=group.seen)
-            self.backlog.rekey(group=group, prio=prio, svc=self.service(job=self.jobs.jobs[jid]))
+            prio, group.late_at = self.prio(job_id=job_id, key=key, seen=group.seen)
+            self.backlog.rekey(group=group, prio=prio, svc=self.service(job=self.jobs.jobs[job_id]))
 
     # -- effects of events
 
@@ -181,7 +181,7 @@
         for eff in effs:
             kind = eff[0]
             if kind == "ready":
-                self.enter(jid=eff[1], key=eff[2])
+                self.enter(job_id=eff[1], key=eff[2])
             elif kind == "stop":
                 stops.append(eff[1:])
                 if self.jobs.jobs[eff[2].split(".")[0]]["st"] in ENDED:
@@ -197,38 +197,38 @@
                     state=job["st"],
                     ms=int(self.hub.wall * 1000) - job["at"],
                 )
-                self.leave(jid=eff[1])
+                self.leave(job_id=eff[1])
             elif kind == "timed":
-                self._timed(jid=eff[1])
+                self._timed(job_id=eff[1])
         if stops:
-            self.rep.barrier(then=("stops", self.g, stops))
+            self.rep.barrier(then=("stops", self.group_id, stops))
 
     def stops(self, rows: list[Any]) -> None:
         """Tell agents to stop runs."""
         by: dict[str, list[Any]] = {}
-        for mid, task, run in rows:
-            spot = self.room.spots.get(mid)
+        for minion_id, task, run in rows:
+            spot = self.room.spots.get(minion_id)
             if spot is not None:
-                by.setdefault(spot.agent, []).append([mid, task, run])
+                by.setdefault(spot.agent, []).append([minion_id, task, run])
         for uid, part in by.items():
-            self.hub.send(uid=uid, kind=Kind.STOP, body={"g": self.g, "x": part})
+            self.hub.send(uid=uid, kind=Kind.STOP, body={"g": self.group_id, "x": part})
 
     # -- agents
 
     def claim(self, *, uid: str, b: dict[str, Any]) -> None:
         """An agent asks what this group has on its minions."""
-        for mid, fence, svc, site, labels, cap in b["x"]:
-            spot = self.room.spots.get(mid)
+        for minion_id, fence, svc, site, labels, cap in b["x"]:
+            spot = self.room.spots.get(minion_id)
             if spot is not None and spot.fence > fence:
                 continue
             if spot is not None and spot.fence == fence and spot.agent == uid and self.hub.now - spot.since < AGAIN_S:
                 self.attach(spot=spot)  # a repeat: what left under this attachment stays good
                 continue
             self.seq += 1
-            self.pool.forget(mid=mid)
+            self.pool.forget(minion_id=minion_id)
             self.room.attach(
                 spot=Spot(
-                    mid=mid,
+                    minion_id=minion_id,
                     agent=uid,
                     fence=fence,
                     seq=self.seq,
@@ -239,57 +239,64 @@
                     since=self.hub.now,
                 )
             )
-            self.attach(spot=self.room.spots[mid])
+            self.attach(spot=self.room.spots[minion_id])
 
     def attach(self, *, spot: Spot) -> None:
         """Tell the agent what the record has on a minion."""
         rows, ended = [], []
-        for jid, key, i in sorted(self.jobs.on.get(spot.mid, ())):
-            job = self.jobs.jobs[jid]
+        for job_id, key, i in sorted(self.jobs.on.get(spot.minion_id, ())):
+            job = self.jobs.jobs[job_id]
             step, unit = job["steps"][int(key.split(".")[1])], job["u"][key]
-            task = task_name(jid=jid, unit=key, idx=i)
+            task = task_name(job_id=job_id, unit=key, idx=i)
             rows.append(
                 [task, unit["r"][i], step["cpu"], step["mem"], step["gpu"], -1 if step["last"] else step["est"]]
             )
             self.held.pop(task, None)
             if job["st"] in ENDED:
-                ended.append([spot.mid, task, unit["r"][i]])
+                ended.append([spot.minion_id, task, unit["r"][i]])
         self.hub.send(
             uid=spot.agent,
             kind=Kind.ATTACH,
-            body={"g": self.g, "n": self.rep.base, "seq": spot.seq, "m": spot.mid, "f": spot.fence, "x": rows},
+            body={
+                "g": self.group_id,
+                "n": self.rep.base,
+                "seq": spot.seq,
+                "m": spot.minion_id,
+                "f": spot.fence,
+                "x": rows,
+            },
         )
         if ended:
             self.stops(ended)
 
     def gap(self, *, uid: str) -> None:
         """Frames from an agent were lost: attach its minions anew, and have it tell all its room."""
-        for mid in sorted(self.room.of.get(uid, ())):
+        for minion_id in sorted(self.room.of.get(uid, ())):
             self.seq += 1
-            self.pool.forget(mid=mid)
-            self.room.attach(spot=self.room.spots[mid].attached_anew(seq=self.seq, now=self.hub.now))
-            self.attach(spot=self.room.spots[mid])
-        self.hub.send(uid=uid, kind=Kind.ROOMGET, body={"g": self.g})
+            self.pool.forget(minion_id=minion_id)
+            self.room.attach(spot=self.room.spots[minion_id].attached_anew(seq=self.seq, now=self.hub.now))
+            self.attach(spot=self.room.spots[minion_id])
+        self.hub.send(uid=uid, kind=Kind.ROOMGET, body={"g": self.group_id})
 
     def void(self, *, rows: list[Any]) -> None:
         """Orders that never started: (minion, attachment or None, task, run)."""
-        for mid, seq, task, run in rows:
-            spot, parts = self.room.spots.get(mid), split_name(task=task)
+        for minion_id, seq, task, run in rows:
+            spot, parts = self.room.spots.get(minion_id), split_name(task=task)
             if parts is None or spot is None or (seq is not None and seq != spot.seq):
                 continue
             held = self.held.pop(task, None)
             if held is not None:
                 self.release([held])
-            jid, key, i = parts
-            job = self.jobs.jobs.get(jid)
+            job_id, key, i = parts
+            job = self.jobs.jobs.get(job_id)
             if job is None or "u" not in job or job["u"].get(key, {}).get("m", {}) == {}:
                 continue
             unit = job["u"][key]
-            if unit["s"][i] == RUN and unit["r"][i] == run and unit["m"][i] == mid:
+            if unit["s"][i] == RUN and unit["r"][i] == run and unit["m"][i] == minion_id:
                 self._gone(task=task, run=run)
                 self.effects(
                     self.rep.commit(
-                        ev={"t": "end", "id": jid, "u": key, "i": i, "run": run, "how": "void", "v": "", "mt": 1}
+                        ev={"t": "end", "id": job_id, "u": key, "i": i, "run": run, "how": "void", "v": "", "mt": 1}
                     )
                 )
 
@@ -300,7 +307,7 @@
             job = self.jobs.jobs.get(parts[0]) if parts is not None else None
             held = self.held.pop(task, None)
             if parts is not None and job is not None and "u" in job:
-                self._judge(mid=b["m"], job=job, parts=parts, run=run, how=how)
+                self._judge(minion_id=b["m"], job=job, parts=parts, run=run, how=how)
                 ev = {
                     "t": "end",
                     "id": parts[0],
@@ -317,10 +324,10 @@
             if held is not None:
                 self.pool.put(held=held, now=self.hub.now)
         rows = [[num, task, run] for num, task, run, _, _ in b["x"]]
-        self.rep.barrier(then=("endsok", self.g, uid, b["m"], b["f"], rows))
+        self.rep.barrier(then=("endsok", self.group_id, uid, b["m"], b["f"], rows))
         self.pump()
 
-    def _judge(self, *, mid: str, job: dict[str, Any], parts: tuple[str, str, int], run: int, how: str) -> None:
+    def _judge(self, *, minion_id: str, job: dict[str, Any], parts: tuple[str, str, int], run: int, how: str) -> None:
         """What an end tells of its minion."""
         if how == "alone":
             self.hub.note(event="gang-alone", task=".".join(map(str, parts)), run=run)
@@ -328,53 +335,57 @@
         if unit is None or parts[2] >= len(unit["s"]) or unit["r"][parts[2]] != run or unit["s"][parts[2]] != RUN:
             return
         if how == "done":
-            self.room.worked(mid=mid)
+            self.room.worked(minion_id=minion_id)
         elif how == "failed" and (group := self.backlog.groups.get((parts[0], parts[1]))) is not None:
-            group.sore.add(mid)
-        if how == "failed" and not any(unit["f"]) and self.room.failed(mid=mid, jid=parts[0], now=self.hub.now):
-            self.hub.note(event="minion-shy", minion=mid, streak=self.room.spots[mid].streak)
+            group.sore.add(minion_id)
+        if (
+            how == "failed"
+            and not any(unit["f"])
+            and self.room.failed(minion_id=minion_id, job_id=parts[0], now=self.hub.now)
+        ):
+            self.hub.note(event="minion-shy", minion=minion_id, streak=self.room.spots[minion_id].streak)
 
     def lost(self, *, uid: str, b: dict[str, Any]) -> None:
         """An agent declares a minion gone."""
-        mid = b["m"]
-        spot = self.room.spots.get(mid)
+        minion_id = b["m"]
+        spot = self.room.spots.get(minion_id)
         if spot is None or spot.fence <= b["f"]:
-            self.pool.forget(mid=mid)
-            self.room.drop(mid=mid)
-            for jid, key, i in sorted(self.jobs.on.get(mid, ())):
-                task = task_name(jid=jid, unit=key, idx=i)
+            self.pool.forget(minion_id=minion_id)
+            self.room.drop(minion_id=minion_id)
+            for job_id, key, i in sorted(self.jobs.on.get(minion_id, ())):
+                task = task_name(job_id=job_id, unit=key, idx=i)
                 self.held.pop(task, None)
-                self._gone(task=task, run=self.jobs.jobs[jid]["u"][key]["r"][i])
-            if self.jobs.on.get(mid):  # a repeat finds nothing left
-                self.effects(self.rep.commit(ev={"t": "lost", "m": mid, "x": None, "v": b["v"]}))
-        self.rep.barrier(then=("send", uid, int(Kind.LOSTOK), {"g": self.g, "m": mid, "f": b["f"]}))
+                self._gone(task=task, run=self.jobs.jobs[job_id]["u"][key]["r"][i])
+            if self.jobs.on.get(minion_id):  # a repeat finds nothing left
+                self.effects(self.rep.commit(ev={"t": "lost", "m": minion_id, "x": None, "v": b["v"]}))
+        self.rep.barrier(then=("send", uid, int(Kind.LOSTOK), {"g": self.group_id, "m": minion_id, "f": b["f"]}))
         self.pump()
 
     def release(self, rows: list[Held]) -> None:
         """Give leases back."""
         by: dict[str, list[Any]] = {}
         for h in rows:
-            spot = self.room.spots.get(h.mid)
+            spot = self.room.spots.get(h.minion_id)
             if spot is not None and spot.seq == h.seq:
                 self.room.owe(spot=spot, size=h.size)
-                by.setdefault(h.agent, []).append([h.mid, h.lid])
+                by.setdefault(h.agent, []).append([h.minion_id, h.lease_id])
         for uid, part in by.items():
-            self.hub.send(uid=uid, kind=Kind.RETURN, body={"g": self.g, "x": part})
+            self.hub.send(uid=uid, kind=Kind.RETURN, body={"g": self.group_id, "x": part})
 
     # -- runs
 
-    def _began(self, *, jid: str, key: str, i: int) -> None:
+    def _began(self, *, job_id: str, key: str, i: int) -> None:
         """A run is in the record."""
-        job = self.jobs.jobs[jid]
+        job = self.jobs.jobs[job_id]
         step, unit = job["steps"][int(key.split(".")[1])], job["u"][key]
         if step["ck"] and not step["gang"] and job["st"] not in ENDED:
             self.preemptor.started(
                 svc=self.service(job=job),
                 rank=self.rank(job=job),
                 victim=Victim(
-                    task=task_name(jid=jid, unit=key, idx=i),
+                    task=task_name(job_id=job_id, unit=key, idx=i),
                     run=unit["r"][i],
-                    mid=unit["m"][i],
+                    minion_id=unit["m"][i],
                     size=Size(step["cpu"], step["mem"], step["gpu"]),
                     horizon=math.inf
                     if step["last"]
--- a/yarrowloom/scheduling/pod_group.py
+++ b/yarrowloom/scheduling/pod_group.py
@@ -38,7 +38,7 @@
     with their minions; `prio` is its place in the queue: past use, the queue's rank, the latest start within its aim,
     the time first seen, then its name."""
 
-    jid: str
+    job_id: str
     key: str
     svc: str
     size: Size
@@ -136,24 +136,24 @@
 
     def __len__(self) -> int:
         """Groups that wait for a cycle."""
-        return sum(g.phase in (Phase.ACTIVE, Phase.PARKED) for g in self.groups.values())
+        return sum(group_id.phase in (Phase.ACTIVE, Phase.PARKED) for group_id in self.groups.values())
 
     def add(self, *, group: Group) -> None:
         """A group enters."""
-        self.groups[group.jid, group.key] = group
-        self.of.setdefault(group.jid, set()).add(group.key)
+        self.groups[group.job_id, group.key] = group
+        self.of.setdefault(group.job_id, set()).add(group.key)
         self._push(group)
 
     def _push(self, group: Group) -> None:
         group.mark += 1
-        heapq.heappush(self.active.setdefault(group.svc, []), (group.prio, group.jid, group.key, group.mark))
+        heapq.heappush(self.active.setdefault(group.svc, []), (group.prio, group.job_id, group.key, group.mark))
 
     def _lie(self, group: Group) -> None:
         group.mark += 1
         rows = self.parked.setdefault(group.svc, [])
         if len(rows) > SLACK + 2 * len(self.groups):  # woken by time, and no pass met their entries
             rows[:] = [row for row in rows if self._live(row, Phase.PARKED) is not None]
-        insort(rows, (group.prio, group.jid, group.key, group.mark))
+        insort(rows, (group.prio, group.job_id, group.key, group.mark))
 
     def weigh(self, *, group: Group, n: int) -> None:
         """`n` of the group's members wait now."""
@@ -163,16 +163,16 @@
             row[1] += (n - group.load) * group.est * group.size.gpu
             group.load = n
 
-    def remove(self, *, jid: str, key: str) -> None:
+    def remove(self, *, job_id: str, key: str) -> None:
         """A group leaves."""
-        group = self.groups.pop((jid, key), None)
+        group = self.groups.pop((job_id, key), None)
         if group is not None:
             self.weigh(group=group, n=0)
             group.move(Phase.GONE)
-            keys = self.of[jid]
+            keys = self.of[job_id]
             keys.discard(key)
             if not keys:
-                del self.of[jid]
+                del self.of[job_id]
 
     def wake(self, *, group: Group) -> None:
         """Back to the active queue at once, its timestamp kept."""
@@ -186,7 +186,7 @@
         group.again = now + min(BACKOFF_S * 2.0 ** min(group.tries, 10), BACKOFF_MOST_S)
         group.tries += 1
         self._lie(group)
-        heapq.heappush(self.wait, (group.again, group.jid, group.key))
+        heapq.heappush(self.wait, (group.again, group.job_id, group.key))
 
     def bind(self, *, group: Group) -> None:
         """All members are on their way."""
@@ -209,8 +209,8 @@
         """Parked groups whose backoff has ended."""
         out = []
         while self.wait and self.wait[0][0] <= now:
-            _, jid, key = heapq.heappop(self.wait)
-            group = self.groups.get((jid, key))
+            _, job_id, key = heapq.heappop(self.wait)
+            group = self.groups.get((job_id, key))
             if group is not None and group.phase is Phase.PARKED and group.again <= now:
                 out.append(group)
         return out
@@ -255,9 +255,9 @@
             return 0
         low, high = 0, len(rows)
         while low < high:
-            mid = (low + high) // 2
-            if rows[mid][0] <= after:
-                low = mid + 1
+            minion_id = (low + high) // 2
+            if rows[minion_id][0] <= after:
+                low = minion_id + 1
             else:
-                high = mid
+                high = minion_id
         return low
--- a/yarrowloom/scheduling/preemption.py
+++ b/yarrowloom/scheduling/preemption.py
@@ -27,7 +27,7 @@
 
     task: str
     run: int
-    mid: str
+    minion_id: str
     size: Size
     horizon: float = math.inf  # beyond this it crawls: it goes on elsewhere
 
@@ -75,7 +75,7 @@
                 if len(out) >= n or looks <= 0:
                     return out
                 looks -= 1
-                spot = self.room.spots.get(victim.mid)
+                spot = self.room.spots.get(victim.minion_id)
                 if (
                     spot is not None
                     and (victim.task, victim.run) not in self.going
@@ -96,14 +96,14 @@
                         out.append((svc, victim))
         return out
 
-    def on(self, *, mids: frozenset[str], svc: str, rank: int) -> list[Victim]:
+    def on(self, *, minion_ids: frozenset[str], svc: str, rank: int) -> list[Victim]:
         """What runs on nominated minions and may go."""
         return [
             v
             for r, rows in self.runs.get(svc, {}).items()
             if r > rank
             for v in rows.values()
-            if v.mid in mids and (v.task, v.run) not in self.going
+            if v.minion_id in minion_ids and (v.task, v.run) not in self.going
         ]
 
     def stop(self, *, victims: list[Victim], svc: str, now: float) -> list[list[object]]:
@@ -111,14 +111,14 @@
         for v in victims:
             self.going[v.task, v.run] = (now, svc)
         self.total += len(victims)
-        return [[v.mid, v.task, v.run] for v in victims]
+        return [[v.minion_id, v.task, v.run] for v in victims]
 
 
 @dataclass(slots=True, kw_only=True)
 class Nomination:
     """Minions that work of the same or a later rank keeps off, so that their room comes free for one gang."""
 
-    mids: frozenset[str]
+    minion_ids: frozenset[str]
     svc: str
     rank: int
     until: float
@@ -136,8 +136,8 @@
         """Minions that a group is to keep off."""
         out: frozenset[str] = frozenset()
         for unit, nom in self.by.items():
-            if unit != (group.jid, group.key) and group.rank >= nom.rank and group.svc == nom.svc:
-                out |= nom.mids
+            if unit != (group.job_id, group.key) and group.rank >= nom.rank and group.svc == nom.svc:
+                out |= nom.minion_ids
         return out
 
     def drop(self, *, unit: tuple[str, str], now: float) -> None:
@@ -148,36 +148,38 @@
     def sweep(self, *, now: float) -> None:
         """Drop what lasted too long, or names a minion that is gone or takes nothing."""
         for unit, nom in list(self.by.items()):
-            if now > nom.until or any((s := self.room.spots.get(mid)) is None or not s.open for mid in nom.mids):
+            if now > nom.until or any(
+                (s := self.room.spots.get(minion_id)) is None or not s.open for minion_id in nom.minion_ids
+            ):
                 self.drop(unit=unit, now=now)
         if len(self.rest) > 1000:
             self.rest.clear()
 
     def nominate(self, *, group: Group, n: int, now: float) -> Nomination | None:
         """The least used minions (of one rack, where asked) that could hold all of a gang."""
-        unit = (group.jid, group.key)
+        unit = (group.job_id, group.key)
         if unit in self.by or len(self.by) >= NOMINATED or now < self.rest.get(unit, 0.0):
             return None
-        taken = frozenset(mid for nom in self.by.values() for mid in nom.mids)
+        taken = frozenset(minion_id for nom in self.by.values() for minion_id in nom.minion_ids)
         best: tuple[float, str, list[str]] | None = None
         racks: dict[str, list[tuple[float, str, int]]] = {}
         for name, rack in self.room.racks(svc=group.svc).items():
             for spot in self.room.of_rack(rack=rack):
                 top = spot.cap.copies(group.size)
-                if top and spot.mid not in taken and (not group.req or group.req in spot.labels):
+                if top and spot.minion_id not in taken and (not group.req or group.req in spot.labels):
                     used = sum(1 - have / cap for have, cap in zip(spot.free, spot.cap, strict=True) if cap)
-                    racks.setdefault(name if group.tight else "", []).append((used / top, spot.mid, top))
+                    racks.setdefault(name if group.tight else "", []).append((used / top, spot.minion_id, top))
         for name in sorted(racks):
-            left, cost, mids = n, 0.0, []
-            for used, mid, top in sorted(racks[name]):
+            left, cost, minion_ids = n, 0.0, []
+            for used, minion_id, top in sorted(racks[name]):
                 if left > 0:
-                    mids.append(mid)
+                    minion_ids.append(minion_id)
                     left, cost = left - top, max(cost, used)
             if left <= 0 and (best is None or cost < best[0]):
-                best = (cost, name, mids)
+                best = (cost, name, minion_ids)
         if best is None:
             self.rest[unit] = now + 1.0
             return None
-        nom = Nomination(mids=frozenset(best[2]), svc=group.svc, rank=group.rank, until=now + NOMINATE_MOST_S)
+        nom = Nomination(minion_ids=frozenset(best[2]), svc=group.svc, rank=group.rank, until=now + NOMINATE_MOST_S)
         self.by[unit] = nom
         return nom
--- a/yarrowloom/scheduling/scheduler.py
+++ b/yarrowloom/scheduling/scheduler.py
@@ -66,7 +66,7 @@
 
     def _requeue(self, *, group: Group) -> None:
         """Its backoff is over: its place may have changed."""
-        prio, _ = self.prio(jid=group.jid, key=group.key, seen=group.seen)
+        prio, _ = self.prio(job_id=group.job_id, key=group.key, seen=group.seen)
         self.backlog.wake(group=group)
         self.backlog.rekey(group=group, prio=prio, svc=group.svc)
 
@@ -96,14 +96,14 @@
 
     def _turn(self, *, group: Group, walk: Walk) -> None:
         """A group's cycle, and what follows from it."""
-        job = self.jobs.jobs[group.jid]
+        job = self.jobs.jobs[group.job_id]
         unit = job["u"][group.key]
         members = [i for i, st in enumerate(unit["s"]) if st == WAIT and i not in group.out]
         if not members or (group.gang and RUN in unit["s"]):
             self.backlog.bind(group=group)
             return
         if self.hub.wall > group.late_at and not group.prio[0]:
-            prio, _ = self.prio(jid=group.jid, key=group.key, seen=group.seen)
+            prio, _ = self.prio(job_id=group.job_id, key=group.key, seen=group.seen)
             self.backlog.rekey(group=group, prio=prio, svc=group.svc)
         waited = self.hub.now - group.since
         patient = (
@@ -117,7 +117,7 @@
             decision = self._cycle(group=group, members=members, unit=unit, walk=walk, strict=patient)
         if decision.feasible:
             group.tries = 0
-            self.holding.get(group.svc, {}).get((group.req, group.rank), {}).pop((group.jid, group.key), None)
+            self.holding.get(group.svc, {}).get((group.req, group.rank), {}).pop((group.job_id, group.key), None)
             self.bind(group=group, decision=decision)
             if group.phase is Phase.TURN:
                 if len(members) > len(decision.placed):
@@ -152,7 +152,7 @@
             rank=group.rank,
         )
         if self.warmer.kept and not group.gang:
-            job = self.jobs.jobs[group.jid]
+            job = self.jobs.jobs[group.job_id]
             step = job["steps"][int(group.key.split(".")[1])]
             ask.upper_s = self.jobs.past.times(q=job["q"], step=step).p95 / 1000 if not step["last"] else math.inf
         elif self.warmer.kept:
@@ -176,7 +176,7 @@
         group.why = f"{decision.fit}/{n} {why}"
         self.hub.trace(
             event="cycle-failed",
-            id=group.jid,
+            id=group.job_id,
             unit=group.key,
             rank=group.rank,
             waited=round(waited, 2),
@@ -201,12 +201,16 @@
             nom = self.nominator.nominate(group=group, n=n, now=self.hub.now)
             if nom is not None:
                 self._preempt(
-                    rows=self.preemptor.on(mids=nom.mids, svc=group.svc, rank=group.rank), svc=group.svc, note=""
+                    rows=self.preemptor.on(minion_ids=nom.minion_ids, svc=group.svc, rank=group.rank),
+                    svc=group.svc,
+                    note="",
+                )
+                self.hub.trace(
+                    event="minions-nominated", id=group.job_id, unit=group.key, n=n, minions=len(nom.minion_ids)
                 )
-                self.hub.trace(event="minions-nominated", id=group.jid, unit=group.key, n=n, minions=len(nom.mids))
         if not late and not patient and not group.gang and BLOCK_S <= waited < BLOCK_MOST_S and could:
             units = self.holding.setdefault(group.svc, {}).setdefault((group.req, group.rank), {})
-            units[group.jid, group.key] = group.since + BLOCK_MOST_S
+            units[group.job_id, group.key] = group.since + BLOCK_MOST_S
             walk.top[group.req] = min(walk.top.get(group.req, group.rank), group.rank)
         self.backlog.park(group=group, now=self.hub.now)
 
@@ -232,17 +236,17 @@
         self.release(self.pool.expire(now=now))
         wall = self.hub.wall * 1000
         while self.timed and self.timed[0][0] <= wall:
-            _, jid = heapq.heappop(self.timed)
-            job = self.jobs.jobs.get(jid)
+            _, job_id = heapq.heappop(self.timed)
+            job = self.jobs.jobs.get(job_id)
             if job is None or job["st"] in ENDED or job["k"] >= job["times"]:
                 continue
             if len(job["open"]) >= 64:
-                heapq.heappush(self.timed, (wall + 200.0, jid))
+                heapq.heappush(self.timed, (wall + 200.0, job_id))
                 continue
             if wall >= job["first"] + job["k"] * job["period"]:
-                self.effects(self.rep.commit(ev={"t": "due", "id": jid, "k": job["k"]}))
+                self.effects(self.rep.commit(ev={"t": "due", "id": job_id, "k": job["k"]}))
             if job["k"] < job["times"]:
-                self._timed(jid=jid)
+                self._timed(job_id=job_id)
         if now - self.swept > SWEEP_S:
             self.swept = now
             self._sweep()
@@ -254,34 +258,34 @@
             parts = split_name(task=victim.task)
             group = self.backlog.groups.get(parts[:2]) if parts is not None else None
             if group is not None:
-                group.sore.add(victim.mid)
+                group.sore.add(victim.minion_id)
             self.stops(self.preemptor.stop(victims=[victim], svc="", now=now))
-            self.hub.note(event="crawls", task=victim.task, minion=victim.mid, service=svc)
+            self.hub.note(event="crawls", task=victim.task, minion=victim.minion_id, service=svc)
         ids = []
         while self.over and now - self.over[0][0] > self.status_s * 1.25:
-            at, jid = self.over.popleft()
-            if "u" in self.jobs.jobs.get(jid, {}):
-                self.over.append((now, jid))
+            at, job_id = self.over.popleft()
+            if "u" in self.jobs.jobs.get(job_id, {}):
+                self.over.append((now, job_id))
             else:
-                ids.append(jid)
+                ids.append(job_id)
         if ids:
             self.rep.commit(ev={"t": "forget", "ids": ids})
         for task, held in list(self.held.items()):  # of a gang's member that is done by another's end, say
-            spot = self.room.spots.get(held.mid)
+            spot = self.room.spots.get(held.minion_id)
             if spot is None or spot.seq != held.seq:
                 del self.held[task]
         again = []
-        for task, (mid, run, told) in list(self.halting.items()):
+        for task, (minion_id, run, told) in list(self.halting.items()):
             if now - told > STOP_AGAIN_S:
-                self.halting[task] = (mid, run, now)
-                again.append([mid, task, run])
+                self.halting[task] = (minion_id, run, now)
+                again.append([minion_id, task, run])
         if again:
             self.stops(again)
 
     def start(self, *, group: Group, batch: list[tuple[int, Held]]) -> None:
         """Record starts; a job's first ones use up its warm room."""
         if self.warmer.on and group.key.startswith("0."):
-            job = self.jobs.jobs[group.jid]
+            job = self.jobs.jobs[group.job_id]
             if job["st"] == State.PENDING:
                 self.warmer.started(
                     queue=job["q"],
@@ -293,18 +297,20 @@
 
     # -- for the operator
 
-    def explain(self, *, jid: str) -> list[dict[str, Any]]:
+    def explain(self, *, job_id: str) -> list[dict[str, Any]]:
         """Why each group of a job waits."""
         out = []
-        for key in sorted(self.backlog.of.get(jid, ())):
-            group = self.backlog.groups[jid, key]
+        for key in sorted(self.backlog.of.get(job_id, ())):
+            group = self.backlog.groups[job_id, key]
             before = sum(
-                g.prio < group.prio and g.svc == group.svc and g.phase in (Phase.ACTIVE, Phase.PARKED)
-                for g in self.backlog.groups.values()
+                group_id.prio < group.prio
+                and group_id.svc == group.svc
+                and group_id.phase in (Phase.ACTIVE, Phase.PARKED)
+                for group_id in self.backlog.groups.values()
             )
             out.append(
                 {
-                    "group": f"{jid}.{key}",
+                    "group": f"{job_id}.{key}",
                     "phase": group.phase.value,
                     "members-waiting": group.load,
                     "binding": len(group.out),
@@ -329,7 +335,7 @@
             "asks": len(self.asks),
             "pushed-out": self.preemptor.total,
             "live-jobs": self.live,
-            "nominated": sum(len(n.mids) for n in self.nominator.by.values()),
+            "nominated": sum(len(n.minion_ids) for n in self.nominator.by.values()),
             "warm": self.warmer.report(),
             "expected-wait-ms": {svc: round(self.expected(svc=svc, rank=9)) for svc in self.room.shelves},
         }
--- a/yarrowloom/scheduling/scheduling_cycle.py
+++ b/yarrowloom/scheduling/scheduling_cycle.py
@@ -58,12 +58,12 @@
 
     def free(self, *, spot: Spot) -> Size:
         """Room left on a minion."""
-        return self.over.get(spot.mid, spot.free)
+        return self.over.get(spot.minion_id, spot.free)
 
     def reserve(self, *, spot: Spot, size: Size) -> None:
         """Until the cycle ends."""
-        self.over[spot.mid] = self.free(spot=spot).plus(size, -1)
-        self.mine[spot.mid] = self.mine.get(spot.mid, 0) + 1
+        self.over[spot.minion_id] = self.free(spot=spot).plus(size, -1)
+        self.mine[spot.minion_id] = self.mine.get(spot.minion_id, 0) + 1
 
 
 Filter = Callable[[Snapshot, Ask, Spot], bool]
@@ -89,11 +89,11 @@
 
 
 def _nominated(snap: Snapshot, ask: Ask, spot: Spot) -> bool:
-    return spot.mid not in ask.off
+    return spot.minion_id not in ask.off
 
 
 def _spread(snap: Snapshot, ask: Ask, spot: Spot) -> bool:
-    return not ask.apart or ask.there.get(spot.mid, 0) + snap.mine.get(spot.mid, 0) < ask.apart
+    return not ask.apart or ask.there.get(spot.minion_id, 0) + snap.mine.get(spot.minion_id, 0) < ask.apart
 
 
 def _sound(snap: Snapshot, ask: Ask, spot: Spot) -> bool:
@@ -135,7 +135,7 @@
     put_off: list[Spot] = []
     if ask.near:
         for spot in snap.room.labelled(svc=ask.svc, label=ask.near):
-            if spot.mid in ask.sore:
+            if spot.minion_id in ask.sore:
                 put_off.append(spot)
             else:
                 yield spot
@@ -143,7 +143,7 @@
         for spot in snap.room.ordered(svc=ask.svc, size=ask.size):
             if ask.near and ask.near in spot.labels:
                 continue
-            if spot.mid in ask.sore:
+            if spot.minion_id in ask.sore:
                 put_off.append(spot)
             else:
                 yield spot
@@ -163,7 +163,7 @@
         if best is None:
             break  # members are alike: where one finds nothing, none does
         snap.reserve(spot=best, size=ask.size)
-        placed.append((idx, best.mid))
+        placed.append((idx, best.minion_id))
         feasible = feasible or placement_feasible(placed=len(placed), ask=ask)
     return Decision(placed=placed if feasible else [], feasible=feasible, fit=len(placed), refused=refused)
 
@@ -177,15 +177,15 @@
         spots.setdefault(spot.rack, []).append(spot)
     spots.pop("", None)  # of no rack
     racks = room.racks(svc=ask.svc)
-    most, refused = 0, {"rack": sum(len(rack.mids) for name, rack in racks.items() if name and name not in spots)}
+    most, refused = 0, {"rack": sum(len(rack.minion_ids) for name, rack in racks.items() if name and name not in spots)}
     for name in sorted(spots, key=lambda name: (racks[name].free.gpu, racks[name].free.cpu, name)):
         rows = spots[name]
         if racks[name].free.copies(ask.size) < ask.need or sum(s.free.copies(ask.size) for s in rows) < ask.need:
-            refused["rack"] += len(racks[name].mids)
+            refused["rack"] += len(racks[name].minion_ids)
             continue
-        order = [s for s in rows if s.mid not in ask.sore]
+        order = [s for s in rows if s.minion_id not in ask.sore]
         if not ask.bar:
-            order += [s for s in rows if s.mid in ask.sore]
+            order += [s for s in rows if s.minion_id in ask.sore]
         got = _fill(snap=Snapshot(room=room), ask=ask, spots=iter(order))
         if got.feasible:
             got.rack = name
--- a/yarrowloom/scheduling/warm_capacity.py
+++ b/yarrowloom/scheduling/warm_capacity.py
@@ -58,7 +58,10 @@
             if (
                 kept.room.queue not in ranks
                 or ranks[kept.room.queue] != kept.rank
-                or any((s := self.table.spots.get(mid)) is None or not s.open or s.site in shut for mid in kept.at)
+                or any(
+                    (s := self.table.spots.get(minion_id)) is None or not s.open or s.site in shut
+                    for minion_id in kept.at
+                )
             ):
                 self.warm.lost(kind=kind, steady=steady)
         preds = [
@@ -102,28 +105,30 @@
         if not got.feasible:
             return False
         kept = self.kept[room.kind] = Kept(room=room, rank=rank, size=size)
-        for _, mid in got.placed:
-            kept.at[mid] = kept.at.get(mid, 0) + 1
-        for mid in kept.at:
-            self._sum(mid=mid)
+        for _, minion_id in got.placed:
+            kept.at[minion_id] = kept.at.get(minion_id, 0) + 1
+        for minion_id in kept.at:
+            self._sum(minion_id=minion_id)
         return True
 
     def _drop(self, *, kind: str) -> None:
         kept = self.kept.pop(kind)
-        for mid in kept.at:
-            self._sum(mid=mid)
+        for minion_id in kept.at:
+            self._sum(minion_id=minion_id)
         self.table.grown.setdefault(kept.room.svc, {}).update(
-            (mid, s.free) for mid in kept.at if (s := self.table.spots.get(mid)) is not None and s.open
+            (minion_id, s.free)
+            for minion_id in kept.at
+            if (s := self.table.spots.get(minion_id)) is not None and s.open
         )
 
-    def _sum(self, *, mid: str) -> None:
-        spot = self.table.spots.get(mid)
+    def _sum(self, *, minion_id: str) -> None:
+        spot = self.table.spots.get(minion_id)
         if spot is None:
             return
-        rows = [k for k in self.kept.values() if mid in k.at]
+        rows = [k for k in self.kept.values() if minion_id in k.at]
         spot.keep = NONE
         for kept in rows:
-            spot.keep = spot.keep.plus(kept.size, kept.at[mid])
+            spot.keep = spot.keep.plus(kept.size, kept.at[minion_id])
         spot.keep_rank = min((k.rank for k in rows), default=0)
         spot.keep_till = max((k.room.until / 1000 for k in rows), default=0.0)
 
--- a/yarrowloom/simulator/cluster.py
+++ b/yarrowloom/simulator/cluster.py
@@ -155,13 +155,13 @@
             raise SimError(text=f"{ip} is no core node")
         return node
 
-    def serving(self, *, g: int) -> list[str]:
+    def serving(self, *, group_id: int) -> list[str]:
         """Machines whose process serves a group now."""
         out = []
         for ip in self.procs:
             proc = self.procs[ip]
             if proc.up and isinstance(proc.node, CoreNode) and self.now >= proc.frozen_till:
                 proc.node.now = self.clock(ip)
-                if proc.node.reps[g].serving():
+                if proc.node.reps[group_id].serving():
                     out.append(ip)
         return out
--- a/yarrowloom/simulator/faults/injector.py
+++ b/yarrowloom/simulator/faults/injector.py
@@ -97,7 +97,7 @@
             return self.sim.core_ips[int(number)]
         if role == "edge":
             return self.sim.edge_ips[int(number)]
-        return self.minions[int(number)].mid
+        return self.minions[int(number)].minion_id
 
     def _side(self, fault: Fault, *, outward: bool = True, inward: bool = True) -> Cut:
         ends = [self.end_of(name) for name in fault.where.split("/")]
@@ -257,7 +257,7 @@
         """Another minion takes the place of one that is gone, under a new ID."""
         if old in self.minions and not old.up:
             self.minions[self.minions.index(old)] = self.day.hire(
-                mid=f"{old.mid}x", site=old.site, cap=old.cap, labels=old.labels, svc=old.svc
+                minion_id=f"{old.minion_id}x", site=old.site, cap=old.cap, labels=old.labels, svc=old.svc
             )
 
     def _mute(self, fault: Fault) -> None:
--- a/yarrowloom/simulator/judges/job_rules.py
+++ b/yarrowloom/simulator/judges/job_rules.py
@@ -72,9 +72,9 @@
 
     def started(self, *, m: SimMinion, task: str, run: int, spec: str, saved: str) -> None:
         """A minion begins a task."""
-        jid, k, _, _ = task.split(".")
-        job, now = self.jobs.get(jid), self.sim.now
-        where = f"{task} run {run} on {m.mid} at {now:.2f}"
+        job_id, k, _, _ = task.split(".")
+        job, now = self.jobs.get(job_id), self.sim.now
+        where = f"{task} run {run} on {m.minion_id} at {now:.2f}"
         if job is None or spec != job["task-spec"]:
             self.breach(rule="UNASKED", what=where)
             return
@@ -82,15 +82,15 @@
         who = owner(task=task, step=step)
         if saved and self.texts.get(saved) != who:
             self.breach(rule="UNASKED", what=f"{where} with the checkpoint {saved} of {self.texts.get(saved)}")
-        self.begun.setdefault(jid, where)
-        if jid in self.cancelled and now > self.cancelled[jid] + CANCEL_S:
+        self.begun.setdefault(job_id, where)
+        if job_id in self.cancelled and now > self.cancelled[job_id] + CANCEL_S:
             self.breach(rule="UNASKED", what=f"{where} after its cancelling")
         self._once(task=task, who=who, step=step, where=where)
-        self._order(job=job, jid=jid, k=int(k), step=step, where=where)
+        self._order(job=job, job_id=job_id, k=int(k), step=step, where=where)
         self._place(m=m, task=task, step=step, where=where)
         if step.get("gang") and self.brought.setdefault((who, run), saved) != saved:
             self.breach(rule="GANG", what=f"{where} brings {saved}, others {self.brought[who, run]}")
-        self.alive.setdefault(task, []).append((m.mid, run))
+        self.alive.setdefault(task, []).append((m.minion_id, run))
 
     def _once(self, *, task: str, who: str, step: dict[str, Any], where: str) -> None:
         if step.get("duplicate"):
@@ -106,9 +106,9 @@
         if len(self.fails.get(who, ())) >= self.tries:
             self.breach(rule="BUDGET", what=where)
 
-    def _order(self, *, job: dict[str, Any], jid: str, k: int, step: dict[str, Any], where: str) -> None:
+    def _order(self, *, job: dict[str, Any], job_id: str, k: int, step: dict[str, Any], where: str) -> None:
         for d in step.get("depends-on", []):
-            if not self.unit_done(job=job, unit=f"{jid}.{k}.{d}"):
+            if not self.unit_done(job=job, unit=f"{job_id}.{k}.{d}"):
                 self.breach(rule="ORDER", what=f"{where} before step {d}")
         if job.get("repeat-count"):
             due = (job["first-run-ms"] + k * job["period-ms"]) / 1000
@@ -136,7 +136,7 @@
 
     def ended(self, *, m: SimMinion, task: str, run: int, how: str) -> None:
         """A minion's run of a task ended."""
-        self.alive.get(task, []).remove((m.mid, run))
+        self.alive.get(task, []).remove((m.minion_id, run))
         self.ends[how] = self.ends.get(how, 0) + 1
         who = owner(task=task, step=self.step_of(task))
         if how == "done":
@@ -144,59 +144,59 @@
         elif how == "failed":
             self.fell.setdefault(who, set()).add(run)
         elif how == "alone" and task.split(".")[0] not in self.asked and self.sim.now > self.near:
-            self.breach(rule="GANG", what=f"{task} run {run} on {m.mid} ended alone at {self.sim.now:.2f}")
+            self.breach(rule="GANG", what=f"{task} run {run} on {m.minion_id} ended alone at {self.sim.now:.2f}")
 
     def listed(self, *, m: SimMinion, num: int, task: str, how: str) -> None:
         """An end is on a minion's list."""
         if how == "done":
-            self.owed.setdefault(owner(task=task, step=self.step_of(task)), []).append((m.mid, num))
+            self.owed.setdefault(owner(task=task, step=self.step_of(task)), []).append((m.minion_id, num))
 
     def seen(self, *, m: SimMinion, num: int, task: str, run: int, how: str, lapsed: bool) -> None:
         """An end's number was reached by `last-seen`."""
         who = owner(task=task, step=self.step_of(task))
         if how == "done":
-            self.owed[who].remove((m.mid, num))
+            self.owed[who].remove((m.minion_id, num))
         if lapsed:
             return
         if how == "done":
             self.noted.add(who)
-            if (m.mid, num) in self.again:
-                self.breach(rule="TWICE", what=f"{self.again[m.mid, num]} after an end noted since")
+            if (m.minion_id, num) in self.again:
+                self.breach(rule="TWICE", what=f"{self.again[m.minion_id, num]} after an end noted since")
         elif how == "failed":
             self.fails.setdefault(who, set()).add(run)
 
     # -- what callers see
 
-    def shown(self, *, jid: str, status: int, state: str, sent: float) -> None:
+    def shown(self, *, job_id: str, status: int, state: str, sent: float) -> None:
         """An answer on a job's state, asked for at `sent`. Answers to calls that overlap may come in any order."""
         now = self.sim.now
-        if status == 410 and jid in self.accepted and now > self.accepted[jid] + VISIBLE_S:
-            self.breach(rule="LOST", what=f"{jid} is not known at {now:.2f}")
+        if status == 410 and job_id in self.accepted and now > self.accepted[job_id] + VISIBLE_S:
+            self.breach(rule="LOST", what=f"{job_id} is not known at {now:.2f}")
         if status != 200:
             return
-        was, at = self.shows.get(jid, state), self.over.get(jid, now)
+        was, at = self.shows.get(job_id, state), self.over.get(job_id, now)
         if was in ENDS and state != was and sent >= at:
-            self.breach(rule="LOST", what=f"{jid} was {was} at {at:.2f}, now {state} at {now:.2f}")
-        if self.shows.get(jid) not in ENDS:
-            self.shows[jid] = state
+            self.breach(rule="LOST", what=f"{job_id} was {was} at {at:.2f}, now {state} at {now:.2f}")
+        if self.shows.get(job_id) not in ENDS:
+            self.shows[job_id] = state
         if state in ENDS:
-            self.over.setdefault(jid, now)
+            self.over.setdefault(job_id, now)
         if state == "complete":
-            left = self.left(jid=jid)
+            left = self.left(job_id=job_id)
             if left:
-                self.breach(rule="MIXED", what=f"{jid} complete at {now:.2f} without {left[:3]}")
-        if state == "cancelled" and jid not in self.asked:
-            self.breach(rule="LOST", what=f"{jid} cancelled by nobody")
-        if state == "failed" and not self.hopeless(jid=jid):
-            self.breach(rule="LOST", what=f"{jid} failed at {now:.2f} without cause")
+                self.breach(rule="MIXED", what=f"{job_id} complete at {now:.2f} without {left[:3]}")
+        if state == "cancelled" and job_id not in self.asked:
+            self.breach(rule="LOST", what=f"{job_id} cancelled by nobody")
+        if state == "failed" and not self.hopeless(job_id=job_id):
+            self.breach(rule="LOST", what=f"{job_id} failed at {now:.2f} without cause")
 
     # -- what is so
 
-    def units(self, *, jid: str) -> list[tuple[str, dict[str, Any]]]:
+    def units(self, *, job_id: str) -> list[tuple[str, dict[str, Any]]]:
         """Names and steps of all units of all times."""
-        job = self.jobs[jid]
+        job = self.jobs[job_id]
         return [
-            (f"{jid}.{k}.{s}", step)
+            (f"{job_id}.{k}.{s}", step)
             for k in range(max(1, job.get("repeat-count", 0)))
             for s, step in enumerate(job["stages"])
         ]
@@ -207,13 +207,13 @@
         ends = [f"{unit}.{i}" in self.done for i in range(step["task-count"])]
         return any(ends) if step.get("gang") else all(ends)
 
-    def left(self, *, jid: str) -> list[str]:
+    def left(self, *, job_id: str) -> list[str]:
         """Units that are not done."""
-        return [u for u, _ in self.units(jid=jid) if not self.unit_done(job=self.jobs[jid], unit=u)]
+        return [u for u, _ in self.units(job_id=job_id) if not self.unit_done(job=self.jobs[job_id], unit=u)]
 
-    def hopeless(self, *, jid: str) -> bool:
+    def hopeless(self, *, job_id: str) -> bool:
         """A task or gang has failed as often as it may."""
-        return any(who.split(".")[0] == jid and len(runs) >= self.tries for who, runs in self.fell.items())
+        return any(who.split(".")[0] == job_id and len(runs) >= self.tries for who, runs in self.fell.items())
 
     def used(self, *, m: SimMinion, more: list[str]) -> list[int]:
         """Room in use, with more tasks."""
@@ -228,27 +228,27 @@
     def _watch(self) -> None:
         self.sim.at(delay=LOOK_S, fn=self._watch)
         now = self.sim.now
-        for jid, at in self.cancelled.items():
-            if now > max(at + CANCEL_S + STOP_S, self.near) and jid not in self.overran:
+        for job_id, at in self.cancelled.items():
+            if now > max(at + CANCEL_S + STOP_S, self.near) and job_id not in self.overran:
                 for task, runs in self.alive.items():
-                    if runs and task.startswith(jid):
-                        self.overran.add(jid)
+                    if runs and task.startswith(job_id):
+                        self.overran.add(job_id)
                         self.breach(rule="UNASKED", what=f"{task} runs on at {now:.2f}, cancelled at {at:.2f}")
-        for jid in self.refused:
-            if jid in self.begun and jid not in self.accepted:
-                self.breach(rule="REFUSED", what=self.begun.pop(jid))
-        for jid in self.accepted:
-            if jid in self.asked or self.hopeless(jid=jid) or not self._starves(jid=jid):
-                self.starved.pop(jid, None)
+        for job_id in self.refused:
+            if job_id in self.begun and job_id not in self.accepted:
+                self.breach(rule="REFUSED", what=self.begun.pop(job_id))
+        for job_id in self.accepted:
+            if job_id in self.asked or self.hopeless(job_id=job_id) or not self._starves(job_id=job_id):
+                self.starved.pop(job_id, None)
             else:
-                self.starved.setdefault(jid, now)
+                self.starved.setdefault(job_id, now)
 
-    def _starves(self, *, jid: str) -> bool:
+    def _starves(self, *, job_id: str) -> bool:
         """Nothing runs, a turn has come, there is room twice over and half of the service's room is free."""
-        if any(runs and task.startswith(jid) for task, runs in self.alive.items()):
+        if any(runs and task.startswith(job_id) for task, runs in self.alive.items()):
             return False
-        job = self.jobs[jid]
-        for unit, step in self.units(jid=jid):
+        job = self.jobs[job_id]
+        for unit, step in self.units(job_id=job_id):
             k = unit.split(".")[1]
             due = (
                 not job.get("repeat-count")
@@ -257,17 +257,17 @@
             turn = (
                 due
                 and not self.unit_done(job=job, unit=unit)
-                and all(self.unit_done(job=job, unit=f"{jid}.{k}.{d}") for d in step.get("depends-on", []))
+                and all(self.unit_done(job=job, unit=f"{job_id}.{k}.{d}") for d in step.get("depends-on", []))
             )
-            if turn and self._room(jid=jid, step=step):
+            if turn and self._room(job_id=job_id, step=step):
                 return True
         return False
 
-    def _room(self, *, jid: str, step: dict[str, Any]) -> bool:
+    def _room(self, *, job_id: str, step: dict[str, Any]) -> bool:
         need = (step.get("cpus", 0), step.get("mem-mb", 0), step.get("gpus", 0))
         fits, used, have = 0, [0, 0, 0], [0, 0, 0]
         for m in self.fleet:
-            if not m.up or getattr(m, "svc", "svc") not in self.services.get(self.queue.get(jid, ""), {"svc"}):
+            if not m.up or getattr(m, "svc", "svc") not in self.services.get(self.queue.get(job_id, ""), {"svc"}):
                 continue
             busy = self.used(m=m, more=[])
             used = [a + b for a, b in zip(used, busy, strict=True)]
@@ -283,6 +283,6 @@
     def close(self) -> None:
         """The traffic has ended `finish_s` ago: what starves now is lost."""
         now = self.sim.now
-        for jid, at in self.starved.items():
+        for job_id, at in self.starved.items():
             if now - at >= STARVE_S:
-                self.breach(rule="LOST", what=f"{jid} has nothing running since {at:.2f}, at {now:.2f}")
+                self.breach(rule="LOST", what=f"{job_id} has nothing running since {at:.2f}, at {now:.2f}")
--- a/yarrowloom/simulator/minion_population.py
+++ b/yarrowloom/simulator/minion_population.py
@@ -19,7 +19,7 @@
             SimMinion(
                 sim=sim,
                 oracle=oracle,
-                mid=f"i-{i}",
+                minion_id=f"i-{i}",
                 site=f"z{site}",
                 cap=(4000, 8000, 0),
                 work=0.5,
@@ -45,19 +45,19 @@
         node.now = sim.now
         if node.trusted():
             for m in node.agent.minions.values():
-                if m.phase is Phase.KNOWN and all(g in m.att for g in node.groups()):
-                    out[m.mid] = ip
+                if m.phase is Phase.KNOWN and all(group_id in m.att for group_id in node.groups()):
+                    out[m.minion_id] = ip
     return out
 
 
 def serves(*, sim: Sim) -> bool:
     """Every group is served."""
-    return all(sim.serving(g=g) for g in range(2))
+    return all(sim.serving(group_id=group_id) for group_id in range(2))
 
 
 def loads(*, sim: Sim) -> dict[str, int]:
     """By machine: how many minions its agent has by group 0's record."""
-    reg = sim.core(sim.serving(g=0)[0]).reg
+    reg = sim.core(sim.serving(group_id=0)[0]).reg
     return {ip: sum(reg.owners.load(uid=u) for u in reg.members if u.split(":")[0] == ip) for ip in sim.core_ips}
 
 
@@ -66,7 +66,7 @@
     t0 = sim.now
     if not sim.until(cond=lambda: serves(sim=sim), limit=limit):
         raise SimError(text=f"not all groups are served after {limit:g} s")
-    mid = sim.now - t0
+    minion_id = sim.now - t0
     if not sim.until(cond=lambda: len(attached(sim=sim)) >= n, limit=limit):
         raise SimError(text=f"{len(attached(sim=sim))} of {n} minions are attached after {limit:g} s")
-    return mid, sim.now - t0
+    return minion_id, sim.now - t0
--- a/yarrowloom/simulator/minions.py
+++ b/yarrowloom/simulator/minions.py
@@ -57,24 +57,24 @@
 
     def step_of(self, task: str) -> dict[str, Any]:
         """The step that a task belongs to."""
-        jid, _, s, _ = task.split(".")
-        row: dict[str, Any] = self.jobs[jid]["stages"][int(s)]
+        job_id, _, s, _ = task.split(".")
+        row: dict[str, Any] = self.jobs[job_id]["stages"][int(s)]
         return row
 
     def started(self, *, m: "SimMinion", task: str, run: int, spec: str, saved: str) -> None:
         """A minion begins a task."""
-        jid, k, s, _ = task.split(".")
-        job = self.jobs.get(jid)
+        job_id, k, s, _ = task.split(".")
+        job = self.jobs.get(job_id)
         if job is None or spec != job["task-spec"]:
             self.broken.append(f"UNASKED {task}")
             return
-        if jid in self.refused and jid not in self.accepted:
+        if job_id in self.refused and job_id not in self.accepted:
             self.broken.append(f"REFUSED {task}")
-        if jid in self.cancelled and self.sim.now > self.cancelled[jid] + 3.0:
+        if job_id in self.cancelled and self.sim.now > self.cancelled[job_id] + 3.0:
             self.broken.append(f"UNASKED {task} after cancel")
         row = self.step_of(task)
         if self.alive.get(task):
-            self.broken.append(f"TWICE {task} run {run} on {m.mid}, also {self.alive[task]}")
+            self.broken.append(f"TWICE {task} run {run} on {m.minion_id}, also {self.alive[task]}")
         if task in self.noted and not row.get("long-running"):
             self.broken.append(f"TWICE {task} run {run} after its end was noted")
         if self.failed.get(task, 0) >= self.tries:
@@ -82,7 +82,7 @@
         for d in row.get("depends-on", []):
             n = job["stages"][d]["task-count"]
             gang = job["stages"][d].get("gang")
-            ends = [f"{jid}.{k}.{d}.{i}" in self.done for i in range(n)]
+            ends = [f"{job_id}.{k}.{d}.{i}" in self.done for i in range(n)]
             if not (any(ends) if gang else all(ends)):
                 self.broken.append(f"ORDER {task}")
         if row.get("requires") and row["requires"] not in m.labels:
@@ -95,12 +95,12 @@
             need = self.step_of(other)
             used = [used[0] + need.get("cpus", 0), used[1] + need.get("mem-mb", 0), used[2] + need.get("gpus", 0)]
         if any(u > c for u, c in zip(used, m.cap, strict=True)):
-            self.broken.append(f"LIMIT {m.mid} {used} over {m.cap}")
-        self.alive.setdefault(task, []).append((m.mid, run))
+            self.broken.append(f"LIMIT {m.minion_id} {used} over {m.cap}")
+        self.alive.setdefault(task, []).append((m.minion_id, run))
 
     def ended(self, *, m: "SimMinion", task: str, run: int, how: str) -> None:
         """A minion's run of a task ended."""
-        self.alive.get(task, []).remove((m.mid, run))
+        self.alive.get(task, []).remove((m.minion_id, run))
         if how == "done":
             self.done.add(task)
 
@@ -120,14 +120,14 @@
         *,
         sim: Sim,
         oracle: Oracle,
-        mid: str,
+        minion_id: str,
         site: str,
         cap: tuple[int, int, int],
         work: float,
         labels: tuple[str, ...] = ("a", "r1"),
         fail: float = 0.0,
     ) -> None:
-        self.sim, self.oracle, self.mid, self.site, self.cap = sim, oracle, mid, site, cap
+        self.sim, self.oracle, self.minion_id, self.site, self.cap = sim, oracle, minion_id, site, cap
         self.labels, self.work, self.fail = labels, work, fail
         self.running: dict[str, dict[str, Any]] = {}
         self.ends: dict[int, tuple[str, int, str, str, float]] = {}
@@ -187,7 +187,7 @@
         """What a beat tells."""
         return {
             "backend": "svc",
-            "address": f"{self.mid}:1",
+            "address": f"{self.minion_id}:1",
             "zone": self.site,
             "config-version": "v1",
             "slots": 8,
@@ -226,7 +226,7 @@
                 self.miss()
 
         self.sim.at(delay=1.0, fn=late)
-        self.sim.http(ip=dst, src=self.mid, method="PUT", path=f"/minions/{self.mid}", doc=doc, back=back)
+        self.sim.http(ip=dst, src=self.minion_id, method="PUT", path=f"/minions/{self.minion_id}", doc=doc, back=back)
 
     def miss(self) -> None:
         """A heartbeat failed: try another node."""
@@ -297,13 +297,13 @@
     def submit(self, *, stages: list[dict[str, Any]], queue: str = "fast", **more: Any) -> str:
         """Hand a job in; return its ID."""
         self.n += 1
-        jid = f"{self.sim.rng.getrandbits(64):016x}"
-        doc = {"task-spec": f"spec-{jid}", "stages": stages, **more}
-        self.oracle.jobs[jid] = doc
-        self._send(jid=jid, queue=queue, doc=doc, left=5)
-        return jid
+        job_id = f"{self.sim.rng.getrandbits(64):016x}"
+        doc = {"task-spec": f"spec-{job_id}", "stages": stages, **more}
+        self.oracle.jobs[job_id] = doc
+        self._send(job_id=job_id, queue=queue, doc=doc, left=5)
+        return job_id
 
-    def _send(self, *, jid: str, queue: str, doc: Any, left: int) -> None:
+    def _send(self, *, job_id: str, queue: str, doc: Any, left: int) -> None:
         ip = self.sim.rng.choice(self.sim.edge_ips)
         state = {"done": False}
 
@@ -312,49 +312,49 @@
                 return
             state["done"] = True
             if 200 <= res.status < 300:
-                self.oracle.accepted.setdefault(jid, self.sim.now)
+                self.oracle.accepted.setdefault(job_id, self.sim.now)
             elif res.status in (429, 503) and left == 5:
-                self.oracle.refused.add(jid)
+                self.oracle.refused.add(job_id)
             elif res.status in (502, 504) and left:
-                self._send(jid=jid, queue=queue, doc=doc, left=left - 1)
+                self._send(job_id=job_id, queue=queue, doc=doc, left=left - 1)
 
         def late() -> None:
             if not state["done"]:
                 state["done"] = True
                 if left:
-                    self._send(jid=jid, queue=queue, doc=doc, left=left - 1)
+                    self._send(job_id=job_id, queue=queue, doc=doc, left=left - 1)
 
         self.sim.http(
             ip=ip,
             src="caller",
             method="POST",
-            path=f"/{queue}/{jid}",
+            path=f"/{queue}/{job_id}",
             doc=doc,
             headers={"host": HOST, "x-deadline-ms": "3000"},
             back=back,
         )
         self.sim.at(delay=3.0, fn=late)
 
-    def state(self, *, jid: str, queue: str = "fast") -> tuple[int, Any]:
+    def state(self, *, job_id: str, queue: str = "fast") -> tuple[int, Any]:
         """Ask for a job's state."""
         status, doc = self.sim.ask(
             ip=self.sim.edge_ips[0],
             method="GET",
-            path=f"/{queue}/{jid}",
+            path=f"/{queue}/{job_id}",
             headers={"host": HOST, "x-deadline-ms": "3000"},
         )
         return status, doc["state"] if status == 200 else None
 
-    def cancel(self, *, jid: str, queue: str = "fast") -> int:
+    def cancel(self, *, job_id: str, queue: str = "fast") -> int:
         """Cancel a job."""
         status, _ = self.sim.ask(
             ip=self.sim.edge_ips[0],
             method="DELETE",
-            path=f"/{queue}/{jid}",
+            path=f"/{queue}/{job_id}",
             headers={"host": HOST, "x-deadline-ms": "3000"},
         )
         if status == 200:
-            self.oracle.cancelled[jid] = self.sim.now
+            self.oracle.cancelled[job_id] = self.sim.now
         return status
 
 
@@ -374,7 +374,7 @@
         SimMinion(
             sim=sim,
             oracle=oracle,
-            mid=f"i-{i}",
+            minion_id=f"i-{i}",
             site=f"z{i % len(sim.sites)}",
             cap=cap,
             work=work,
