--- a/yarrowloom/simulator/observers.py
+++ b/yarrowloom/simulator/observers.py
@@ -36,27 +36,27 @@
     def started(self, *, m: SimMinion, task: str, run: int, spec: str, saved: str) -> None:
         """A minion begins a task."""
         more = f" from checkpoint {saved}" if saved else ""
-        self._tell(who=m.mid, job=task.split(".")[0], text=f"starts {task} run {run}{more}, fence {m.fence}")
+        self._tell(who=m.minion_id, job=task.split(".")[0], text=f"starts {task} run {run}{more}, fence {m.fence}")
         super().started(m=m, task=task, run=run, spec=spec, saved=saved)
 
     def ended(self, *, m: SimMinion, task: str, run: int, how: str) -> None:
         """A minion's run of a task ended."""
-        self._tell(who=m.mid, job=task.split(".")[0], text=f"ends {task} run {run}: {how}")
+        self._tell(who=m.minion_id, job=task.split(".")[0], text=f"ends {task} run {run}: {how}")
         super().ended(m=m, task=task, run=run, how=how)
 
     def seen(self, *, m: SimMinion, num: int, task: str, run: int, how: str, lapsed: bool) -> None:
         """An end's number was reached by `last-seen`."""
         late = ", after its hold had lapsed" if lapsed else ""
-        self._tell(who=m.mid, job=task.split(".")[0], text=f"end of {task} run {run} ({how}) acknowledged{late}")
+        self._tell(who=m.minion_id, job=task.split(".")[0], text=f"end of {task} run {run} ({how}) acknowledged{late}")
         super().seen(m=m, num=num, task=task, run=run, how=how, lapsed=lapsed)
 
-    def shown(self, *, jid: str, status: int, state: str, sent: float) -> None:
+    def shown(self, *, job_id: str, status: int, state: str, sent: float) -> None:
         """An answer on a job's state."""
-        text = f"{jid} is {state}" if status == 200 else f"{jid}: status {status}"
-        if self.shown_last.get(jid) != text:
-            self.shown_last[jid] = text
-            self._tell(who="caller", job=jid, text=text)
-        super().shown(jid=jid, status=status, state=state, sent=sent)
+        text = f"{job_id} is {state}" if status == 200 else f"{job_id}: status {status}"
+        if self.shown_last.get(job_id) != text:
+            self.shown_last[job_id] = text
+            self._tell(who="caller", job=job_id, text=text)
+        super().shown(job_id=job_id, status=status, state=state, sent=sent)
 
 
 class ServingCheck:
@@ -72,17 +72,20 @@
 
     def _look(self) -> None:
         self.sim.at(delay=LOOK_S, fn=self._look)
-        for g in range(self.groups):
-            serving = self.sim.serving(g=g)
+        for group_id in range(self.groups):
+            serving = self.sim.serving(group_id=group_id)
             if len(serving) > 1:
-                self.broken.append(f"PRIMARY group {g} is served by {serving} at {self.sim.now:.2f}")
-            if serving and serving[0] != self.last.get(g):
-                self.elections += g in self.last
-                self.last[g] = serving[0]
-                self.sim.note(who=serving[0], text=f"serves group {g} in epoch {self._epoch(ip=serving[0], g=g)}")
-
-    def _epoch(self, *, ip: str, g: int) -> Any:
-        epoch = self.sim.core(ip).reps[g].epoch
+                self.broken.append(f"PRIMARY group {group_id} is served by {serving} at {self.sim.now:.2f}")
+            if serving and serving[0] != self.last.get(group_id):
+                self.elections += group_id in self.last
+                self.last[group_id] = serving[0]
+                self.sim.note(
+                    who=serving[0],
+                    text=f"serves group {group_id} in epoch {self._epoch(ip=serving[0], group_id=group_id)}",
+                )
+
+    def _epoch(self, *, ip: str, group_id: int) -> Any:
+        epoch = self.sim.core(ip).reps[group_id].epoch
         return "?" if epoch is None else epoch["n"]
 
 
--- a/yarrowloom/simulator/run.py
+++ b/yarrowloom/simulator/run.py
@@ -127,11 +127,11 @@
             if not self.sim.now > self.sim.started_s:
                 raise
             self.problems.append(f"ENDLESS {err.text}")
-        finished = sum(jid in self.judge.over for jid in self.day.jids)
+        finished = sum(job_id in self.judge.over for job_id in self.day.job_ids)
         return Report(
             settings=self.settings,
             faults=self.faults,
-            jobs=len(self.day.jids),
+            jobs=len(self.day.job_ids),
             finished=finished,
             changes=self.operator.changes,
             elections=self.serving.elections,
@@ -166,16 +166,16 @@
         if number % 7 == 0:
             self.day.timed(task(n=2), first=rng.uniform(0.5, 3.0), period=1.5, count=3, queue=queue)
             return
-        jid = self.day.job(*stages, queue=queue)
+        job_id = self.day.job(*stages, queue=queue)
         if rng.random() < CANCEL_SHARE:
-            self.sim.at(delay=rng.uniform(0.1, 2.0), fn=lambda: self.day.client.drop(jid=jid))
+            self.sim.at(delay=rng.uniform(0.1, 2.0), fn=lambda: self.day.client.drop(job_id=job_id))
 
     def _rest(self) -> None:
         """The load is over: what was accepted ends, what was confirmed is there."""
         self.operator.working = False
         left = self.day.settle(limit=SETTLE_S)
         if left and not self.breaches():
-            states = ", ".join(f"{jid} {self.judge.shows.get(jid, 'never shown')}" for jid in left[:4])
+            states = ", ".join(f"{job_id} {self.judge.shows.get(job_id, 'never shown')}" for job_id in left[:4])
             self.problems.append(f"UNFINISHED {states}; {len(left)} jobs {SETTLE_S:g} s after the load")
         if not self.breaches():
             self.operator.read_back()
--- a/yarrowloom/simulator/worker.py
+++ b/yarrowloom/simulator/worker.py
@@ -38,7 +38,7 @@
         sim: Sim,
         judge: Judge,
         world: World,
-        mid: str,
+        minion_id: str,
         site: str,
         cap: tuple[int, int, int],
         labels: tuple[str, ...],
@@ -47,14 +47,14 @@
         addr: str = "",
     ) -> None:
         self.judge, self.world, self.svc, self.guards = judge, world, svc, guards
-        self.addr = addr or f"{mid}:1"
+        self.addr = addr or f"{minion_id}:1"
         self.sick = ""  # "grey" fails all it starts, "hung" makes no progress
         self.speed = 1.0
         self.mute = -1.0  # no beats until then
         self.drained = 0.0
         self.acked = 0.0  # when its draining was acknowledged
         self.restored = 0
-        super().__init__(sim=sim, oracle=judge, mid=mid, site=site, cap=cap, work=world.work, labels=labels)
+        super().__init__(sim=sim, oracle=judge, minion_id=minion_id, site=site, cap=cap, work=world.work, labels=labels)
         judge.fleet.append(self)
 
     # -- beats
@@ -222,5 +222,7 @@
         """Say goodbye and end."""
         if self.up:
             ip = self.target or self.sim.core_ips[0]
-            self.sim.http(ip=ip, src=self.mid, method="DELETE", path=f"/minions/{self.mid}", back=lambda _: None)
+            self.sim.http(
+                ip=ip, src=self.minion_id, method="DELETE", path=f"/minions/{self.minion_id}", back=lambda _: None
+            )
             self.crash()
--- a/yarrowloom/simulator/workload.py
+++ b/yarrowloom/simulator/workload.py
@@ -19,45 +19,45 @@
         super().__init__(sim=sim, oracle=judge)
         self.judge = judge
 
-    def _send(self, *, jid: str, queue: str, doc: Any, left: int) -> None:
-        self.judge.queue[jid] = queue
-        super()._send(jid=jid, queue=queue, doc=doc, left=left)
+    def _send(self, *, job_id: str, queue: str, doc: Any, left: int) -> None:
+        self.judge.queue[job_id] = queue
+        super()._send(job_id=job_id, queue=queue, doc=doc, left=left)
 
-    def _call(self, *, method: str, jid: str, back: Any) -> None:
+    def _call(self, *, method: str, job_id: str, back: Any) -> None:
         self.sim.http(
             ip=self.sim.rng.choice(self.sim.edge_ips),
             src="caller",
             method=method,
-            path=f"/{self.judge.queue[jid]}/{jid}",
+            path=f"/{self.judge.queue[job_id]}/{job_id}",
             headers={"host": HOST, "x-deadline-ms": "3000"},
             back=back,
         )
 
-    def poll(self, *, jid: str) -> None:
+    def poll(self, *, job_id: str) -> None:
         """Ask for a job's state."""
         sent = self.sim.now
 
         def back(res: Response) -> None:
             state = orjson.loads(res.body)["state"] if res.status == 200 else ""
-            self.judge.shown(jid=jid, status=res.status, state=state, sent=sent)
+            self.judge.shown(job_id=job_id, status=res.status, state=state, sent=sent)
 
-        self._call(method="GET", jid=jid, back=back)
+        self._call(method="GET", job_id=job_id, back=back)
 
-    def drop(self, *, jid: str, left: int = 5) -> None:
+    def drop(self, *, job_id: str, left: int = 5) -> None:
         """Cancel a job, again after silence."""
         got: list[int] = []
-        self.judge.asked.add(jid)
+        self.judge.asked.add(job_id)
 
         def back(res: Response) -> None:
             if not got and 200 <= res.status < 300:
-                self.judge.cancelled.setdefault(jid, self.sim.now)
+                self.judge.cancelled.setdefault(job_id, self.sim.now)
             got.append(res.status)
 
         def late() -> None:
             if (not got or got[0] >= 500) and left:
-                self.drop(jid=jid, left=left - 1)
+                self.drop(job_id=job_id, left=left - 1)
 
-        self._call(method="DELETE", jid=jid, back=back)
+        self._call(method="DELETE", job_id=job_id, back=back)
         self.sim.at(delay=3.0, fn=late)
 
 
@@ -96,14 +96,14 @@
         self.guards = guards
         for i in range(minions):
             self.hire(
-                mid=f"i-{i}",
+                minion_id=f"i-{i}",
                 site=f"z{i % len(sim.sites)}",
                 cap=cap,
                 labels=("a", f"r{i % racks}"),
                 svc="aux" if i >= minions - aux else "svc",
             )
         self.client = Client(sim=sim, judge=judge)
-        self.jids: list[str] = []
+        self.job_ids: list[str] = []
         self.asks = True
         sim.run(seconds=1.0)
         doc = plan(version=3, guards=guards, tries=tries)
@@ -118,7 +118,7 @@
     def hire(
         self,
         *,
-        mid: str,
+        minion_id: str,
         site: str,
         cap: tuple[int, int, int],
         labels: tuple[str, ...],
@@ -130,7 +130,7 @@
             sim=self.sim,
             judge=self.judge,
             world=self.world,
-            mid=mid,
+            minion_id=minion_id,
             site=site,
             cap=cap,
             labels=labels,
@@ -151,7 +151,12 @@
 
         def rise() -> None:
             new = self.hire(
-                mid=f"{m.mid}x", site=m.site, cap=m.cap, labels=m.labels, svc=m.svc, addr=m.addr if same else ""
+                minion_id=f"{m.minion_id}x",
+                site=m.site,
+                cap=m.cap,
+                labels=m.labels,
+                svc=m.svc,
+                addr=m.addr if same else "",
             )
             if times > 1:
                 self.flap(m=new, up=up, down=down, times=times - 1, same=same)
@@ -176,48 +181,48 @@
         )
 
     def _poll(self) -> None:
-        live = [j for j in self.jids if self.judge.shows.get(j) in (None, "pending", "active")]
+        live = [j for j in self.job_ids if self.judge.shows.get(j) in (None, "pending", "active")]
         if self.asks:
             if live:
-                self.client.poll(jid=self.sim.rng.choice(live))
-            if self.jids:
-                self.client.poll(jid=self.sim.rng.choice(self.jids))
+                self.client.poll(job_id=self.sim.rng.choice(live))
+            if self.job_ids:
+                self.client.poll(job_id=self.sim.rng.choice(self.job_ids))
             self.sim.at(delay=0.2, fn=self._poll)
 
     def job(self, *stages: dict[str, Any], queue: str = "fast") -> str:
         """Hand a job in."""
-        jid = self.client.submit(stages=list(stages), queue=queue)
-        self.jids.append(jid)
-        return jid
+        job_id = self.client.submit(stages=list(stages), queue=queue)
+        self.job_ids.append(job_id)
+        return job_id
 
     def timed(self, *stages: dict[str, Any], first: float, period: float, count: int, queue: str = "fast") -> str:
         """Hand a repeated job in whose first time is due in so many seconds."""
         wall = self.sim.wall0 + self.sim.now
-        jid = self.client.submit(
+        job_id = self.client.submit(
             stages=list(stages),
             queue=queue,
             **{"first-run-ms": int((wall + first) * 1000), "period-ms": int(period * 1000), "repeat-count": count},
         )
-        self.jids.append(jid)
-        return jid
+        self.job_ids.append(job_id)
+        return job_id
 
     def settle(self, *, limit: float = 60.0) -> list[str]:
         """Wait until all accepted jobs have ended or a rule is broken; return the jobs that are left."""
         judge, sim = self.judge, self.sim
         end = sim.now + limit
 
-        sim.until(cond=lambda: all(j in judge.accepted or j in judge.refused for j in self.jids), limit=8.0)
+        sim.until(cond=lambda: all(j in judge.accepted or j in judge.refused for j in self.job_ids), limit=8.0)
 
         def left() -> list[str]:
-            return [j for j in self.jids if j in judge.accepted and judge.shows.get(j) not in ENDS]
+            return [j for j in self.job_ids if j in judge.accepted and judge.shows.get(j) not in ENDS]
 
         while left() and sim.now < end and not judge.broken:
-            for jid in left():
-                self.client.poll(jid=jid)
+            for job_id in left():
+                self.client.poll(job_id=job_id)
             sim.run(seconds=0.5)
-        for jid in self.jids:
-            if jid in judge.accepted:
-                self.client.poll(jid=jid)
+        for job_id in self.job_ids:
+            if job_id in judge.accepted:
+                self.client.poll(job_id=job_id)
         sim.run(seconds=1.0)
         judge.close()
         return left()
--- a/yarrowloom/testbed/callers.py
+++ b/yarrowloom/testbed/callers.py
@@ -89,12 +89,12 @@
     steps: float = 0.3
     lines: dict[str, list[Line]] = field(default_factory=dict)
 
-    async def _call(self, *, pool: Any, addr: str, method: str, jid: str, body: bytes = b"") -> tuple[int, Any]:
+    async def _call(self, *, pool: Any, addr: str, method: str, job_id: str, body: bytes = b"") -> tuple[int, Any]:
         """As the load's own, on a connection that is free or a new one."""
         idle = self.lines.setdefault(addr, [])
         line = idle.pop() if idle else Line()
         status, got = await line.call(
-            method=method, addr=addr, path=f"{self.prefix}{jid}", body=body, host=self.host, ttl=DEADLINE_S
+            method=method, addr=addr, path=f"{self.prefix}{job_id}", body=body, host=self.host, ttl=DEADLINE_S
         )
         if len(idle) < IDLE_LINES:
             idle.append(line)
@@ -121,10 +121,10 @@
             stages.append({**step, "estimate-ms": ms[1], "depends-on": [0], "checkpoints": True})
         elif kind < self.steps + self.gangs:
             step["gang"] = True
-        jid = f"{rng.getrandbits(64):016x}"
+        job_id = f"{rng.getrandbits(64):016x}"
         doc = {"task-spec": write(stages=stages, ms=ms), "stages": stages}
-        self.judge.sent(jid=jid, doc=doc, tries=self.tries)
-        return jid, doc
+        self.judge.sent(job_id=job_id, doc=doc, tries=self.tries)
+        return job_id, doc
 
 
 def loads(
--- a/yarrowloom/testbed/experiment.py
+++ b/yarrowloom/testbed/experiment.py
@@ -44,9 +44,9 @@
 
     begun: dict[str, float] = field(default_factory=dict)
 
-    async def _one(self, pool: Any, addr: str, jid: str, doc: dict[str, Any]) -> None:
-        self.begun[jid] = trio.current_time()
-        await super()._one(pool, addr, jid, doc)
+    async def _one(self, pool: Any, addr: str, job_id: str, doc: dict[str, Any]) -> None:
+        self.begun[job_id] = trio.current_time()
+        await super()._one(pool, addr, job_id, doc)
 
 
 def figures(*, vals: list[float]) -> dict[str, float]:
--- a/yarrowloom/testbed/fleet.py
+++ b/yarrowloom/testbed/fleet.py
@@ -70,7 +70,7 @@
         gpus = crew.gpus if crew.gpu_every and num % crew.gpu_every == 0 else 0
         return Hollow(
             yard=self.yard,
-            mid=f"i-{num:05d}-{life}",
+            minion_id=f"i-{num:05d}-{life}",
             svc=crew.svc,
             site=site,
             cap=(crew.cap[0], crew.cap[1], gpus),
@@ -98,7 +98,7 @@
             m.crash(now=trio.current_time())
             self.minions.remove(m)
             self._settle()
-            _, num, life = m.mid.split("-")
+            _, num, life = m.minion_id.split("-")
             self.add(m=self.make(num=int(num), life=int(life) + 1))
 
     def _settle(self) -> None:
@@ -150,7 +150,10 @@
                 seq = m.seq
                 self._settle()
                 status, got = await line.call(
-                    method="PUT", addr=m.target or self.cores[at % len(self.cores)], path=f"/minions/{m.mid}", body=body
+                    method="PUT",
+                    addr=m.target or self.cores[at % len(self.cores)],
+                    path=f"/minions/{m.minion_id}",
+                    body=body,
                 )
                 self._heard(m=m, seq=seq, sent=sent, status=status, size=len(body), got=got)
                 if not m.target and status != 200:
--- a/yarrowloom/testbed/judge.py
+++ b/yarrowloom/testbed/judge.py
@@ -33,15 +33,15 @@
     starts: int = 0
     ends: dict[str, int] = field(default_factory=dict)
 
-    def sent(self, *, jid: str, doc: dict[str, Any], tries: int) -> None:
+    def sent(self, *, job_id: str, doc: dict[str, Any], tries: int) -> None:
         """A caller is about to hand a job in."""
-        self.jobs.setdefault(jid, Told(doc=doc, tries=tries))
+        self.jobs.setdefault(job_id, Told(doc=doc, tries=tries))
 
     def started(self, *, m: Hollow, task: str, run: int, spec: str, saved: str) -> None:
         """A task began."""
         self.starts += 1
-        jid, k, s, _ = task.split(".")
-        told = self.jobs.get(jid)
+        job_id, k, s, _ = task.split(".")
+        told = self.jobs.get(job_id)
         if told is None or spec != told.doc["task-spec"]:
             self.broken.append(f"UNASKED {task}")
             return
@@ -52,13 +52,13 @@
         if saved and saved[8:] != mark(name=unit_of(task=task) if row.get("gang") else task):
             self.broken.append(f"UNASKED {task} with the progress of another")
         if self.alive.get(task):
-            self.broken.append(f"TWICE {task} run {run} on {m.mid}, also {self.alive[task]}")
+            self.broken.append(f"TWICE {task} run {run} on {m.minion_id}, also {self.alive[task]}")
         if task in self.noted and not row.get("long-running"):
             self.broken.append(f"TWICE {task} run {run} after its end was noted")
         if self.failed.get(task, 0) >= told.tries:
             self.broken.append(f"BUDGET {task}")
         for d in row.get("depends-on", []):
-            ends = [f"{jid}.{k}.{d}.{i}" in self.done for i in range(stages[d]["task-count"])]
+            ends = [f"{job_id}.{k}.{d}.{i}" in self.done for i in range(stages[d]["task-count"])]
             if not (any(ends) if stages[d].get("gang") else all(ends)):
                 self.broken.append(f"ORDER {task}")
         if row.get("requires") and row["requires"] not in m.labels:
@@ -67,7 +67,7 @@
         if apart and sum(unit_of(task=t) == unit_of(task=task) for t in m.running) >= apart:
             self.broken.append(f"ROUTE {task} apart")
         self._limit(m=m, task=task, row=row)
-        self.alive.setdefault(task, []).append((m.mid, run))
+        self.alive.setdefault(task, []).append((m.minion_id, run))
 
     def _limit(self, *, m: Hollow, task: str, row: dict[str, Any]) -> None:
         """What runs there and the new one must fit; a task that nobody asked for takes nothing."""
@@ -75,13 +75,13 @@
         rows = [self.needs.get(other, (0, 0, 0)) for other in {*m.running, task}]
         used = [sum(col) for col in zip(*rows, strict=True)]
         if any(u > c for u, c in zip(used, m.cap, strict=True)):
-            self.broken.append(f"LIMIT {m.mid} {used} over {m.cap}")
+            self.broken.append(f"LIMIT {m.minion_id} {used} over {m.cap}")
 
     def ended(self, *, m: Hollow, task: str, run: int, how: str) -> None:
         """A run is over."""
         rows = self.alive.get(task, [])
-        if (m.mid, run) in rows:
-            rows.remove((m.mid, run))
+        if (m.minion_id, run) in rows:
+            rows.remove((m.minion_id, run))
             if not rows:
                 del self.alive[task]
                 self.needs.pop(task, None)
--- a/yarrowloom/testbed/simulated_minion.py
+++ b/yarrowloom/testbed/simulated_minion.py
@@ -144,7 +144,7 @@
         self,
         *,
         yard: Yard,
-        mid: str,
+        minion_id: str,
         svc: str,
         site: str,
         cap: tuple[int, int, int],
@@ -152,7 +152,7 @@
         guards: bool = False,
         due: float = 0.0,
     ) -> None:
-        self.yard, self.mid, self.svc, self.site, self.cap = yard, mid, svc, site, cap
+        self.yard, self.minion_id, self.svc, self.site, self.cap = yard, minion_id, svc, site, cap
         self.labels, self.guards, self.due = labels, guards, due
         self.drift = yard.rng.uniform(0.0, yard.bounds.drift)
         self.running: dict[str, Run] = {}
@@ -243,7 +243,7 @@
         cpus, mem, gpus = self.cap
         doc: dict[str, Any] = {
             "backend": self.svc,
-            "address": f"{self.mid}:1",
+            "address": f"{self.minion_id}:1",
             "zone": self.site,
             "config-version": "v1",
             "slots": 8,
--- a/yarrowloom/testbed/slopes.py
+++ b/yarrowloom/testbed/slopes.py
@@ -125,15 +125,15 @@
     def back(res: Response) -> None:
         answers[res.status == 200] += 1
 
-    def send(jid: str, doc: dict[str, Any], prefix: str) -> None:
-        begun[jid] = bed.now
-        bed.submit(jid=jid, doc=doc, prefix=prefix, back=back)
+    def send(job_id: str, doc: dict[str, Any], prefix: str) -> None:
+        begun[job_id] = bed.now
+        bed.submit(job_id=job_id, doc=doc, prefix=prefix, back=back)
 
     jobs = int(rate * seconds)
     for i in range(jobs):
-        jid, doc = load.job(rng=rng)
+        job_id, doc = load.job(rng=rng)
         queue = rng.choices(QUEUES, weights=[q.share for q in QUEUES])[0]
-        bed.at(delay=i / rate, fn=lambda jid=jid, doc=doc, queue=queue: send(jid, doc, queue.prefix))  # type: ignore
+        bed.at(delay=i / rate, fn=lambda job_id=job_id, doc=doc, queue=queue: send(job_id, doc, queue.prefix))  # type: ignore
     first: dict[str, float] = {}
     whole = bed.judge.started
 
@@ -245,7 +245,7 @@
         seat.reset()
     begun = bed.now
     bed.submit(
-        jid=f"{seed:016x}", doc={"task-spec": write(stages=stages, ms=[2000]), "stages": stages}, prefix="/urgent/"
+        job_id=f"{seed:016x}", doc={"task-spec": write(stages=stages, ms=[2000]), "stages": stages}, prefix="/urgent/"
     )
     good = bed.until(cond=lambda: sum(len(m.running) for m in bed.minions) == size, limit=20.0)
     took = bed.now - begun
--- a/yarrowloom/testbed/state_cost.py
+++ b/yarrowloom/testbed/state_cost.py
@@ -50,16 +50,18 @@
     jobs = Jobs()
 
     def put() -> Jobs:
-        for jid, raw in rows:
-            jobs.apply({"t": "job", "id": jid, "j": orjson.loads(raw)})
+        for job_id, raw in rows:
+            jobs.apply({"t": "job", "id": job_id, "j": orjson.loads(raw)})
         return jobs
 
     _, held = memory_bytes(put)
     out: Row = {"waiting-memory-a-job": held / count, "waiting-bytes-a-job": len(dump(body=jobs.dump())) / count}
     begun = time.process_time_ns()
-    for jid, _ in rows:
+    for job_id, _ in rows:
         for i in range(tasks):
-            jobs.apply({"t": "start", "id": jid, "u": "0.0", "x": [[i, 1, f"i-{rng.randrange(1000):05d}-0"]], "at": AT})
+            jobs.apply(
+                {"t": "start", "id": job_id, "u": "0.0", "x": [[i, 1, f"i-{rng.randrange(1000):05d}-0"]], "at": AT}
+            )
     out["start-apply-us"] = (time.process_time_ns() - begun) / 1e3 / count / tasks
     out["running-bytes-a-job"] = len(dump(body=jobs.dump())) / count
     out["dump-us-a-task"] = clock_us(lambda: dump(body=jobs.dump()), times=3) / count / tasks
@@ -67,10 +69,20 @@
     fresh = Jobs()
     out["load-us-a-task"] = clock_us(lambda: fresh.load(raw), times=2) / count / tasks
     begun = time.process_time_ns()
-    for jid, _ in rows:
+    for job_id, _ in rows:
         for i in range(tasks):
             jobs.apply(
-                {"t": "end", "id": jid, "u": "0.0", "i": i, "run": 1, "how": "done", "v": "", "mt": 3, "at": AT + 900}
+                {
+                    "t": "end",
+                    "id": job_id,
+                    "u": "0.0",
+                    "i": i,
+                    "run": 1,
+                    "how": "done",
+                    "v": "",
+                    "mt": 3,
+                    "at": AT + 900,
+                }
             )
     out["end-apply-us"] = (time.process_time_ns() - begun) / 1e3 / count / tasks
     out["ended-bytes-a-job"] = len(dump(body=jobs.dump())) / count
--- a/yarrowloom/testbed/virtual_testbed.py
+++ b/yarrowloom/testbed/virtual_testbed.py
@@ -267,18 +267,18 @@
     def submit(
         self,
         *,
-        jid: str,
+        job_id: str,
         doc: dict[str, Any],
         prefix: str,
         tries: int = 3,
         back: Callable[[Response], None] | None = None,
     ) -> None:
         """Hand a job in at some edge."""
-        self.judge.sent(jid=jid, doc=doc, tries=tries)
+        self.judge.sent(job_id=job_id, doc=doc, tries=tries)
         self.http(
             ip=self.rng.choice(self.edge_ips),
             method="POST",
-            path=prefix + jid,
+            path=prefix + job_id,
             body=orjson.dumps(doc),
             headers={"host": HOST, "x-deadline-ms": "3000"},
             back=back or (lambda _res: None),
@@ -293,7 +293,7 @@
             gpus = crew.gpus if crew.gpu_every and num % crew.gpu_every == 0 else 0
             m = Hollow(
                 yard=self.yard,
-                mid=f"i-{num:05d}",
+                minion_id=f"i-{num:05d}",
                 svc=crew.svc,
                 site=site,
                 cap=(*crew.cap[:2], gpus),
@@ -342,4 +342,4 @@
                 self._drive(other, *self._plans[other])
 
         dst = m.target.split(":")[0] or self.core_ips[(at + m.seq) % len(self.core_ips)]
-        self.http(ip=dst, method="PUT", path=f"/minions/{m.mid}", body=body, headers={}, back=back)
+        self.http(ip=dst, method="PUT", path=f"/minions/{m.minion_id}", body=body, headers={}, back=back)
