--- a/docs/experiments/growth.py
+++ b/docs/experiments/growth.py
@@ -94,7 +94,7 @@
     core: Any = CoreNode
     core.on = meter.wrap(lambda *, uid, kind, body: "frame " + kind.name, core.on)
     core.http = meter.wrap(lambda *, call, req: "beat" if req.path.startswith("/minions/") else "control", core.http)
-    core.done = meter.wrap(lambda *, effs: "disk done", core.done)
+    core.done = meter.wrap(lambda *, effects: "disk done", core.done)
     core.tick = meter.wrap(lambda: "tick", core.tick)
     core.checkpoint = meter.wrap(lambda: "(checkpoint)", core.checkpoint, who=False)
     placer: Any = Placer
--- a/docs/experiments/growth_collapse.py
+++ b/docs/experiments/growth_collapse.py
@@ -148,11 +148,11 @@
         thawed, take = Replica.thawed, Replica.take
 
         def woke(self: Replica) -> None:
-            last[self.hub.uid] = self.hub.now
+            last[self.environment.uid] = self.environment.now
             thawed(self)
 
         def taken(self: Replica, *, why: str, avoid: str = "", stay: bool = False) -> None:
-            if why.startswith("backup") and self.hub.now - last.get(self.hub.uid, -9.0) < 0.6:
+            if why.startswith("backup") and self.environment.now - last.get(self.environment.uid, -9.0) < 0.6:
                 return
             take(self, why=why, avoid=avoid, stay=stay)
 
@@ -169,9 +169,9 @@
                     link is None
                     or link.fence != row[1]
                     or link.agent != uid
-                    or self.hub.now - when.get(key, -9.0) > 2.0
+                    or self.environment.now - when.get(key, -9.0) > 2.0
                 ):
-                    when[key] = self.hub.now
+                    when[key] = self.environment.now
                     rows.append(row)
             claim(self, uid=uid, b={**b, "x": rows})
 
@@ -195,7 +195,7 @@
     take = Replica.take
 
     def taken(self: Replica, *, why: str, avoid: str = "", stay: bool = False) -> None:
-        EVENTS.append((sim.now, self.hub.uid.split(":")[0], f"campaign group={self.group_id} why={why}"))
+        EVENTS.append((sim.now, self.environment.uid.split(":")[0], f"campaign group={self.group_id} why={why}"))
         take(self, why=why, avoid=avoid, stay=stay)
 
     Replica.take = taken  # type: ignore[method-assign]
--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -61,14 +61,14 @@
     """An agent with one known minion that both groups have attached."""
 
     def __init__(self, *, cap: tuple[int, int, int] = (4000, 8000, 2)) -> None:
-        self.hub = FakeHub()
-        self.agent = Agent(hub=self.hub, hold_ms=4000, stop_ms=400, lag_ms=1400)
+        self.environment = FakeHub()
+        self.agent = Agent(environment=self.environment, hold_ms=4000, stop_ms=400, lag_ms=1400)
         self.cap = cap
         self.seq = 0
         self.agent.own(minion_id="i", fence=5, info={})
         self.beat()
-        assert orjson.loads(self.hub.answers[1].body)["fence-no"] == 5
-        assert "started" not in orjson.loads(self.hub.answers[1].body)
+        assert orjson.loads(self.environment.answers[1].body)["fence-no"] == 5
+        assert "started" not in orjson.loads(self.environment.answers[1].body)
         self.beat()
         self.attach(group_id=1)
         self.attach(group_id=2)
@@ -95,10 +95,10 @@
     def wait(self) -> Any:
         """The answer to the last beat, after time enough."""
         for _ in range(30):
-            if self.seq in self.hub.answers:
-                res = self.hub.answers[self.seq]
+            if self.seq in self.environment.answers:
+                res = self.environment.answers[self.seq]
                 return orjson.loads(res.body) if res.body else {"status": res.status}
-            self.hub.now += 0.05
+            self.environment.now += 0.05
             self.agent.tick()
         raise AssertionError("never answered")
 
@@ -123,7 +123,7 @@
                 "avoid": {},
             },
         )
-        rows: list[Any] = self.hub.last(Kind.GRANT)["x"]
+        rows: list[Any] = self.environment.last(Kind.GRANT)["x"]
         return rows
 
     def order(
@@ -164,7 +164,7 @@
     rig = Rig()
     ((lease_id, _, _),) = rig.ask(group_id=2)
     rig.order(lease_id=lease_id + 7)
-    assert rig.hub.last(Kind.NAK)["x"] == [["i", 1, TASK, 1]]
+    assert rig.environment.last(Kind.NAK)["x"] == [["i", 1, TASK, 1]]
     rig.order(lease_id=lease_id, n=0)
     assert TASK not in rig.agent.minions["i"].runs
     rig.order(lease_id=lease_id)
@@ -177,13 +177,13 @@
     rig.order(lease_id=lease_id)
     assert "started" in rig.beat()
     rig.attach(group_id=2, seq=2, x=[[TASK, 1, 1000, 10, 0, 500]])
-    assert rig.hub.last(Kind.VERDICT)["x"] == []
+    assert rig.environment.last(Kind.VERDICT)["x"] == []
 
 
 def test_unlisted_order_of_a_former_agent_never_started() -> None:
     rig = Rig()
     rig.attach(group_id=2, seq=2, x=[[TASK, 1, 1000, 10, 0, 500]])
-    assert rig.hub.last(Kind.VERDICT)["x"] == [[TASK, 1]]
+    assert rig.environment.last(Kind.VERDICT)["x"] == [[TASK, 1]]
 
 
 def test_stopped_order_that_was_not_carried_out_is_sent_back() -> None:
@@ -194,7 +194,7 @@
     assert "started" in rig.beat()
     rig.agent.stop(b={"g": 2, "x": [["i", TASK, 1]]})
     rig.beat()
-    assert rig.hub.last(Kind.NAK)["x"] == [["i", 1, TASK, 1]]
+    assert rig.environment.last(Kind.NAK)["x"] == [["i", 1, TASK, 1]]
     assert rig.agent.minions["i"].runs == {}
 
 
@@ -205,7 +205,7 @@
     rig.beat()
     rig.beat(running=[[TASK, 1, "", 50]])
     assert rig.beat(ends=[[1, TASK, 1, "done", ""]])["last-seen"] == 0
-    assert rig.hub.last(Kind.ENDS)["x"] == [[1, TASK, 1, "done", ""]]
+    assert rig.environment.last(Kind.ENDS)["x"] == [[1, TASK, 1, "done", ""]]
     rig.agent.endsok(body={"m": "i", "f": 5, "x": [[1, TASK, 1]]})
     assert rig.beat()["last-seen"] == 1
 
@@ -216,30 +216,30 @@
         ((lease_id, _, _),) = rig.ask(group_id=2)
         rig.order(lease_id=lease_id)
         if how == "evac":
-            rig.hub.shut.add("z")
+            rig.environment.shut.add("z")
         if how == "trust":
-            rig.hub.trust = False
+            rig.environment.trust = False
         out = rig.beat(state="draining" if how == "drain" else "ready")
         assert "started" not in out
         if how != "trust":
-            assert rig.hub.last(Kind.NAK)["x"][0][2] == TASK
+            assert rig.environment.last(Kind.NAK)["x"][0][2] == TASK
             assert rig.ask(group_id=1) == []
 
 
 def test_silent_minion_is_lost_only_after_its_longest_hold() -> None:
     rig = Rig()
-    heard = rig.hub.now  # a hold counts from when its beat was sent
+    heard = rig.environment.now  # a hold counts from when its beat was sent
     rig.beat()
     while rig.agent.minions["i"].phase.value != "lost":
-        rig.hub.now += 0.05
+        rig.environment.now += 0.05
         rig.agent.tick()
-    assert rig.hub.now - heard >= 4.0 * 1.02
-    assert rig.hub.last(Kind.LOST)["m"] == "i"
-    assert rig.hub.lost == []
+    assert rig.environment.now - heard >= 4.0 * 1.02
+    assert rig.environment.last(Kind.LOST)["m"] == "i"
+    assert rig.environment.lost == []
     for group_id in (1, 2):
         rig.agent.lostok(b={"g": group_id, "m": "i", "f": 5})
     rig.agent.tick()
-    assert rig.hub.lost == ["i"]
+    assert rig.environment.lost == ["i"]
 
 
 def test_ends_before_a_takeover_do_not_hold_last_seen_back() -> None:
--- a/tests/agent/test_draining_minions.py
+++ b/tests/agent/test_draining_minions.py
@@ -28,18 +28,18 @@
         rig.agent.leave(minion_id="i", call=f"delete-{n}")
     minion = rig.agent.minions["i"]
     for percent in range(20, 90, 10):
-        rig.hub.now += 0.5
+        rig.environment.now += 0.5
         rows[0][3] = percent
         rig.beat(running=rows)
         assert minion.phase is Phase.KNOWN and rig.ask(group_id=2) == []
     rig.beat(ends=[[1, TASK, 1, "done", ""]])
-    assert rig.hub.last(Kind.ENDS)["x"] == [[1, TASK, 1, "done", ""]]
-    assert not any(kind is Kind.LOST for _, kind, _ in rig.hub.sent)
-    silent = rig.hub.now
+    assert rig.environment.last(Kind.ENDS)["x"] == [[1, TASK, 1, "done", ""]]
+    assert not any(kind is Kind.LOST for _, kind, _ in rig.environment.sent)
+    silent = rig.environment.now
     while minion.phase is not Phase.LOST:
-        rig.hub.now += 0.05
+        rig.environment.now += 0.05
         rig.agent.tick()
-    assert HOLD_S - 0.3 <= rig.hub.now - silent <= HOLD_S + 0.7
+    assert HOLD_S - 0.3 <= rig.environment.now - silent <= HOLD_S + 0.7
 
 
 def test_a_minion_that_drained_and_then_sends_delete_is_gone_soon() -> None:
@@ -47,11 +47,11 @@
     rows = running(rig)
     rig.beat(running=rows, state="draining")
     rig.agent.leave(minion_id="i", call="delete")
-    left = rig.hub.now
+    left = rig.environment.now
     while rig.agent.minions["i"].phase is not Phase.LOST:
-        rig.hub.now += 0.05
+        rig.environment.now += 0.05
         rig.agent.tick()
-    assert rig.hub.now - left < 2.0
+    assert rig.environment.now - left < 2.0
 
 
 def test_a_late_beat_after_the_delete_makes_the_minion_no_candidate_again() -> None:
--- a/tests/cluster_state/test_config_delta.py
+++ b/tests/cluster_state/test_config_delta.py
@@ -180,18 +180,18 @@
                     "removals": {"route-table": [f"r{rng.randrange(9)}"]},
                 }
             )
-        ev = reg.judge(method=method, base=str(base), body=body)
-        assert ev is not None
-        kinds.add("d" in ev)
-        reg.apply(ev)
+        event = reg.judge(method=method, base=str(base), body=body)
+        assert event is not None
+        kinds.add("d" in event)
+        reg.apply(event)
         assert reg.judge(method=method, base=str(base), body=body) is None
         with pytest.raises(StampError):
             reg.judge(method=method, base=str(base), body=body + b" ")
         assert reg.conf is not None
         if rng.random() < 0.3:
-            twin.apply(orjson.loads(orjson.dumps({"t": "conf", "doc": reg.conf, "h": ev["h"]})))
+            twin.apply(orjson.loads(orjson.dumps({"t": "conf", "doc": reg.conf, "h": event["h"]})))
         else:
-            twin.apply(orjson.loads(orjson.dumps(ev)))
+            twin.apply(orjson.loads(orjson.dumps(event)))
         assert text(twin.dump()) == text(reg.dump())
         if method == "PUT":
             assert text(reg.conf) == text(doc)
@@ -208,9 +208,9 @@
         ("PATCH", {"config-version": 3, "upserts": {"route-table": [route(5, rank=0)]}}),
         ("PUT", {**whole(version=5, routes=511)}),
     ):
-        ev = reg.judge(method=method, base=str(reg.stamp), body=orjson.dumps(body))
-        assert ev is not None and len(orjson.dumps(ev)) < 800
-        reg.apply(ev)
+        event = reg.judge(method=method, base=str(reg.stamp), body=orjson.dumps(body))
+        assert event is not None and len(orjson.dumps(event)) < 800
+        reg.apply(event)
     assert reg.stamp == 5 and small(
         delta=diff(old=whole(version=1, routes=4), new=whole(version=2, routes=5)), doc=whole(version=2, routes=5)
     )
--- a/tests/integration/test_large_clusters.py
+++ b/tests/integration/test_large_clusters.py
@@ -109,12 +109,12 @@
     rig.beat()  # answered: the next beat is due
     (lease_id, _, _), *_ = rig.ask(group_id=2)
     rig.order(lease_id=lease_id)
-    began = rig.hub.now
-    while not any(kind is Kind.NAK for _, kind, _ in rig.hub.sent):
-        rig.hub.now += 0.05
+    began = rig.environment.now
+    while not any(kind is Kind.NAK for _, kind, _ in rig.environment.sent):
+        rig.environment.now += 0.05
         rig.agent.tick()
-        assert rig.hub.now - began < 2.5  # a hold is 4 s
-    assert rig.hub.last(Kind.NAK)["x"] == [["i", 1, TASK, 1]]
+        assert rig.environment.now - began < 2.5  # a hold is 4 s
+    assert rig.environment.last(Kind.NAK)["x"] == [["i", 1, TASK, 1]]
     assert rig.agent.minions["i"].runs == {} and rig.ask(group_id=2) == []
     assert "started" not in rig.beat()  # and it does not go out after all
     assert rig.ask(group_id=2) != [] and JOB in TASK
@@ -179,7 +179,7 @@
 def test_a_call_that_waited_too_long_is_refused_for_good_unless_a_copy_was_taken() -> None:
     sim, _, _, _ = cluster(seed=3103)
     node = sim.core(sim.serving(group_id=1)[0])
-    node.reps[1].commit(ev={"t": "forget", "ids": []})  # an answer must wait for this event
+    node.reps[1].commit(event={"t": "forget", "ids": []})  # an answer must wait for this event
     call = {"rid": 7, "g": 1, "op": "count", "b": {"q": "fast"}}
     edge = "10.0.1.1:7001#ff"
     node.out.sends.clear()
--- a/tests/mutants/test_operator_request_mutants.py
+++ b/tests/mutants/test_operator_request_mutants.py
@@ -57,7 +57,7 @@
 
 def confirmed_before_it_is_durable(patch: pytest.MonkeyPatch) -> None:
     def barrier(self: Replica, *, then: tuple[Any, ...]) -> None:
-        self.hub.effect(eff=then)
+        self.environment.effect(effect=then)
 
     patch.setattr(Replica, "barrier", barrier)
 
--- a/tests/mutants/test_state_mutants.py
+++ b/tests/mutants/test_state_mutants.py
@@ -25,8 +25,8 @@
         real = Jobs._units
 
         def units(self: Jobs, *, job_id: str, k: int) -> list[Any]:
-            effs = real(self, job_id=job_id, k=k)
-            return effs + [
+            effects = real(self, job_id=job_id, k=k)
+            return effects + [
                 ("ready", job_id, f"{k}.{s}") for s, step in enumerate(self.jobs[job_id]["steps"]) if step["deps"]
             ]
 
@@ -48,7 +48,7 @@
 
     def out(p: pytest.MonkeyPatch) -> None:
         real = Jobs._end
-        p.setattr(Jobs, "_end", lambda self, ev: real(self, {**ev, "mt": 99}))
+        p.setattr(Jobs, "_end", lambda self, event: real(self, {**event, "mt": 99}))
 
     proof(rule="BUDGET", story=story, out=out)
 
@@ -71,12 +71,12 @@
     def out(p: pytest.MonkeyPatch) -> None:
         real = Jobs._end
 
-        def end(self: Jobs, ev: dict[str, Any]) -> list[Any]:
-            effs = real(self, ev)
-            unit = self.jobs.get(ev["id"], {}).get("u", {}).get(ev["u"])
-            if unit is not None and ev["v"]:
-                unit["v"] = [ev["v"]] * len(unit["v"])
-            return effs
+        def end(self: Jobs, event: dict[str, Any]) -> list[Any]:
+            effects = real(self, event)
+            unit = self.jobs.get(event["id"], {}).get("u", {}).get(event["u"])
+            if unit is not None and event["v"]:
+                unit["v"] = [event["v"]] * len(unit["v"])
+            return effects
 
         p.setattr(Jobs, "_end", end)
 
@@ -125,7 +125,7 @@
 
     def out(p: pytest.MonkeyPatch) -> None:
         real = Jobs._end
-        p.setattr(Jobs, "_end", lambda self, ev: real(self, {**ev, "how": "done"}))
+        p.setattr(Jobs, "_end", lambda self, event: real(self, {**event, "how": "done"}))
 
     proof(rule="MIXED", story=story, out=out)
 
@@ -171,11 +171,11 @@
     def out(p: pytest.MonkeyPatch) -> None:
         real = Replica.commit
 
-        def commit(self: Replica, *, ev: dict[str, Any], then: tuple[Any, ...] | None = None) -> Any:
+        def commit(self: Replica, *, event: dict[str, Any], then: tuple[Any, ...] | None = None) -> Any:
             if then is not None and then[0] == "reply":
-                self.hub.effect(eff=then)
+                self.environment.effect(effect=then)
                 then = None
-            return real(self, ev=ev, then=then)
+            return real(self, event=event, then=then)
 
         p.setattr(Replica, "commit", commit)
 
@@ -235,8 +235,8 @@
     assert losses().judge.broken == [] and astray().judge.broken == []
     for how in ("lost", "lapsed", "void", "stopped", "broken"):
 
-        def end(self: Jobs, ev: dict[str, Any], how: str = how) -> list[Any]:
-            return real(self, {**ev, "how": "failed"} if ev["how"] == how else ev)
+        def end(self: Jobs, event: dict[str, Any], how: str = how) -> list[Any]:
+            return real(self, {**event, "how": "failed"} if event["how"] == how else event)
 
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(Jobs, "_end", end)
--- a/tests/node/test_controller.py
+++ b/tests/node/test_controller.py
@@ -9,7 +9,7 @@
 from yarrowloom.agent.minion import Phase, Run
 from yarrowloom.cluster_state.minion_ownership import Owners, Picker, Place, place, total
 from yarrowloom.cluster_state.registry import Registry
-from yarrowloom.node.core_environment import CoreHub
+from yarrowloom.node.core_environment import CoreEnvironment
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.minion_population import attached, back, herd, loads, serves
 from yarrowloom.simulator.minions import Oracle, SimCaller
@@ -20,14 +20,14 @@
 def watch(*, sim: Sim, monkeypatch: pytest.MonkeyPatch) -> list[tuple[float, int]]:
     """(time, number of minions) of each commit of owners from now on."""
     out: list[tuple[float, int]] = []
-    old = CoreHub.commit0
+    old = CoreEnvironment.commit0
 
-    def commit0(self: CoreHub, *, ev: dict[str, Any], **kw: Any) -> None:
-        if ev["t"] == "own":
-            out.append((sim.now, len(ev["ms"])))
-        old(self, ev=ev, **kw)
+    def commit0(self: CoreEnvironment, *, event: dict[str, Any], **kw: Any) -> None:
+        if event["t"] == "own":
+            out.append((sim.now, len(event["ms"])))
+        old(self, event=event, **kw)
 
-    monkeypatch.setattr(CoreHub, "commit0", commit0)
+    monkeypatch.setattr(CoreEnvironment, "commit0", commit0)
     return out
 
 
--- a/tests/node/test_recovery.py
+++ b/tests/node/test_recovery.py
@@ -112,7 +112,7 @@
 
     def sent(self: StoredCopy, *, whole: bool) -> list[dict[str, Any]]:
         assert isinstance(self, Replica)
-        queued = sum(ev is not None for ev, _ in self.queue)
+        queued = sum(event is not None for event, _ in self.queue)
         return [
             {**rec, "applied": rec["applied"] - queued} if rec["k"] == "st" else rec
             for rec in records(self, whole=whole)
@@ -189,7 +189,7 @@
 
     def waits() -> bool:
         sim.run(seconds=0.0005)
-        return any(ev is not None and ev["t"] == "start" for ev, _ in node.reps[1].queue)
+        return any(event is not None and event["t"] == "start" for event, _ in node.reps[1].queue)
 
     assert any(waits() for _ in range(4000))
     journal = [*node.checkpoint(), END]
--- a/tests/node/test_refused_calls.py
+++ b/tests/node/test_refused_calls.py
@@ -88,7 +88,7 @@
             ended.append((status, sent))
 
     caller = Caller()
-    calls = Calls(hub=caller, base=0)
+    calls = Calls(environment=caller, base=0)
 
     def start() -> int:
         caller.serves = ("a", 1)
--- a/tests/replication/test_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -51,7 +51,7 @@
     def write(self: Member, *, rec: dict[str, Any], done: tuple[Any, ...]) -> None:
         if done[0] == "send" and Kind(done[2]) in kinds:
             real(self, rec=rec, done=("none",))
-            self.effect(eff=done)
+            self.effect(effect=done)
         else:
             real(self, rec=rec, done=done)
 
@@ -82,7 +82,7 @@
 
     def on(self: Replica, *, uid: str, kind: Kind, m: dict[str, Any]) -> None:
         if kind is Kind.PING and self.role is Role.TAKING and self.base == m["n"]:
-            self.hub.send(uid=uid, kind=Kind.PONG, body=m)
+            self.environment.send(uid=uid, kind=Kind.PONG, body=m)
         real(self, uid=uid, kind=kind, m=m)
 
     p.setattr(Replica, "on", on)
@@ -131,7 +131,7 @@
 
 
 def a_read_does_not_wait_for_what_it_saw(p: Patch) -> None:
-    p.setattr(Replica, "barrier", lambda self, then: self.hub.effect(eff=then))
+    p.setattr(Replica, "barrier", lambda self, then: self.environment.effect(effect=then))
 
 
 def effects_do_not_wait_for_the_backup(p: Patch) -> None:
@@ -153,7 +153,7 @@
     real = Replica.checkpoint
 
     def checkpoint(self: Replica) -> list[dict[str, Any]]:
-        waiting = sum(1 for ev, _ in self.queue if ev is not None)
+        waiting = sum(1 for event, _ in self.queue if event is not None)
         return [{**rec, "applied": self.applied - waiting} if rec["k"] == "st" else rec for rec in real(self)]
 
     p.setattr(Replica, "checkpoint", checkpoint)
--- a/tests/replication/test_snapshot_any_order.py
+++ b/tests/replication/test_snapshot_any_order.py
@@ -149,7 +149,7 @@
 
     def sent(self: StoredCopy, *, whole: bool) -> list[dict[str, object]]:
         out = records(self, whole=whole)
-        queued = sum(ev is not None for ev, _ in self.queue)  # type: ignore[attr-defined]
+        queued = sum(event is not None for event, _ in self.queue)  # type: ignore[attr-defined]
         return [{**rec, "applied": self.applied - queued} if rec["k"] == "st" else rec for rec in out]
 
     with monkeypatch.context() as patch:
--- a/tests/scheduling/test_binding_model.py
+++ b/tests/scheduling/test_binding_model.py
@@ -68,10 +68,10 @@
 def an_order_leaves_before_its_start_is_durable(p: pytest.MonkeyPatch) -> None:
     real = Rep.commit
 
-    def commit(self: Rep, *, ev: dict[str, Any], then: Choice | None = None) -> Any:
-        out = real(self, ev=ev)
+    def commit(self: Rep, *, event: dict[str, Any], then: Choice | None = None) -> Any:
+        out = real(self, event=event)
         if then is not None:
-            self.w.effect(group_id=self.group_id, eff=then)
+            self.w.effect(group_id=self.group_id, effect=then)
         return out
 
     p.setattr(Rep, "commit", commit)
--- a/tests/support/binding_explorer.py
+++ b/tests/support/binding_explorer.py
@@ -59,8 +59,8 @@
             if all(kind == "ROOM" for _, kind, _ in w.lines[line]):
                 w.deliver(line=line)
     elif what == "write":
-        for eff in w.rep(group_id=c[1]).write():
-            w.effect(group_id=c[1], eff=eff)
+        for effect in w.rep(group_id=c[1]).write():
+            w.effect(group_id=c[1], effect=effect)
     elif what == "beat":
         w.minis[c[1]].beat()
     elif what == "end":
@@ -197,7 +197,7 @@
         "w": {k: plain(v, set()) for k, v in vars(w).items() if k not in ("lines", "serial")},
         "q": {group_id: plain(w.rep(group_id=group_id).queue, set()) for group_id in w.placers},
         "l": {f"{a}>{b}": [[nums[n], what, body] for n, what, body in rows] for (a, b), rows in w.lines.items()},
-        "p": {uid: a.hub.prims for uid, a in w.agents.items()},  # type: ignore[attr-defined]
+        "p": {uid: a.environment.prims for uid, a in w.agents.items()},  # type: ignore[attr-defined]
     }
     return blake2b(orjson.dumps(doc, option=orjson.OPT_SORT_KEYS | orjson.OPT_NON_STR_KEYS), digest_size=16).digest()
 
--- a/tests/support/binding_model.py
+++ b/tests/support/binding_model.py
@@ -45,40 +45,40 @@
     def serving(self) -> bool:
         return True
 
-    def commit(self, *, ev: dict[str, Any], then: Choice | None = None) -> Any:
-        if ev["t"] == "start":
-            step = self.state.jobs[ev["id"]]["steps"][int(ev["u"].split(".")[1])]
-            need(not step["gang"] or len(ev["x"]) == step["n"], "GANG", "below its criterion", ev)
+    def commit(self, *, event: dict[str, Any], then: Choice | None = None) -> Any:
+        if event["t"] == "start":
+            step = self.state.jobs[event["id"]]["steps"][int(event["u"].split(".")[1])]
+            need(not step["gang"] or len(event["x"]) == step["n"], "GANG", "below its criterion", event)
             if then is not None:
                 rows = then[2]
-                need(len({(h.agent, h.lease_id) for *_, h in rows}) == len(ev["x"]), "LEASE", "shared", ev)
+                need(len({(h.agent, h.lease_id) for *_, h in rows}) == len(event["x"]), "LEASE", "shared", event)
                 for *_, h in rows:
                     self.w.holds(uid=self.w.uid(group_id=self.group_id), agent=h.agent, lease_id=h.lease_id)
-        out = self.state.apply(ev)
-        self.queue.append((ev, then))
+        out = self.state.apply(event)
+        self.queue.append((event, then))
         return out
 
     def barrier(self, *, then: Choice) -> None:
         if self.queue:
             self.queue.append((None, then))
         else:
-            self.w.effect(group_id=self.group_id, eff=then)
+            self.w.effect(group_id=self.group_id, effect=then)
 
     def write(self) -> list[Choice]:
         """All that waits is durable: what follows from it."""
         rows, self.queue = self.queue, []
-        for ev, _ in rows:
-            if ev is not None:
-                self.w.log[self.group_id].append(orjson.loads(orjson.dumps(ev)))
-                if ev["t"] == "start":
+        for event, _ in rows:
+            if event is not None:
+                self.w.log[self.group_id].append(orjson.loads(orjson.dumps(event)))
+                if event["t"] == "start":
                     self.w.begun.update(
-                        f"{task_name(job_id=ev['id'], unit=ev['u'], idx=i)}/{run}" for i, run, _ in ev["x"]
+                        f"{task_name(job_id=event['id'], unit=event['u'], idx=i)}/{run}" for i, run, _ in event["x"]
                     )
         return [then for _, then in rows if then is not None]
 
 
 @dataclass
-class Hub:
+class ReplicaEnvironment:
     """A node's surroundings, for agents and placing nodes."""
 
     w: "World"
@@ -232,27 +232,29 @@
         for group_id in (1, 2):
             self.rise(group_id=group_id, n=1)
         for m in self.minis.values():
-            hub = Hub(w=self, uid=m.agent, prims={group_id: (self.uid(group_id=group_id), 1) for group_id in (1, 2)})
+            environment = ReplicaEnvironment(
+                w=self, uid=m.agent, prims={group_id: (self.uid(group_id=group_id), 1) for group_id in (1, 2)}
+            )
             self.agents[m.agent] = Agent(
-                hub=cast(AgentEnvironment, hub), hold_ms=HOLD_MS, stop_ms=STOP_MS, lag_ms=LAG_MS
+                environment=cast(AgentEnvironment, environment), hold_ms=HOLD_MS, stop_ms=STOP_MS, lag_ms=LAG_MS
             )
             self.agents[m.agent].own(minion_id=m.minion_id, fence=5, info={})
 
     # -- placing nodes
 
     def uid(self, *, group_id: int) -> str:
-        return str(self.placers[group_id].hub.uid)
+        return str(self.placers[group_id].environment.uid)
 
     def rise(self, *, group_id: int, n: int) -> None:
         """A placing node begins with what is durable."""
         jobs = Jobs(learn=False)
-        for ev in self.log[group_id]:
-            jobs.apply(orjson.loads(orjson.dumps(ev)))
+        for event in self.log[group_id]:
+            jobs.apply(orjson.loads(orjson.dumps(event)))
         rep = Rep(w=self, group_id=group_id, base=n, state=jobs)
         self.placers[group_id] = Placer(
             defaults=SHIPPED,
             group_id=group_id,
-            hub=Hub(w=self, uid=f"p{group_id}.{n}"),
+            environment=ReplicaEnvironment(w=self, uid=f"p{group_id}.{n}"),
             rep=cast(Replica, rep),
             jobs=jobs,
             far=2.0,
@@ -270,28 +272,30 @@
         self.placers[group_id].call(
             uid="edge", request_id=1, op="put", b={"id": job_id, "q": "q", "j": {**row, "svc": "s", "mt": 3}}
         )
-        for eff in self.rep(group_id=group_id).write():
-            self.effect(group_id=group_id, eff=eff)
+        for effect in self.rep(group_id=group_id).write():
+            self.effect(group_id=group_id, effect=effect)
 
-    def effect(self, *, group_id: int, eff: Choice) -> None:
+    def effect(self, *, group_id: int, effect: Choice) -> None:
         """As in `node/core.py`."""
         p = self.placers[group_id]
-        if eff[0] == "orders":
-            p.orders(eff[2])
-        elif eff[0] == "stops":
-            p.stops(eff[2])
-        elif eff[0] == "endsok":
-            p.hub.send(uid=eff[2], kind=Kind.ENDSOK, body={"g": eff[1], "m": eff[3], "f": eff[4], "x": eff[5]})
-        elif eff[0] == "send":
-            p.hub.send(uid=eff[1], kind=Kind(eff[2]), body=eff[3])
+        if effect[0] == "orders":
+            p.orders(effect[2])
+        elif effect[0] == "stops":
+            p.stops(effect[2])
+        elif effect[0] == "endsok":
+            p.environment.send(
+                uid=effect[2], kind=Kind.ENDSOK, body={"g": effect[1], "m": effect[3], "f": effect[4], "x": effect[5]}
+            )
+        elif effect[0] == "send":
+            p.environment.send(uid=effect[1], kind=Kind(effect[2]), body=effect[3])
         else:
-            need(eff[0] == "reply", "EFFECT", eff[0])
+            need(effect[0] == "reply", "EFFECT", effect[0])
 
     def durable(self, *, task: str) -> bool:
         job_id, k, s, i = task.split(".")
         jobs = Jobs(learn=False)
-        for ev in self.log[1 + int(job_id[:8], 16) % 2]:
-            jobs.apply(orjson.loads(orjson.dumps(ev)))
+        for event in self.log[1 + int(job_id[:8], 16) % 2]:
+            jobs.apply(orjson.loads(orjson.dumps(event)))
         job = jobs.jobs[job_id]
         return job["st"] in ENDED or job["u"][f"{k}.{s}"]["s"][int(i)] == 2
 
@@ -343,7 +347,7 @@
         if dst in self.agents:
             self.agents[dst].gap(uid=src)
         for p in self.placers.values():
-            if p.hub.uid == dst:
+            if p.environment.uid == dst:
                 p.gap(uid=src)
 
     def take(self, *, src: str, dst: str, what: str, b: dict[str, Any]) -> None:
@@ -351,14 +355,14 @@
         if dst in self.minis:
             self.minis[dst].answer(b=b)
         elif what == "NEWS":
-            cast(Hub, self.agents[dst].hub).prims[b["g"]] = (b["u"], b["n"])
+            cast(ReplicaEnvironment, self.agents[dst].environment).prims[b["g"]] = (b["u"], b["n"])
         elif what == "MARK":
             pass
         elif dst in self.agents:
             self.agent(a=self.agents[dst], src=src, kind=Kind[what], b=b)
         else:
             p = self.placers[b["g"]]
-            if p.hub.uid == dst:
+            if p.environment.uid == dst:
                 self.placer(p=p, src=src, kind=Kind[what], b=b)
 
     def agent(self, *, a: Agent, src: str, kind: Kind, b: dict[str, Any]) -> None:
@@ -368,8 +372,8 @@
             for minion_id, _, lease_id, task, run, _, _ in b["x"]:
                 r = a.minions[minion_id].runs.get(task)
                 if r is not None and r.run == run and (minion_id, task, run) not in was:
-                    self.holds(uid=src, agent=a.hub.uid, lease_id=lease_id)
-                    need(src == a.hub.primary(group_id=b["g"])[0], "LEASE", src, "is no primary")  # type: ignore[index]
+                    self.holds(uid=src, agent=a.environment.uid, lease_id=lease_id)
+                    need(src == a.environment.primary(group_id=b["g"])[0], "LEASE", src, "is no primary")  # type: ignore[index]
         elif kind is Kind.ATTACH:
             a.attach(uid=src, b=b)
         elif kind is Kind.LEASE:
--- a/tests/support/replica_cell.py
+++ b/tests/support/replica_cell.py
@@ -25,9 +25,9 @@
         self.rows: list[int] = []
         self.refused = -1
 
-    def apply(self, ev: dict[str, Any]) -> list[Any]:
-        self.rows.append(ev["x"])
-        assert ev["x"] != self.refused, "refused by the reducer"
+    def apply(self, event: dict[str, Any]) -> list[Any]:
+        self.rows.append(event["x"])
+        assert event["x"] != self.refused, "refused by the reducer"
         return []
 
     def dump(self) -> Any:
@@ -63,16 +63,16 @@
     def write(self, *, rec: dict[str, Any], done: Effect) -> None:
         self.unsynced.append((orjson.dumps(rec), done))
 
-    def effect(self, *, eff: Effect) -> None:
-        if eff[0] == "near":
-            self.rep.near(n=eff[2], last=eff[3])
-        elif eff[0] == "copied":
+    def effect(self, *, effect: Effect) -> None:
+        if effect[0] == "near":
+            self.rep.near(n=effect[2], last=effect[3])
+        elif effect[0] == "copied":
             if self.rep.camp is not None:
-                self.rep.camp.copied(tag=eff[2], uid="")
-        elif eff[0] == "send":
-            self.send(uid=eff[1], kind=Kind(eff[2]), body=eff[3])
-        elif eff[0] == "confirmed":
-            self.cell.confirmed.append(eff[1])
+                self.rep.camp.copied(tag=effect[2], uid="")
+        elif effect[0] == "send":
+            self.send(uid=effect[1], kind=Kind(effect[2]), body=effect[3])
+        elif effect[0] == "confirmed":
+            self.cell.confirmed.append(effect[1])
 
     def partners(self, *, first: list[str]) -> list[str]:
         return sorted((u for u in self.cell.members if u != self.uid), key=lambda u: (u not in first, u))
@@ -117,7 +117,7 @@
 
     def ran(self, *, batch: list[tuple[bytes, Effect]]) -> None:
         for _, done in batch:
-            self.effect(eff=done)
+            self.effect(effect=done)
         self.rep.flush()
 
     def snapshot(self) -> list[bytes]:
@@ -134,7 +134,7 @@
         begin = last_snapshot(records=journal)
         recs = [orjson.loads(raw) for raw in counted(records=journal, begin=max(begin, 0))]
         state = Rows()
-        rep = built(group_id=0, hub=self, state=state, epoch=None)
+        rep = built(group_id=0, environment=self, state=state, epoch=None)
         for rec in recs:
             if rec["k"] not in ("id", "none"):
                 rep.restore(rec)
@@ -167,7 +167,7 @@
         first: Epoch = {"n": 0, "p": uids[0], "b": uids[1 : 1 + losses], "w": uids, "t": ""}
         self.members = {uid: Member(cell=self, uid=uid) for uid in uids}
         for member in self.members.values():
-            member.rep = built(group_id=0, hub=member, state=member.state, epoch=first)
+            member.rep = built(group_id=0, environment=member, state=member.state, epoch=first)
             member.journal = member.snapshot()
 
     def deliver(self, *, at: int = 0) -> None:
@@ -211,7 +211,7 @@
         return self.members[epoch["b"][0]]
 
     def commit(self, *, x: int, member: Member | None = None) -> None:
-        (member or self.primary()).rep.commit(ev={"x": x}, then=("confirmed", x))
+        (member or self.primary()).rep.commit(event={"x": x}, then=("confirmed", x))
 
 
 __all__ = ["END", "Cell", "Member", "Role", "Rows"]
--- a/tests/support/replication_adapter.py
+++ b/tests/support/replication_adapter.py
@@ -8,7 +8,7 @@
 
 from tests.support.binding_model import Broken
 from yarrowloom.cluster_state.registry import Registry
-from yarrowloom.replication.environment import Hub, Reducer, Role
+from yarrowloom.replication.environment import Reducer, ReplicaEnvironment, Role
 from yarrowloom.replication.epoch import Epoch, addr_of
 from yarrowloom.replication.handover import may_end
 from yarrowloom.replication.log_replay import ReplayError
@@ -31,8 +31,8 @@
     def __init__(self) -> None:
         self.numbers: list[int] = []
 
-    def apply(self, ev: dict[str, Any]) -> None:
-        self.numbers.append(ev["i"])
+    def apply(self, event: dict[str, Any]) -> None:
+        self.numbers.append(event["i"])
 
     def dump(self) -> Any:
         return list(self.numbers)
@@ -101,21 +101,21 @@
             self.w.check_left(member=self, n=done[3]["n"])
         self.pending.append((self.w.next_serial(), copy_of(rec), done))
 
-    def effect(self, *, eff: tuple[Any, ...]) -> None:
-        what = eff[0]
+    def effect(self, *, effect: tuple[Any, ...]) -> None:
+        what = effect[0]
         if what == "near":
-            self.rep.near(n=eff[2], last=eff[3])
+            self.rep.near(n=effect[2], last=effect[3])
         elif what == "copied":
             if self.rep.camp is not None:
-                self.rep.camp.copied(tag=eff[2], uid="")
+                self.rep.camp.copied(tag=effect[2], uid="")
         elif what == "send":
-            self.send(uid=eff[1], kind=Kind(eff[2]), body=eff[3])
+            self.send(uid=effect[1], kind=Kind(effect[2]), body=effect[3])
         elif what == "ack":
-            self.w.acked_by(member=self, numbers=[eff[1]])
+            self.w.acked_by(member=self, numbers=[effect[1]])
         elif what == "answer":
-            self.w.acked_by(member=self, numbers=eff[1])
+            self.w.acked_by(member=self, numbers=effect[1])
         else:
-            assert what == "none", eff
+            assert what == "none", effect
 
     def partners(self, *, first: list[str]) -> list[str]:
         rows = [(not self.up(uid=u), u not in first, u) for u in self.view if u != self.uid]
@@ -161,8 +161,8 @@
     # -- what the explorer asks and does
 
     @property
-    def hub(self) -> Hub:
-        return cast(Hub, self)  # which sets `now`; here the explorer's time is read
+    def environment(self) -> ReplicaEnvironment:
+        return cast(ReplicaEnvironment, self)  # which sets `now`; here the explorer's time is read
 
     @property
     def epoch(self) -> Epoch | None:
@@ -198,7 +198,9 @@
 
     def replay(self, *, records: list[dict[str, Any]], epoch: Epoch | None = None) -> Replica:
         """The replica that a restart makes of records."""
-        rep = Replica(group_id=GROUP, hub=self.hub, state=Registry() if self.registry else Book(), epoch=epoch)
+        rep = Replica(
+            group_id=GROUP, environment=self.environment, state=Registry() if self.registry else Book(), epoch=epoch
+        )
         try:
             for rec in copy_of(records):
                 if rec["k"] != "none":
@@ -214,7 +216,7 @@
         return rows
 
     def commit(self, *, number: int) -> None:
-        self.rep.commit(ev=event(number=number, registry=self.registry), then=("ack", number))
+        self.rep.commit(event=event(number=number, registry=self.registry), then=("ack", number))
         self.rep.flush()
 
     def read(self) -> None:
@@ -230,8 +232,8 @@
         self.rep.flush()
 
     def done(self, *, effects: list[tuple[Any, ...]]) -> None:
-        for eff in effects:
-            self.effect(eff=eff)
+        for effect in effects:
+            self.effect(effect=effect)
         self.rep.flush()
 
     def tick(self) -> None:
@@ -247,7 +249,7 @@
         self.rep.hand_over()
 
     def may_end(self) -> bool:
-        return may_end(hub=self.hub, epoch=self.epoch, asked_s=self.rep.relief.asked_s())
+        return may_end(environment=self.environment, epoch=self.epoch, asked_s=self.rep.relief.asked_s())
 
     def deadlines(self) -> list[float]:
         """By the own clock: when something is decided by time alone."""
--- a/tests/support/ring_cluster.py
+++ b/tests/support/ring_cluster.py
@@ -68,7 +68,7 @@
             del self.under_way[ip]
             self._put(ip=ip, head=head, bodies=bodies)
             proc.disk_busy = False
-            self.post(ip, proc, lambda: node.done(effs=[eff for _, eff in batch]), rank=Rank.URGENT)
+            self.post(ip, proc, lambda: node.done(effects=[effect for _, effect in batch]), rank=Rank.URGENT)
             self._sync(ip, proc)
 
         self.at(delay=self.sync_s * (0.5 + self.rng.random()), fn=synced)
--- a/tests/transport/test_codec.py
+++ b/tests/transport/test_codec.py
@@ -149,12 +149,12 @@
 
     def put(*, base: str, doc: Any, method: str = "PUT") -> str:
         try:
-            ev = reg.judge(method=method, base=base, body=orjson.dumps(doc))
+            event = reg.judge(method=method, base=base, body=orjson.dumps(doc))
         except (InvalidError, StampError) as err:
             return err.code
-        if ev is None:
+        if event is None:
             return "again"
-        reg.apply(ev)
+        reg.apply(event)
         return "ok"
 
     assert put(base="x", doc=CONF) == "invalid"
--- a/tests/transport/test_lanes.py
+++ b/tests/transport/test_lanes.py
@@ -229,7 +229,7 @@
 
 def test_calls_back_off_and_follow_the_primary_at_once() -> None:
     node = Node()
-    calls = Calls(hub=node, base=0)
+    calls = Calls(environment=node, base=0)
     calls.start(group_id=1, op="put", b={}, done=("x",), ttl=8.0)
     while node.now < 5.0:
         calls.tick()
@@ -264,7 +264,7 @@
 
     placer.call = call  # type: ignore[method-assign]
     m = {"rid": 7, "g": 1, "op": "count", "b": {"q": "fast"}}
-    node.reps[1].commit(ev={"t": "forget", "ids": []})  # an answer must wait for this event
+    node.reps[1].commit(event={"t": "forget", "ids": []})  # an answer must wait for this event
     for _ in range(5):
         node.on(uid="10.0.1.1:7001#ff", kind=Kind.CALL, m=orjson.loads(orjson.dumps(m)))
     assert taken == [7]
@@ -277,7 +277,7 @@
     sim, _, _, _ = cluster(seed=82)
     ip = sim.serving(group_id=1)[0]
     node = sim.core(ip)
-    node.reps[1].commit(ev={"t": "forget", "ids": []})
+    node.reps[1].commit(event={"t": "forget", "ids": []})
     node.on(uid="10.0.1.1:7001#ff", kind=Kind.CALL, m={"rid": 7, "g": 1, "op": "count", "b": {"q": "fast"}})
     node.out.sends.clear()
     node.leave()
--- a/yarrowloom/agent/agent.py
+++ b/yarrowloom/agent/agent.py
@@ -28,15 +28,15 @@
     def __init__(
         self,
         *,
-        hub: AgentEnvironment,
+        environment: AgentEnvironment,
         hold_ms: int,
         stop_ms: int,
         lag_ms: int,
         drain_ms: int = DRAIN_MS,
         first_lease: int = 1,
     ) -> None:
-        self.hub = hub
-        self.groups = tuple(hub.groups())
+        self.environment = environment
+        self.groups = tuple(environment.groups())
         self.hold_ms = hold_ms
         self.stop_ms = stop_ms
         self.drain_ms = drain_ms
@@ -46,7 +46,7 @@
         self.share = Share(agent=self)
         self.watch: set[str] = set()  # minions to be looked at each tick
         self.scanned = -9.0
-        self.ticked = hub.now
+        self.ticked = environment.now
         self.trust = True
 
     # -- ownership
@@ -57,11 +57,11 @@
         if old is not None and old.fence >= fence:
             return
         if old is not None and old.call is not None:
-            self.hub.respond(call=old.call.key, res=Response(status=503))
+            self.environment.respond(call=old.call.key, res=Response(status=503))
         self.minions[minion_id] = Minion(
             minion_id=minion_id,
             fence=fence,
-            heard=self.hub.now,
+            heard=self.environment.now,
             svc=info.get("svc", ""),
             site=info.get("site", ""),
             labels=info.get("labels", []),
@@ -73,7 +73,7 @@
         """Group 0 gave it to another, or took it off the list."""
         m = self.minions.pop(minion_id, None)
         if m is not None and m.call is not None:
-            self.hub.respond(call=m.call.key, res=Response(status=503))
+            self.environment.respond(call=m.call.key, res=Response(status=503))
         self.share.stale.add(minion_id)
         self.watch.discard(minion_id)
 
@@ -86,22 +86,22 @@
 
     def beat(self, *, minion_id: str, doc: dict[str, Any], call: Any) -> None:
         """A beat of an owned minion."""
-        hub, m = self.hub, self.minions[minion_id]
-        if not hub.trusted() or m.phase is Phase.LOST:
-            m.heard = hub.now  # it lives, though it may not hold on to what it runs
-            hub.respond(call=call, res=Response(status=503))
+        environment, m = self.environment, self.minions[minion_id]
+        if not environment.trusted() or m.phase is Phase.LOST:
+            m.heard = environment.now  # it lives, though it may not hold on to what it runs
+            environment.respond(call=call, res=Response(status=503))
             return
         if int(doc.get("call-seq", m.seq + 1)) <= m.seq:
-            hub.respond(call=call, res=Response.of(200, {"fence-no": m.fence}))
+            environment.respond(call=call, res=Response.of(200, {"fence-no": m.fence}))
             return
         if m.call is not None:
-            hub.respond(call=m.call.key, res=Response(status=503))
+            environment.respond(call=m.call.key, res=Response(status=503))
             m.call = None
         cap, was = m.cap, m.draining
-        m.take(doc=doc, now=hub.now)
+        m.take(doc=doc, now=environment.now)
         if m.phase is Phase.NEW:
             m.move(Phase.FENCED)
-            hub.respond(
+            environment.respond(
                 call=call,
                 res=Response.of(
                     200, {"fence-no": m.fence, "hold-ms": self.hold_ms, "last-seen": m.seen, "retry-after-ms": 1}
@@ -115,7 +115,7 @@
         self.watch.add(minion_id)
         settle(agent=self, m=m, beat=True)
         self.tell(m=m)
-        m.call = Call(key=call, at=hub.now, horizon=hub.now)
+        m.call = Call(key=call, at=environment.now, horizon=environment.now)
         answer(agent=self, m=m, fresh=True)
 
     def leave(self, *, minion_id: str, call: Any) -> None:
@@ -125,16 +125,16 @@
         m = self.minions.get(minion_id)
         if m is not None and m.phase is not Phase.LOST:
             if m.warned:
-                m.losing = m.losing or self.hub.now + LEFT_S
+                m.losing = m.losing or self.environment.now + LEFT_S
             elif not m.draining:
-                m.leave = self.hub.now + self.drain_ms / 1000
+                m.leave = self.environment.now + self.drain_ms / 1000
             m.draining = True
             self.share.stale.add(minion_id)
-        self.hub.respond(call=call, res=Response.of(200, {}))
+        self.environment.respond(call=call, res=Response.of(200, {}))
 
     def tell(self, *, m: Minion) -> None:
         """Report ends that no group has acknowledged."""
-        now = self.hub.now
+        now = self.environment.now
         batch: dict[int, list[Any]] = {}
         for num, (task, run, how, saved) in sorted(m.ends.items()):
             if num <= m.seen or num in m.acked or now - m.told.get(num, -9.0) < RETELL_S:
@@ -149,9 +149,9 @@
             m.told[num] = now
             batch.setdefault(group_id, []).append([num, task, run, how, saved])
         for group_id, rows in batch.items():
-            prim = self.hub.primary(group_id=group_id)
+            prim = self.environment.primary(group_id=group_id)
             if prim is not None:
-                self.hub.send(
+                self.environment.send(
                     uid=prim[0], kind=Kind.ENDS, body={"g": group_id, "m": m.minion_id, "f": m.fence, "x": rows}
                 )
         m.note()
@@ -178,14 +178,14 @@
                 m.reclaim(lease_id=r.lease_id)
                 self.share.stale.add(m.minion_id)
             elif les is not None:
-                les.task, les.until = "", self.hub.now + IDLE_S
+                les.task, les.until = "", self.environment.now + IDLE_S
 
     # -- groups
 
     def attach(self, *, uid: str, b: dict[str, Any]) -> None:
         """A group tells what it has on a minion; answer what of it never started."""
         m, group_id = self.minions.get(b["m"]), b["g"]
-        prim = self.hub.primary(group_id=group_id)
+        prim = self.environment.primary(group_id=group_id)
         if m is None or m.fence != b["f"] or m.phase is not Phase.KNOWN or (prim and prim[1] > b["n"]):
             return
         if group_id in m.att and m.att[group_id] >= (b["n"], b["seq"]):
@@ -224,14 +224,14 @@
                     lease_id=les.lease_id,
                     sent=True,
                     live=True,
-                    since=self.hub.now,
+                    since=self.environment.now,
                     first=m.running[task][2],
                     est=est,
                 )
                 m.strays.pop(task, None)
             elif not m.ended(task=task, run=run):
                 void.append([task, run])
-        self.hub.send(
+        self.environment.send(
             uid=uid,
             kind=Kind.VERDICT,
             body={"g": group_id, "n": b["n"], "seq": b["seq"], "m": m.minion_id, "f": m.fence, "x": void},
@@ -249,7 +249,7 @@
             cpu=cpu,
             mem=mem,
             gpu=gpu,
-            until=until or self.hub.now + IDLE_S,
+            until=until or self.environment.now + IDLE_S,
         )
         self.next += 1
         m.lend(les=les)
@@ -262,7 +262,7 @@
     def overdue(self, *, m: Minion) -> bool:
         """Whether a beat that should have come has not: the minion may be cut off or dead. A beat that waits for its
         answer does so for LATE_S at most."""
-        return self.hub.now > m.heard + m.pause + max(self.lag_ms / 1000, LATE_S) + OVERDUE_S
+        return self.environment.now > m.heard + m.pause + max(self.lag_ms / 1000, LATE_S) + OVERDUE_S
 
     def open(self, *, m: Minion) -> bool:
         """Whether room of this minion may be granted."""
@@ -270,8 +270,8 @@
             m.phase is Phase.KNOWN
             and not m.draining
             and not self.overdue(m=m)
-            and self.hub.now >= m.grey
-            and not self.hub.evacuated(site=m.site)
+            and self.environment.now >= m.grey
+            and not self.environment.evacuated(site=m.site)
             and self.attached(m=m)
         )
 
@@ -279,9 +279,9 @@
         """Grant room by a task's metadata, on the minions that a cycle chose or (`on` empty) where it fits best; or
         name another agent that seems to have it. What is left on the minions asked for goes back with the answer."""
         grants: list[Any] = []
-        if self.hub.trusted():
+        if self.environment.trusted():
             for m in named(agent=self, b=b) if b.get("on") else pick(agent=self, b=b):
-                until = self.hub.now + b["mark"] if b.get("mark") else 0.0
+                until = self.environment.now + b["mark"] if b.get("mark") else 0.0
                 les = self._lease(m=m, group_id=b["g"], cpu=b["cpu"], mem=b["mem"], gpu=b["gpu"], until=until)
                 grants.append([les.lease_id, m.minion_id, m.att[b["g"]][1]])
                 self.share.stale.add(m.minion_id)
@@ -289,9 +289,9 @@
         if len(grants) < b["n"]:
             for other, (at, view) in sorted(self.share.views.items()):
                 if (
-                    other != self.hub.uid
+                    other != self.environment.uid
                     and other not in b["been"]
-                    and self.hub.now - at < 1.5
+                    and self.environment.now - at < 1.5
                     and any(fits(row=row, b=b) for row in view.get(b["svc"], []))
                 ):
                     redir = other
@@ -301,7 +301,7 @@
             for minion_id, _ in b.get("on", ())
             if minion_id in self.share.shown and minion_id in self.minions
         ]
-        self.hub.send(
+        self.environment.send(
             uid=uid,
             kind=Kind.GRANT,
             body={
@@ -333,7 +333,7 @@
         """Orders on leases; what cannot be carried out is sent back as never started."""
         nak = []
         touched = set()
-        prim = self.hub.primary(group_id=b["g"])
+        prim = self.environment.primary(group_id=b["g"])
         for minion_id, seq, lease_id, task, run, saved, est in b["x"]:
             m = self.minions.get(minion_id)
             if m is None or m.att.get(b["g"]) != (b["n"], seq) or (prim and prim[1] > b["n"]):
@@ -354,7 +354,7 @@
             )
             touched.add(minion_id)
         if nak:
-            self.hub.send(uid=uid, kind=Kind.NAK, body={"g": b["g"], "n": b["n"], "x": nak})
+            self.environment.send(uid=uid, kind=Kind.NAK, body={"g": b["g"], "n": b["n"], "x": nak})
         for minion_id in sorted(touched):
             m = self.minions[minion_id]
             if m.call is not None:
@@ -363,9 +363,9 @@
     def refuse(self, *, m: Minion, r: Run) -> None:
         """An order that may no longer go out."""
         self._clear(m=m, task=r.task, run=r.run)
-        prim = self.hub.primary(group_id=r.group_id)
+        prim = self.environment.primary(group_id=r.group_id)
         if prim is not None:
-            self.hub.send(
+            self.environment.send(
                 uid=prim[0],
                 kind=Kind.NAK,
                 body={
@@ -398,7 +398,7 @@
     def gap(self, *, uid: str) -> None:
         """Frames from a node were lost: what its groups said last is not known."""
         for group_id in self.groups:
-            prim = self.hub.primary(group_id=group_id)
+            prim = self.environment.primary(group_id=group_id)
             if prim is not None and prim[0] == uid:
                 for m in self.minions.values():
                     m.att.pop(group_id, None)
--- a/yarrowloom/agent/capacity_reports.py
+++ b/yarrowloom/agent/capacity_reports.py
@@ -34,9 +34,13 @@
 
     def tell(self) -> None:
         """Tell placing nodes what changed of the room, and other agents a summary."""
-        hub = self.agent.hub
-        now = hub.now
-        fresh = {group_id: prim for group_id in hub.groups() if (prim := hub.primary(group_id=group_id)) is not None}
+        environment = self.agent.environment
+        now = environment.now
+        fresh = {
+            group_id: prim
+            for group_id in environment.groups()
+            if (prim := environment.primary(group_id=group_id)) is not None
+        }
         due = self.stale and now - self.roomed > ROOM_S or now - self.roomed > ROOM_IDLE_S
         if not due and fresh == self.told:
             return
@@ -53,16 +57,18 @@
         self.roomed = now
         for group_id, prim in fresh.items():
             if self.told.get(group_id) == prim:
-                hub.send(uid=prim[0], kind=Kind.ROOM, body={"u": hub.uid, "g": group_id, "x": rows, "shut": shut})
+                environment.send(
+                    uid=prim[0], kind=Kind.ROOM, body={"u": environment.uid, "g": group_id, "x": rows, "shut": shut}
+                )
             else:
                 self._all(group_id=group_id, uid=prim[0])
         self.told = fresh
         if now - self.summed > ROOM_IDLE_S:
             self.summed = now
-            body = {"u": hub.uid, "v": self.summary()}
-            for uid in hub.cores():
-                if uid != hub.uid:
-                    hub.send(uid=uid, kind=Kind.ROOM, body=body)
+            body = {"u": environment.uid, "v": self.summary()}
+            for uid in environment.cores():
+                if uid != environment.uid:
+                    environment.send(uid=uid, kind=Kind.ROOM, body=body)
 
     def _all(self, *, group_id: int, uid: str) -> None:
         rows = [
@@ -70,8 +76,8 @@
             for minion_id in sorted(self.shown)
             if minion_id in self.agent.minions
         ]
-        self.agent.hub.send(
-            uid=uid, kind=Kind.ROOM, body={"u": self.agent.hub.uid, "g": group_id, "x": rows, "shut": []}
+        self.agent.environment.send(
+            uid=uid, kind=Kind.ROOM, body={"u": self.agent.environment.uid, "g": group_id, "x": rows, "shut": []}
         )
 
     def roomget(self, *, uid: str, group_id: int) -> None:
--- a/yarrowloom/agent/failure_detector.py
+++ b/yarrowloom/agent/failure_detector.py
@@ -18,17 +18,19 @@
 
 def care(*, agent: "Agent") -> None:
     """Called several times a second."""
-    now, hub = agent.hub.now, agent.hub
+    now, environment = agent.environment.now, agent.environment
     gap, agent.ticked = now - agent.ticked, now
     if gap > THAW_S or not agent.trust:  # beats may lie unread, or were turned away: no silence of theirs
         for m in agent.minions.values():
             m.heard = max(m.heard, min(now, m.heard + gap))
-    agent.trust = hub.trusted()
+    agent.trust = environment.trusted()
     if not agent.trust:
         return
     claims: dict[int, list[Any]] = {}
     primaries = {
-        group_id: primary for group_id in agent.groups if (primary := hub.primary(group_id=group_id)) is not None
+        group_id: primary
+        for group_id in agent.groups
+        if (primary := environment.primary(group_id=group_id)) is not None
     }
     whole = now - agent.scanned > SCAN_S
     if whole:
@@ -52,19 +54,19 @@
             m.move(Phase.LOST)
             m.asked = 0
             agent.share.stale.add(m.minion_id)
-            hub.note(event="minion-lost", minion=m.minion_id, runs=len(m.runs), left=bool(m.losing))
+            environment.note(event="minion-lost", minion=m.minion_id, runs=len(m.runs), left=bool(m.losing))
         if m.phase is Phase.LOST:
             _lose(agent=agent, m=m)
         elif m.phase is Phase.KNOWN:
             _keep(agent=agent, m=m, claims=claims, primaries=primaries)
     for group_id, rows in claims.items():
-        hub.send(uid=primaries[group_id][0], kind=Kind.CLAIM, body={"g": group_id, "x": rows})
+        environment.send(uid=primaries[group_id][0], kind=Kind.CLAIM, body={"g": group_id, "x": rows})
     agent.share.tell()
 
 
 def _keep(*, agent: "Agent", m: Minion, claims: dict[int, list[Any]], primaries: dict[int, tuple[str, int]]) -> None:
     """Look after a minion that answers. `primaries`: uid and epoch of each group's primary, as far as known."""
-    now = agent.hub.now
+    now = agent.environment.now
     for group_id, (_, epoch) in primaries.items():
         if group_id in m.att and m.att[group_id][0] < epoch:
             del m.att[group_id]
@@ -90,18 +92,18 @@
 
 
 def _lose(*, agent: "Agent", m: Minion) -> None:
-    now = agent.hub.now
+    now = agent.environment.now
     left = [group_id for group_id in agent.groups if group_id not in m.lostok]
     agent.watch.add(m.minion_id)
     if not left:
-        agent.hub.gone(minion_id=m.minion_id, fence=m.fence)
+        agent.environment.gone(minion_id=m.minion_id, fence=m.fence)
     elif now - m.claimed.get(-1, -9.0) > CLAIM_S * (1 + m.asked):
         m.claimed[-1] = now
         m.asked = min(m.asked + 1, 4)
         saved = {t: v for t, (_, v, _) in m.running.items() if v}
         for group_id in left:
-            prim = agent.hub.primary(group_id=group_id)
+            prim = agent.environment.primary(group_id=group_id)
             if prim is not None:
-                agent.hub.send(
+                agent.environment.send(
                     uid=prim[0], kind=Kind.LOST, body={"g": group_id, "m": m.minion_id, "f": m.fence, "v": saved}
                 )
--- a/yarrowloom/agent/heartbeat_response.py
+++ b/yarrowloom/agent/heartbeat_response.py
@@ -21,7 +21,7 @@
 
 def settle(*, agent: "Agent", m: Minion, beat: bool) -> None:
     """Compare what the beat lists with what is owed. Only a beat that has just come tells of orders sent before it."""
-    now = agent.hub.now
+    now = agent.environment.now
     for r in list(m.runs.values()):
         row = m.running.get(r.task)
         if row is not None and row[0] == r.run:
@@ -71,7 +71,7 @@
 
 def _drain(*, agent: "Agent", m: Minion) -> None:
     """Stop what cannot end before the minion leaves, so that it goes on elsewhere."""
-    now = agent.hub.now
+    now = agent.environment.now
     left = m.leave - now - agent.stop_ms / 1000 - 0.4
     for r in m.runs.values():
         if r.live and not r.stop:
@@ -83,15 +83,15 @@
 
 def answer(*, agent: "Agent", m: Minion, fresh: bool = False) -> None:
     """Answer the waiting beat if it is time or if there is something to say."""
-    hub, call = agent.hub, m.call
+    environment, call = agent.environment, m.call
     if call is None:
         return
-    now = hub.now
-    if not hub.trusted() or m.phase is not Phase.KNOWN:
+    now = environment.now
+    if not environment.trusted() or m.phase is not Phase.KNOWN:
         m.call = None
-        hub.respond(call=call.key, res=Response(status=503))
+        environment.respond(call=call.key, res=Response(status=503))
         return
-    shut = m.draining or hub.evacuated(site=m.site)
+    shut = m.draining or environment.evacuated(site=m.site)
     attached = agent.attached(m=m)
     if shut:
         for r in [r for r in m.runs.values() if not r.sent and not r.live]:
@@ -109,7 +109,7 @@
         return
     m.call = None
     if now - call.at > LATE_S:
-        hub.respond(call=call.key, res=Response(status=503))
+        environment.respond(call=call.key, res=Response(status=503))
         return
     out: dict[str, Any] = {"hold-ms": agent.hold_ms, "fence-no": m.fence, "last-seen": m.seen}
     if todo:
@@ -127,4 +127,4 @@
         wait = BUSY_MS if cpu * 8 > m.cap[0] and mem * 16 > m.cap[1] else FULL_MS
     out["retry-after-ms"] = wait
     m.pause = now + wait / 1000 - m.heard
-    hub.respond(call=call.key, res=Response.of(200, out))
+    environment.respond(call=call.key, res=Response.of(200, out))
--- a/yarrowloom/cluster_state/registry.py
+++ b/yarrowloom/cluster_state/registry.py
@@ -7,7 +7,6 @@
 import orjson
 
 from ..common.errors import Finding, InvalidError, StampError, UnclearError
-from . import config as conf
 from . import config_delta as delta
 from .minion_ownership import Owners
 from .operator_requests import AcceptedChanges, ZoneVersions
@@ -84,37 +83,37 @@
         self.zones = ZoneVersions.load(doc=doc.get("zones", {"forgotten": self.mods, "zones": []}))
         self.owners = Owners(rows=self.minions)
 
-    def apply(self, ev: dict[str, Any]) -> None:
+    def apply(self, event: dict[str, Any]) -> None:
         """Take one event."""
-        kind = ev["t"]
+        kind = event["t"]
         if kind == "conf":
-            if "d" in ev:
+            if "d" in event:
                 assert self.conf is not None
-                self.conf = delta.merge(doc=self.conf, delta=ev["d"])
+                self.conf = delta.merge(doc=self.conf, delta=event["d"])
             else:
-                self.conf = ev["doc"]
-            self.changes.add(version=self.stamp, digest=ev["h"])
+                self.conf = event["doc"]
+            self.changes.add(version=self.stamp, digest=event["h"])
         elif kind == "evac":
             self.mods += 1
-            self.evac = sorted({*self.evac, ev["site"]} if ev["on"] else set(self.evac) - {ev["site"]})
-            self.zones.add(zone=ev["site"], version=self.mods)
+            self.evac = sorted({*self.evac, event["site"]} if event["on"] else set(self.evac) - {event["site"]})
+            self.zones.add(zone=event["site"], version=self.mods)
         elif kind == "enrol":
             self.mods += 1
-            self.members[ev["uid"]] = ev["info"]
+            self.members[event["uid"]] = event["info"]
         elif kind == "drop":
             self.mods += 1
-            self.members.pop(ev["uid"], None)
+            self.members.pop(event["uid"], None)
         elif kind == "own":
-            for minion_id, owner, info in ev["ms"]:
+            for minion_id, owner, info in event["ms"]:
                 self.fence += 1
                 old = self.minions.get(minion_id)
                 row = self.minions[minion_id] = {**(old or {}), **info, "o": owner, "f": self.fence}
                 self.owners.put(minion_id=minion_id, row=row, old=old)
         elif kind == "gone":
-            gone = self.minions.get(ev["m"])
-            if gone is not None and gone["f"] <= ev["f"]:
-                del self.minions[ev["m"]]
-                self.owners.drop(minion_id=ev["m"], row=gone)
+            gone = self.minions.get(event["m"])
+            if gone is not None and gone["f"] <= event["f"]:
+                del self.minions[event["m"]]
+                self.owners.drop(minion_id=event["m"], row=gone)
 
     def judge_evacuation(self, *, zone: str, on: bool, known: int) -> dict[str, Any]:
         """The event that an evacuation order makes. `known`: the version of the node that took it, at that time.
@@ -148,8 +147,8 @@
         if method == "PATCH":
             if self.conf is None:
                 raise StampError(text="there is no configuration yet")
-            doc = conf.patch(base=self.conf, change=doc)
-        return self._change(doc=conf.check(doc=doc), mark=mark)
+            doc = config.patch(base=self.conf, change=doc)
+        return self._change(doc=config.check(doc=doc), mark=mark)
 
     def _change(self, *, doc: dict[str, Any], mark: str) -> dict[str, Any]:
         """The event that makes a valid configuration the current one; raises if its version doesn't rise."""
--- a/yarrowloom/jobs/__init__.py
+++ b/yarrowloom/jobs/__init__.py
@@ -3,4 +3,4 @@
 from .state_machine import ENDED, Jobs, State
 from .submission import Step, group_of, is_job_id, parse
 
-__all__ = ["ENDED", "Jobs", "State", "Step", "group_of", "job_id", "parse"]
+__all__ = ["ENDED", "Jobs", "State", "Step", "group_of", "is_job_id", "parse"]
--- a/yarrowloom/jobs/state_machine.py
+++ b/yarrowloom/jobs/state_machine.py
@@ -88,9 +88,9 @@
                     if st == RUN:
                         self.on.setdefault(unit["m"][i], set()).add((job_id, key, i))
 
-    def apply(self, ev: dict[str, Any]) -> list[Effect]:
+    def apply(self, event: dict[str, Any]) -> list[Effect]:
         """Take one event."""
-        return getattr(self, "_" + ev["t"])(ev)  # type: ignore[no-any-return]
+        return getattr(self, "_" + event["t"])(event)  # type: ignore[no-any-return]
 
     # -- helpers
 
@@ -172,11 +172,11 @@
 
     # -- events
 
-    def _job(self, ev: dict[str, Any]) -> list[Effect]:
-        job_id = ev["id"]
+    def _job(self, event: dict[str, Any]) -> list[Effect]:
+        job_id = event["id"]
         if job_id in self.jobs:
             return []
-        job = {**ev["j"], "st": State.PENDING.value, "k": 0, "open": [], "u": {}}
+        job = {**event["j"], "st": State.PENDING.value, "k": 0, "open": [], "u": {}}
         self.jobs[job_id] = job
         self.pending[job["q"]] = self.pending.get(job["q"], 0) + 1
         if self.learn:
@@ -194,47 +194,47 @@
             return [("timed", job_id)]
         return self._units(job_id=job_id, k=0)
 
-    def _due(self, ev: dict[str, Any]) -> list[Effect]:
-        job = self.jobs.get(ev["id"])
-        if job is None or job["st"] in ENDED or job["k"] != ev["k"] or ev["k"] >= job["times"]:
+    def _due(self, event: dict[str, Any]) -> list[Effect]:
+        job = self.jobs.get(event["id"])
+        if job is None or job["st"] in ENDED or job["k"] != event["k"] or event["k"] >= job["times"]:
             return []
-        return self._units(job_id=ev["id"], k=ev["k"])
+        return self._units(job_id=event["id"], k=event["k"])
 
-    def _start(self, ev: dict[str, Any]) -> list[Effect]:
-        job_id, key = ev["id"], ev["u"]
+    def _start(self, event: dict[str, Any]) -> list[Effect]:
+        job_id, key = event["id"], event["u"]
         job = self.jobs[job_id]
         unit = job["u"][key]
         if job["st"] == State.PENDING:
             self._show(job=job, st=State.ACTIVE)
-        for i, run, minion_id in ev["x"]:
+        for i, run, minion_id in event["x"]:
             assert unit["s"][i] == WAIT and run > unit["r"][i]
             unit["s"][i], unit["r"][i], unit["m"][i] = RUN, run, minion_id
-            unit.setdefault("t", {})[str(i)] = ev.get("at", 0)
+            unit.setdefault("t", {})[str(i)] = event.get("at", 0)
             self.on.setdefault(minion_id, set()).add((job_id, key, i))
         return []
 
-    def _end(self, ev: dict[str, Any]) -> list[Effect]:
-        job_id, key, i = ev["id"], ev["u"], ev["i"]
+    def _end(self, event: dict[str, Any]) -> list[Effect]:
+        job_id, key, i = event["id"], event["u"], event["i"]
         job = self.jobs.get(job_id)
         unit = job["u"].get(key) if job is not None and "u" in job else None
-        if job is None or unit is None or i >= len(unit["s"]) or unit["r"][i] != ev["run"] or unit["s"][i] != RUN:
+        if job is None or unit is None or i >= len(unit["s"]) or unit["r"][i] != event["run"] or unit["s"][i] != RUN:
             return []
         step = job["steps"][int(key.split(".")[1])]
         self._off(job_id=job_id, key=key, unit=unit, i=i)
         began = unit.get("t", {}).pop(str(i), 0)
-        if self.learn and began and "at" in ev:
+        if self.learn and began and "at" in event:
             self.past.note_end(
                 q=job["q"],
                 step=step,
                 task=task_name(job_id=job_id, unit=key, idx=i),
-                run=ev["run"],
-                how=ev["how"],
-                ms=float(max(ev["at"] - began, 0)),
+                run=event["run"],
+                how=event["how"],
+                ms=float(max(event["at"] - began, 0)),
                 minion_id=unit["m"][i],
                 whole=not unit["v"][0 if step["gang"] else i],
             )
         out: list[Effect] = []
-        if ev["how"] == "done" and not step["last"]:
+        if event["how"] == "done" and not step["last"]:
             for j in range(len(unit["s"])) if step["gang"] else (i,):
                 if unit["s"][j] == RUN:
                     self._off(job_id=job_id, key=key, unit=unit, i=j)
@@ -243,18 +243,18 @@
                     unit["left"] -= 1
             if unit["left"] == 0 and job["st"] not in ENDED:
                 out += self._finished(job_id=job_id, key=key)
-                self._learned(job_id=job_id, job=job, at=ev.get("at", 0))
+                self._learned(job_id=job_id, job=job, at=event.get("at", 0))
         else:
             unit["s"][i] = WAIT
             at = 0 if step["gang"] else i
-            if ev["v"]:
-                unit["v"][at] = ev["v"]
-            if ev["how"] == "failed" and not step["last"] and (not step["gang"] or unit["fr"] != ev["run"]):
-                unit["fr"] = ev["run"]
+            if event["v"]:
+                unit["v"][at] = event["v"]
+            if event["how"] == "failed" and not step["last"] and (not step["gang"] or unit["fr"] != event["run"]):
+                unit["fr"] = event["run"]
                 unit["f"][at] += 1
             if job["st"] not in ENDED:
-                if ev["how"] == "failed" and not step["last"] and unit["f"][at] >= max(1, ev["mt"]):
-                    out += self._halt(job_id=job_id, st=State.FAILED, at=ev.get("at", 0))
+                if event["how"] == "failed" and not step["last"] and unit["f"][at] >= max(1, event["mt"]):
+                    out += self._halt(job_id=job_id, st=State.FAILED, at=event.get("at", 0))
                 elif not step["gang"] or RUN not in unit["s"]:
                     out.append(("ready", job_id, key))
                 elif step["gang"]:  # also those whose order is still on its way: they would wait alone
@@ -266,14 +266,14 @@
         self._slim(job=job)
         return out
 
-    def _lost(self, ev: dict[str, Any]) -> list[Effect]:
+    def _lost(self, event: dict[str, Any]) -> list[Effect]:
         """A minion is gone with all that it ran."""
         out: list[Effect] = []
-        for job_id, key, i in sorted(self.on.get(ev["m"], ())):
+        for job_id, key, i in sorted(self.on.get(event["m"], ())):
             job = self.jobs[job_id]
             task = task_name(job_id=job_id, unit=key, idx=i)
             run = job["u"][key]["r"][i]
-            if ev["x"] is not None and [task, run] not in ev["x"]:
+            if event["x"] is not None and [task, run] not in event["x"]:
                 continue
             out += self._end(
                 {
@@ -283,20 +283,20 @@
                     "i": i,
                     "run": run,
                     "how": "lost",
-                    "v": ev["v"].get(task, ""),
+                    "v": event["v"].get(task, ""),
                     "mt": 1,
                 }
             )
         return out
 
-    def _cancel(self, ev: dict[str, Any]) -> list[Effect]:
-        job = self.jobs.get(ev["id"])
+    def _cancel(self, event: dict[str, Any]) -> list[Effect]:
+        job = self.jobs.get(event["id"])
         if job is None or job["st"] in ENDED:
             return []
-        return self._halt(job_id=ev["id"], st=State.CANCELLED, at=ev.get("at", 0))
+        return self._halt(job_id=event["id"], st=State.CANCELLED, at=event.get("at", 0))
 
-    def _forget(self, ev: dict[str, Any]) -> list[Effect]:
-        for job_id in ev["ids"]:
+    def _forget(self, event: dict[str, Any]) -> list[Effect]:
+        for job_id in event["ids"]:
             job = self.jobs.get(job_id)
             if job is not None and job["st"] in ENDED and "u" not in job:
                 del self.jobs[job_id]
--- a/yarrowloom/node/controller.py
+++ b/yarrowloom/node/controller.py
@@ -7,7 +7,7 @@
 from ..transport.envelope import Kind
 
 if TYPE_CHECKING:
-    from .core_environment import CoreHub
+    pass
 
 LEASE_S = 1.5  # how long one word of the chief lets an agent act
 DEAD_S = LEASE_S * 1.05 + 0.3  # silence after which its minions go to others
@@ -29,7 +29,7 @@
     the former agent's word from any chief has run out, or it has said that it let go; an agent gets the word only
     in answer to a heart whose digest fits what it should hold, or which lists what it holds."""
 
-    def __init__(self, *, node: "CoreHub", late: str) -> None:
+    def __init__(self, *, node: "CoreEnvironment", late: str) -> None:
         self.node = node
         now = node.now
         self.last: dict[str, float] = {u: now for u in {*node.reg.members, *node.reg.owners.by}}
@@ -112,8 +112,8 @@
         node, uid = self.node, b["u"]
         old = [u for u in node.reg.members if addr_of(uid=u) == addr_of(uid=uid)]
         for gone in old:
-            node.commit0(ev={"t": "drop", "uid": gone})
-        node.commit0(ev={"t": "enrol", "uid": uid, "info": {k: b[k] for k in ("site", "name", "ctl")}}, news=True)
+            node.commit0(event={"t": "drop", "uid": gone})
+        node.commit0(event={"t": "enrol", "uid": uid, "info": {k: b[k] for k in ("site", "name", "ctl")}}, news=True)
         node.note(event="core-enrolled", uid=uid, replaces=",".join(old))
         self.stirred = max(self.stirred, node.now - CALM_S + FRESH_S)
 
@@ -124,7 +124,7 @@
 
     def _give(self, *, rows: list[list[Any]]) -> None:
         """Commit new owners, (minion, owner, what is new of its row); they are told once it is durable."""
-        self.node.commit0(ev={"t": "own", "ms": rows}, then=("owned", [row[0] for row in rows]))
+        self.node.commit0(event={"t": "own", "ms": rows}, then=("owned", [row[0] for row in rows]))
 
     def _renew(self, *, uid: str) -> None:
         """A core's process began anew: its minions get new fences."""
@@ -230,5 +230,5 @@
         self._ease()
         for uid in list(node.reg.members):
             if uid != node.uid and node.now - self.last.get(uid, node.now) > DROP_S:
-                node.commit0(ev={"t": "drop", "uid": uid}, news=True)
+                node.commit0(event={"t": "drop", "uid": uid}, news=True)
                 node.note(event="core-dropped", uid=uid)
--- a/yarrowloom/node/core.py
+++ b/yarrowloom/node/core.py
@@ -13,7 +13,7 @@
 from ..transport.envelope import Kind, dump
 from ..transport.http_server import Request
 from .controller import LEASE_S
-from .core_environment import CoreHub
+from .core_environment import CoreEnvironment
 from .edge_relays import EdgeRelays
 from .group_calls import NOT_PRIMARY, REFUSALS, InHand
 from .http_routes import dispatch
@@ -25,7 +25,7 @@
 OVERLOADED = {"error": "too busy to take it in time"}
 
 
-class CoreNode(CoreHub):
+class CoreNode(CoreEnvironment):
     """Inputs and effects. Invariant: effects leave in the order of their events."""
 
     def __init__(
@@ -68,9 +68,9 @@
 
     # -- effects
 
-    def effect(self, *, eff: tuple[Any, ...]) -> None:
+    def effect(self, *, effect: tuple[Any, ...]) -> None:
         """Carry out an effect that is now durable."""
-        self._effects[eff[0]](*eff[1:])
+        self._effects[effect[0]](*effect[1:])
 
     def _none(self) -> None:
         pass
@@ -117,10 +117,10 @@
         dispatch(node=self, call=call, req=req)
         self._flush()
 
-    def done(self, *, effs: list[tuple[Any, ...]]) -> None:
+    def done(self, *, effects: list[tuple[Any, ...]]) -> None:
         """Records are synced."""
-        for eff in effs:
-            self.effect(eff=eff)
+        for effect in effects:
+            self.effect(effect=effect)
         self._flush()
 
     def _flush(self) -> None:
@@ -360,11 +360,15 @@
 
     def may_end(self) -> bool:
         """Others hold all that this process holds, as far as there are others."""
-        return all(may_end(hub=self, epoch=rep.epoch, asked_s=rep.relief.asked_s()) for rep in self.reps.values())
+        return all(
+            may_end(environment=self, epoch=rep.epoch, asked_s=rep.relief.asked_s()) for rep in self.reps.values()
+        )
 
     def only_copies(self) -> list[int]:
         """Groups of which this node knows no other live holder."""
-        return [group_id for group_id, rep in self.reps.items() if not copied_elsewhere(hub=self, epoch=rep.epoch)]
+        return [
+            group_id for group_id, rep in self.reps.items() if not copied_elsewhere(environment=self, epoch=rep.epoch)
+        ]
 
     # -- disk
 
--- a/yarrowloom/node/core_environment.py
+++ b/yarrowloom/node/core_environment.py
@@ -23,7 +23,7 @@
 OWNER_S = 3.0
 
 
-class CoreHub(MemberView):
+class CoreEnvironment(MemberView):
     """Invariants: a replica's effects leave in the order of their events; a placer lives exactly while its group is
     served here; the agent acts only while `trusted`."""
 
@@ -49,12 +49,12 @@
             first_epoch = self._genesis(group_id=group_id) if first else None
             if first_epoch is not None:
                 self.eps[group_id] = first_epoch
-            self.reps[group_id] = Replica(group_id=group_id, hub=self, state=state, epoch=first_epoch)
+            self.reps[group_id] = Replica(group_id=group_id, environment=self, state=state, epoch=first_epoch)
         self.placers: dict[int, Placer] = {}
         self.chief: Chief | None = None
         hold = min(startup.bound(name="max-hold-ms", default=6000), max(3.0 * startup.beat_ms, 4000.0))
         self.agent = Agent(
-            hub=self,
+            environment=self,
             hold_ms=int(hold),
             lag_ms=startup.beat_ms,
             stop_ms=int(startup.bound(name="stop-grace-ms", default=1000)),
@@ -103,7 +103,7 @@
             self.placers[group_id] = Placer(
                 defaults=self.defaults,
                 group_id=group_id,
-                hub=self,
+                environment=self,
                 rep=self.reps[group_id],
                 jobs=self.jobs[group_id],
                 far=self.startup.bound(name="spread-factor", default=2),
@@ -188,9 +188,9 @@
 
     # -- group 0
 
-    def commit0(self, *, ev: dict[str, Any], then: tuple[Any, ...] | None = None, news: bool = False) -> None:
+    def commit0(self, *, event: dict[str, Any], then: tuple[Any, ...] | None = None, news: bool = False) -> None:
         """Commit to group 0; what changes news goes out once durable."""
-        self.reps[0].commit(ev=ev, then=then)
+        self.reps[0].commit(event=event, then=then)
         if news:
             self.reps[0].barrier(then=("news", self._registry()))
 
@@ -208,13 +208,13 @@
         assert chief is not None
         if op == "conf":
             try:
-                ev = self.reg.judge(method=b["m"], base=b["base"], body=b["body"].encode())
+                event = self.reg.judge(method=b["m"], base=b["base"], body=b["body"].encode())
             except YarrowError as err:
                 status, doc = refusal(err=err)
                 rep.barrier(then=("reply", uid, request_id, status, doc))
                 return
-            if ev is not None:
-                rep.commit(ev=ev)
+            if event is not None:
+                rep.commit(event=event)
                 rep.barrier(then=("news", {"conf": self.reg.conf}))
                 self.note(event="config-accepted", stamp=self.reg.stamp)
             rep.barrier(then=("reply", uid, request_id, 200, {}))
@@ -222,17 +222,17 @@
             rep.barrier(then=("reply", uid, request_id, 200 if self.reg.conf else 404, self.reg.conf or {}))
         elif op == "evac":
             try:
-                ev = self.reg.judge_evacuation(zone=b["site"], on=b["on"], known=b["mods"])
+                event = self.reg.judge_evacuation(zone=b["site"], on=b["on"], known=b["mods"])
             except YarrowError as err:
                 status, doc = refusal(err=err)
                 rep.barrier(then=("reply", uid, request_id, status, doc))
                 return
-            self.commit0(ev=ev, news=True)
+            self.commit0(event=event, news=True)
             rep.barrier(then=("reply", uid, request_id, 200, {}))
         elif op == "who":
             chief.who(uid=uid, request_id=request_id, b=b)
         elif op == "gone":
-            rep.commit(ev={"t": "gone", "m": b["m"], "f": b["f"]}, then=("reply", uid, request_id, 200, {}))
+            rep.commit(event={"t": "gone", "m": b["m"], "f": b["f"]}, then=("reply", uid, request_id, 200, {}))
         elif op == "leave":
             row = self.reg.minions.get(b["m"])
             rep.barrier(then=("reply", uid, request_id, 200, {} if row is None else {"o": row["o"]}))
@@ -341,7 +341,7 @@
         else:
             self.agent_beat(minion_id=b["m"], doc=b["d"], call=("far", uid, request_id))
 
-    def effect(self, *, eff: tuple[Any, ...]) -> None:
+    def effect(self, *, effect: tuple[Any, ...]) -> None:
         """Carry out an effect that is now durable."""
         raise NotImplementedError
 
--- a/yarrowloom/node/group_calls.py
+++ b/yarrowloom/node/group_calls.py
@@ -21,7 +21,7 @@
 CALLS_PER_LIFE = 1 << 32
 
 
-class CallHub(Protocol):
+class CallEnvironment(Protocol):
     """What calls need of their node."""
 
     now: float
@@ -72,8 +72,8 @@
     """Invariants: each call ends exactly once, by its answer or at its horizon; an answer is taken only if it names
     this caller and an open call of this life, and comes from a node that was asked."""
 
-    def __init__(self, *, hub: CallHub, base: int) -> None:
-        self.hub = hub
+    def __init__(self, *, environment: CallEnvironment, base: int) -> None:
+        self.environment = environment
         self.request_id = base
         self.open: dict[int, Pending] = {}
 
@@ -89,22 +89,22 @@
             op=op,
             b=b,
             done=done,
-            horizon=self.hub.now + ttl,
-            began=self.hub.now,
+            horizon=self.environment.now + ttl,
+            began=self.environment.now,
         )
         self.open[pend.request_id] = pend
         self._send(pend)
 
     def _send(self, pend: Pending) -> None:
-        prim = self.hub.primary(group_id=pend.group_id)
+        prim = self.environment.primary(group_id=pend.group_id)
         uid = pend.to or (prim[0] if prim is not None else "")
-        pend.again = self.hub.now + (pend.wait if uid else RETRY_S)
+        pend.again = self.environment.now + (pend.wait if uid else RETRY_S)
         pend.asked = prim
         if uid:
             pend.sent = True
             pend.wait = min(2 * pend.wait, RESEND_MOST_S)
             pend.nodes[uid] = pend.nodes.get(uid, 0) + 1
-            self.hub.send(
+            self.environment.send(
                 uid=uid,
                 kind=Kind.CALL,
                 body={
@@ -113,7 +113,7 @@
                     "g": pend.group_id,
                     "op": pend.op,
                     "b": pend.b,
-                    "ttl": round(pend.horizon - self.hub.now, 3),
+                    "ttl": round(pend.horizon - self.environment.now, 3),
                 },
             )
 
@@ -130,31 +130,31 @@
     def reply(self, *, uid: str, m: dict[str, Any]) -> None:
         """An answer came from a node; what fits no open call of this life is dropped."""
         pend = self.open.get(m["rid"])
-        if pend is None or m["to"] != self.hub.uid or uid not in pend.nodes:
+        if pend is None or m["to"] != self.environment.uid or uid not in pend.nodes:
             return
         if m["s"] == NOT_PRIMARY and not pend.to:
             pend.nodes[uid] = max(pend.nodes[uid] - 1, 0)
-            before = self.hub.primary(group_id=pend.group_id)
-            self.hub.learn(eps=m["d"])
-            if self.hub.primary(group_id=pend.group_id) != before:
+            before = self.environment.primary(group_id=pend.group_id)
+            self.environment.learn(eps=m["d"])
+            if self.environment.primary(group_id=pend.group_id) != before:
                 self._anew(pend)
             else:
-                pend.again = self.hub.now + RETRY_S
+                pend.again = self.environment.now + RETRY_S
             return
         del self.open[pend.request_id]
         if m["s"] in REFUSALS and any(copies for node, copies in pend.nodes.items() if node != uid):
-            self.hub.called(done=pend.done, status=0, doc=None, sent=True)  # another node may have taken it
+            self.environment.called(done=pend.done, status=0, doc=None, sent=True)  # another node may have taken it
         else:
-            self.hub.called(done=pend.done, status=m["s"], doc=m["d"], sent=True)
+            self.environment.called(done=pend.done, status=m["s"], doc=m["d"], sent=True)
 
     def tick(self) -> None:
         """Send again, give up."""
-        now = self.hub.now
+        now = self.environment.now
         for pend in list(self.open.values()):
             if now >= pend.horizon:
                 del self.open[pend.request_id]
-                self.hub.called(done=pend.done, status=0, doc=None, sent=pend.sent)
-            elif not pend.to and self.hub.primary(group_id=pend.group_id) != pend.asked:
+                self.environment.called(done=pend.done, status=0, doc=None, sent=pend.sent)
+            elif not pend.to and self.environment.primary(group_id=pend.group_id) != pend.asked:
                 self._anew(pend)
             elif now >= pend.again:
                 self._send(pend)
--- a/yarrowloom/node/http_routes.py
+++ b/yarrowloom/node/http_routes.py
@@ -12,9 +12,9 @@
 from .node_base import JOB_GROUPS
 
 if TYPE_CHECKING:
-    from .core_environment import CoreHub
+    pass
 
-Handler = Callable[["CoreHub", Any, Request, str], None]
+Handler = Callable[["CoreEnvironment", Any, Request, str], None]
 CALLS: list[tuple[str, re.Pattern[str], Handler]] = []
 CONF_TTL = 3.5
 BEAT_TTL = 0.75
@@ -30,7 +30,7 @@
     return wrap
 
 
-def dispatch(*, node: "CoreHub", call: Any, req: Request) -> None:
+def dispatch(*, node: "CoreEnvironment", call: Any, req: Request) -> None:
     """Find the handler and let it answer."""
     path = req.path.split("?", 1)[0]
     known = False
@@ -50,7 +50,7 @@
 
 
 @declare("PUT", r"/minions/([^/]+)")
-def beat(node: "CoreHub", call: Any, req: Request, minion_id: str) -> None:
+def beat(node: "CoreEnvironment", call: Any, req: Request, minion_id: str) -> None:
     """A minion's beat: to its agent, here or elsewhere."""
     try:
         doc = orjson.loads(req.body)
@@ -66,7 +66,7 @@
 
 
 @declare("DELETE", r"/minions/([^/]+)")
-def leave(node: "CoreHub", call: Any, req: Request, minion_id: str) -> None:
+def leave(node: "CoreEnvironment", call: Any, req: Request, minion_id: str) -> None:
     """A minion ends."""
     if minion_id in node.agent.minions and node.trusted():
         node.agent.leave(minion_id=minion_id, call=call)
@@ -81,18 +81,18 @@
 
 
 @declare("PUT", r"/config")
-def put_config(node: "CoreHub", call: Any, req: Request, _arg: str) -> None:
+def put_config(node: "CoreEnvironment", call: Any, req: Request, _arg: str) -> None:
     """A complete configuration."""
     _change(node=node, call=call, req=req)
 
 
 @declare("PATCH", r"/config")
-def patch_config(node: "CoreHub", call: Any, req: Request, _arg: str) -> None:
+def patch_config(node: "CoreEnvironment", call: Any, req: Request, _arg: str) -> None:
     """A change of named items."""
     _change(node=node, call=call, req=req)
 
 
-def _change(*, node: "CoreHub", call: Any, req: Request) -> None:
+def _change(*, node: "CoreEnvironment", call: Any, req: Request) -> None:
     try:
         text = req.body.decode()
     except UnicodeDecodeError:
@@ -108,24 +108,24 @@
 
 
 @declare("GET", r"/config")
-def get_config(node: "CoreHub", call: Any, req: Request, _arg: str) -> None:
+def get_config(node: "CoreEnvironment", call: Any, req: Request, _arg: str) -> None:
     """The newest configuration, whole."""
     node.calls.start(group_id=0, op="getconf", b={}, done=("http", call), ttl=CONF_TTL)
 
 
 @declare("POST", r"/evacuation/([^/]+)")
-def evac_start(node: "CoreHub", call: Any, req: Request, site: str) -> None:
+def evac_start(node: "CoreEnvironment", call: Any, req: Request, site: str) -> None:
     """Nothing more is to be sent to a site's minions."""
     _evacuate(node=node, call=call, site=site, on=True)
 
 
 @declare("DELETE", r"/evacuation/([^/]+)")
-def evac_end(node: "CoreHub", call: Any, req: Request, site: str) -> None:
+def evac_end(node: "CoreEnvironment", call: Any, req: Request, site: str) -> None:
     """The evacuation is taken back."""
     _evacuate(node=node, call=call, site=site, on=False)
 
 
-def _evacuate(*, node: "CoreHub", call: Any, site: str, on: bool) -> None:
+def _evacuate(*, node: "CoreEnvironment", call: Any, site: str, on: bool) -> None:
     """The order goes with the registry's version that is known here now: a copy that is delayed can't undo a later
     order."""
     node.calls.start(
@@ -134,13 +134,13 @@
 
 
 @declare("GET", r"/state")
-def state(node: "CoreHub", call: Any, req: Request, _arg: str) -> None:
+def state(node: "CoreEnvironment", call: Any, req: Request, _arg: str) -> None:
     """What this node knows, for the operator's command line."""
     node.respond(call=call, res=Response(status=200, body=orjson.dumps(node.describe()), headers=JSON))
 
 
 @declare("GET", r"/jobs/([^/]+)")
-def explain(node: "CoreHub", call: Any, req: Request, job_id: str) -> None:
+def explain(node: "CoreEnvironment", call: Any, req: Request, job_id: str) -> None:
     """Why a job waits: its groups, their last cycle, its place in the queue. Elsewhere than at the placing node, the
     answer names that one (307)."""
     if not is_job_id(text=job_id):
--- a/yarrowloom/node/node_base.py
+++ b/yarrowloom/node/node_base.py
@@ -60,7 +60,7 @@
         self.contact = -9.0  # when any node last answered a heart, in touch or not
         self.proved: dict[str, float] = {}  # when an answer to a call last carried the proof, by node
         self.freshness = Freshness(apply_ms=startup.bound(name="config-apply-ms", default=2000))
-        self.calls = Calls(hub=self, base=first_number(incarnation=incarnation))
+        self.calls = Calls(environment=self, base=first_number(incarnation=incarnation))
 
     # -- outputs
 
--- a/yarrowloom/node/runtime.py
+++ b/yarrowloom/node/runtime.py
@@ -230,7 +230,7 @@
                     await trio.sleep(RETRY_S)
                     continue
                 self.tally.wrote(head=head, bodies=bodies)
-                self.post(fn=partial(node.done, effs=[eff for _, eff in batch]), rank=Rank.URGENT)
+                self.post(fn=partial(node.done, effects=[effect for _, effect in batch]), rank=Rank.URGENT)
 
     @staticmethod
     def _put(ring: Ring, head: list[bytes], bodies: list[bytes]) -> None:
--- a/yarrowloom/replication/election.py
+++ b/yarrowloom/replication/election.py
@@ -55,7 +55,7 @@
         self.first = first
         self.tried: set[str] = set()
         self.phase = Phase.PICK
-        self.since = self.begun = rep.hub.now
+        self.since = self.begun = rep.environment.now
         self.round = 0
         self.tag = ""
         self.inst = -1
@@ -72,7 +72,7 @@
         self.resumed = False  # the copy was proposed before a restart
         self.ok: set[str] = set()
         self.best: tuple[Ballot, Epoch] | None = None
-        self.ballot: Ballot = [0, rep.hub.uid, rep.hub.incarnation]
+        self.ballot: Ballot = [0, rep.environment.uid, rep.environment.incarnation]
         self.value: Epoch | None = None
         self.sent = 0.0
         self.installed: dict[str, float] = {}  # by member: when the oldest INSTALL that it may have answered left
@@ -81,12 +81,12 @@
     def _go(self, phase: Phase) -> None:
         assert phase in MOVES[self.phase], (self.phase, phase)
         self.phase = phase
-        self.since = self.rep.hub.now
+        self.since = self.rep.environment.now
         self.ok = set()
 
     def tick(self) -> None:
         """Time goes on."""
-        hub, age = self.rep.hub, self.rep.hub.now - self.since
+        environment, age = self.rep.environment, self.rep.environment.now - self.since
         if self.phase is Phase.PICK:
             self._pick()
         elif self.phase is Phase.COPY and age <= self.patience:
@@ -102,58 +102,65 @@
                 self.avoid = {u for u in e["b"] if u not in self.ok} if e else set()
                 self.have = []
                 self._go(Phase.PICK)
-            elif hub.now - self.sent > 0.25:
+            elif environment.now - self.sent > 0.25:
                 self._install()
 
     def _keep_calm(self) -> None:
         """The epoch's primary tells its backups that it is at work: a campaign of theirs would only send more copies
         over the same links. Not for ever: one of them may be able to do what this member is not."""
-        hub, e = self.rep.hub, self.rep.wit.seen
-        if e is None or e["p"] != hub.uid or hub.now - self.begun > CALM_S or hub.now - self.calmed < PING_S:
+        environment, e = self.rep.environment, self.rep.wit.seen
+        if (
+            e is None
+            or e["p"] != environment.uid
+            or environment.now - self.begun > CALM_S
+            or environment.now - self.calmed < PING_S
+        ):
             return
-        self.calmed = hub.now
+        self.calmed = environment.now
         for uid in e["b"]:
             if uid not in self.avoid:
-                hub.send(uid=uid, kind=Kind.PING, body={"g": self.rep.group_id, "n": e["n"], "t": hub.now})
+                environment.send(
+                    uid=uid, kind=Kind.PING, body={"g": self.rep.group_id, "n": e["n"], "t": environment.now}
+                )
 
     def _pick(self) -> None:
-        rep, hub = self.rep, self.rep.hub
+        rep, environment = self.rep, self.rep.environment
         e = rep.wit.seen
         assert e is not None
-        if hub.now < rep.rest:
+        if environment.now < rep.rest:
             return
         fresh = self.inst != e["n"] + 1
         if fresh:
             self.have = []
-        rows = [u for u in hub.partners(first=self.first) if u not in self.avoid]
+        rows = [u for u in environment.partners(first=self.first) if u not in self.avoid]
         copies = [u for u in rows if u in self.have]
-        pending = [u for u in rows if u in self.tried and u not in self.have and hub.up(uid=u)]
+        pending = [u for u in rows if u in self.tried and u not in self.have and environment.up(uid=u)]
         untried = [u for u in rows if u not in self.tried and u not in self.have]
-        live = [u for u in untried if hub.up(uid=u)]
-        most = hub.losses()
-        if len(copies) + len(pending) + len(live) < min(most, len(rows)) and hub.now - self.begun < GATHER_S:
+        live = [u for u in untried if environment.up(uid=u)]
+        most = environment.losses()
+        if len(copies) + len(pending) + len(live) < min(most, len(rows)) and environment.now - self.begun < GATHER_S:
             return  # others may be coming up too
         ask = live[: most - len(copies)]
         if not ask and not copies and not pending:
             ask = untried[:1]
         self.goal = min(most, len(copies) + len(pending) + len(ask))
-        if copies and hub.now - self.copying > min(COPY_ENOUGH_S * 2**rep.renewal.short, ENOUGH_MOST_S):
+        if copies and environment.now - self.copying > min(COPY_ENOUGH_S * 2**rep.renewal.short, ENOUGH_MOST_S):
             self.fewer = len(copies) < self.goal  # makes do with these: another epoch follows later
             self.goal = len(copies)
-        solo = not rows and hub.everyone() in ([hub.uid], []) and len(e["w"]) <= 1
-        over = not ask and not copies and hub.now - self.copying > COPY_AGAIN_S
+        solo = not rows and environment.everyone() in ([environment.uid], []) and len(e["w"]) <= 1
+        over = not ask and not copies and environment.now - self.copying > COPY_AGAIN_S
         if (self.goal == 0 or over) and not solo:
             self.tried, self.avoid = set(), set()
-            rep.rest = hub.now + 0.2 * (1 + hub.jitter())
+            rep.rest = environment.now + 0.2 * (1 + environment.jitter())
             return
         self._copy(ask=ask, fresh=fresh, number=e["n"] + 1)
 
     def _copy(self, *, ask: list[str], fresh: bool, number: int) -> None:
         """Send the checkpoint to the members in `ask` and wait until as many as are wanted have synced it."""
-        rep, hub = self.rep, self.rep.hub
+        rep, environment = self.rep, self.rep.environment
         self.asked = ask
         if self.copies and ask:
-            hub.note(
+            environment.note(
                 event="campaign-goes-on",
                 group=rep.group_id,
                 round=self.copies,
@@ -161,9 +168,9 @@
                 have=",".join(self.have),
             )
         if ask:
-            self.patience = min(COPY_S * 2**self.copies, COPY_MOST_S) * (1 + hub.jitter() / 2)
+            self.patience = min(COPY_S * 2**self.copies, COPY_MOST_S) * (1 + environment.jitter() / 2)
             self.copies += 1
-            self.copying = hub.now if fresh or not self.tried else self.copying
+            self.copying = environment.now if fresh or not self.tried else self.copying
         else:
             self.patience = COPY_LOOK_S
         self._go(Phase.COPY)
@@ -171,22 +178,22 @@
             self._propose(inst=number)
         rec = rep.spares[self.tag]
         for uid in ask:
-            hub.send(uid=uid, kind=Kind.CKPT, body={k: rec[k] for k in ("g", "inst", "tag", "applied", "st")})
+            environment.send(uid=uid, kind=Kind.CKPT, body={k: rec[k] for k in ("g", "inst", "tag", "applied", "st")})
         self._copied()
 
     def _propose(self, *, inst: int) -> None:
         """Write the copy that the next epoch is to begin with, or go on with the one from before a restart."""
-        rep, hub = self.rep, self.rep.hub
+        rep, environment = self.rep, self.rep.environment
         self.inst, self.near = inst, False
         rec = rep.proposed(n=inst)
         if rec is not None:
             self.resumed = True
-            hub.write(rec={"k": "none", "g": rep.group_id}, done=("copied", rep.group_id, rec["tag"]))
+            environment.write(rec={"k": "none", "g": rep.group_id}, done=("copied", rep.group_id, rec["tag"]))
         else:
             self.text = self.text or encode(state=rep.state)
-            tag = f"{hub.uid}/{hub.now:.4f}/{int(hub.jitter() * 1e9)}"
+            tag = f"{environment.uid}/{environment.now:.4f}/{int(environment.jitter() * 1e9)}"
             rec = {"k": "ck", "g": rep.group_id, "inst": inst, "tag": tag, "applied": rep.applied, "st": self.text}
-            hub.write(rec=rec, done=("copied", rep.group_id, tag))
+            environment.write(rec=rec, done=("copied", rep.group_id, tag))
             rep.keep(rec=rec)
         self.tag = rec["tag"]
 
@@ -207,10 +214,10 @@
             assert e is not None
             self.value = {
                 "n": e["n"] + 1,
-                "p": self.rep.hub.uid,
+                "p": self.rep.environment.uid,
                 "b": copies[: self.goal],
                 "t": self.tag,
-                "w": self.rep.hub.witnesses(have=e["w"]),
+                "w": self.rep.environment.witnesses(have=e["w"]),
             }
             self._prepare()
 
@@ -218,17 +225,17 @@
         e = self.rep.wit.seen
         assert e is not None
         self._go(Phase.PREPARE)
-        self.patience = min(VOTE_S * (1 + self.votes / 2), VOTE_MOST_S) * (1 + self.rep.hub.jitter())
+        self.patience = min(VOTE_S * (1 + self.votes / 2), VOTE_MOST_S) * (1 + self.rep.environment.jitter())
         self.votes += 1
         if self.votes > 2:
-            self.rep.hub.note(
+            self.rep.environment.note(
                 event="campaign-votes-again", group=self.rep.group_id, round=self.votes, witnesses=",".join(e["w"])
             )
         self.round += 1
         self.best = None
-        self.ballot = [self.round, self.rep.hub.uid, self.rep.hub.incarnation]
+        self.ballot = [self.round, self.rep.environment.uid, self.rep.environment.incarnation]
         for uid in e["w"]:
-            self.rep.hub.send(
+            self.rep.environment.send(
                 uid=uid, kind=Kind.PREP, body={"g": self.rep.group_id, "n": e["n"] + 1, "bal": self.ballot, "cert": e}
             )
 
@@ -259,7 +266,7 @@
                 self._go(Phase.ACCEPT)
                 self.best = (self.ballot, val)
                 for wit in e["w"]:
-                    self.rep.hub.send(
+                    self.rep.environment.send(
                         uid=wit,
                         kind=Kind.ACCEPT,
                         body={"g": self.rep.group_id, "n": e["n"] + 1, "bal": self.ballot, "val": val, "cert": e},
@@ -272,7 +279,7 @@
                 self.rep.learn(val)
                 if self.rep.camp is not self:
                     for peer in sorted({*old["w"], *val["w"], val["p"], *val["b"]} - {""}):
-                        self.rep.hub.send(uid=peer, kind=Kind.INSTALL, body={"g": self.rep.group_id, "e": val})
+                        self.rep.environment.send(uid=peer, kind=Kind.INSTALL, body={"g": self.rep.group_id, "e": val})
 
     def decided(self, *, epoch: Epoch) -> None:
         """The epoch that this campaign proposed is decided."""
@@ -285,9 +292,9 @@
 
     def _install(self) -> None:
         assert self.value is not None
-        self.sent = self.rep.hub.now
-        for peer in sorted({*self.value["w"], *self.value["b"], *self.rep.hub.everyone()} - {"", *self.ok}):
-            self.rep.hub.send(
+        self.sent = self.rep.environment.now
+        for peer in sorted({*self.value["w"], *self.value["b"], *self.rep.environment.everyone()} - {"", *self.ok}):
+            self.rep.environment.send(
                 uid=peer, kind=Kind.INSTALL, body={"g": self.rep.group_id, "e": self.value, "t": self.sent}
             )
 
--- a/yarrowloom/replication/environment.py
+++ b/yarrowloom/replication/environment.py
@@ -14,7 +14,7 @@
 class Reducer(Protocol):
     """The state of a group: changes only by events."""
 
-    def apply(self, ev: dict[str, Any]) -> Any:
+    def apply(self, event: dict[str, Any]) -> Any:
         """Take one event; what it returns are effects as data."""
 
     def dump(self) -> Any:
@@ -35,7 +35,7 @@
     return orjson.loads(text) if isinstance(text, str) else text
 
 
-class Hub(Protocol):
+class ReplicaEnvironment(Protocol):
     """What a replica needs of its node."""
 
     now: float
@@ -48,7 +48,7 @@
     def write(self, *, rec: dict[str, Any], done: tuple[Any, ...]) -> None:
         """To disk; `done` comes back as an effect once synced."""
 
-    def effect(self, *, eff: tuple[Any, ...]) -> None:
+    def effect(self, *, effect: tuple[Any, ...]) -> None:
         """Carry out an effect that is now durable."""
 
     def partners(self, *, first: list[str]) -> list[str]:
--- a/yarrowloom/replication/handover.py
+++ b/yarrowloom/replication/handover.py
@@ -3,7 +3,7 @@
 from typing import Protocol
 
 from ..transport.envelope import Kind
-from .environment import Hub, Role
+from .environment import ReplicaEnvironment, Role
 from .epoch import Epoch, Witness
 from .leader_lease import Lease
 from .timing import LEAVE_S, RELIEF_S
@@ -13,7 +13,7 @@
     """What relief needs of the replica that it belongs to."""
 
     group_id: int
-    hub: Hub
+    environment: ReplicaEnvironment
     wit: Witness
     role: Role
     base: int
@@ -31,27 +31,27 @@
         """Have a backup take over at once."""
 
 
-def substitutes(*, hub: Hub, epoch: Epoch) -> list[str]:
+def substitutes(*, environment: ReplicaEnvironment, epoch: Epoch) -> list[str]:
     """Live members that hold nothing of the epoch yet."""
     holders = (epoch["p"], *epoch["b"])
-    return [u for u in hub.partners(first=[]) if u not in holders and hub.up(uid=u)]
+    return [u for u in environment.partners(first=[]) if u not in holders and environment.up(uid=u)]
 
 
-def copied_elsewhere(*, hub: Hub, epoch: Epoch | None) -> bool:
+def copied_elsewhere(*, environment: ReplicaEnvironment, epoch: Epoch | None) -> bool:
     """Another live member holds all that was confirmed, or this one holds nothing."""
-    if epoch is None or hub.uid not in (epoch["p"], *epoch["b"]):
+    if epoch is None or environment.uid not in (epoch["p"], *epoch["b"]):
         return True
-    return any(u != hub.uid and hub.up(uid=u) for u in (epoch["p"], *epoch["b"]))
+    return any(u != environment.uid and environment.up(uid=u) for u in (epoch["p"], *epoch["b"]))
 
 
-def may_end(*, hub: Hub, epoch: Epoch | None, asked_s: float) -> bool:
+def may_end(*, environment: ReplicaEnvironment, epoch: Epoch | None, asked_s: float) -> bool:
     """No epoch needs this member any more; or another holder is there, and no further one is to be had or has been
     found in RELIEF_S; or no other member is known at all. `asked_s`: how long it has been leaving."""
-    if epoch is None or hub.uid not in (epoch["p"], *epoch["b"]) or not hub.partners(first=[]):
+    if epoch is None or environment.uid not in (epoch["p"], *epoch["b"]) or not environment.partners(first=[]):
         return True
-    if not copied_elsewhere(hub=hub, epoch=epoch):
+    if not copied_elsewhere(environment=environment, epoch=epoch):
         return False
-    return asked_s >= RELIEF_S or not substitutes(hub=hub, epoch=epoch)
+    return asked_s >= RELIEF_S or not substitutes(environment=environment, epoch=epoch)
 
 
 class Relief:
@@ -68,26 +68,26 @@
     def begin(self) -> None:
         """This process is about to end."""
         self.leaving = True
-        self._begun = self._member.hub.now
+        self._begun = self._member.environment.now
         self._asked = -LEAVE_S
         if not self._member.electing:
             self.tick()
 
     def asked_s(self) -> float:
         """Seconds since this member began to leave."""
-        return self._member.hub.now - self._begun
+        return self._member.environment.now - self._begun
 
     def tick(self) -> None:
         """Called a few times a second while there is no campaign."""
         member = self._member
         epoch = member.wit.seen
-        if not self.leaving or epoch is None or member.hub.now - self._asked < LEAVE_S:
+        if not self.leaving or epoch is None or member.environment.now - self._asked < LEAVE_S:
             return
-        if self.asked_s() >= RELIEF_S and copied_elsewhere(hub=member.hub, epoch=epoch):
+        if self.asked_s() >= RELIEF_S and copied_elsewhere(environment=member.environment, epoch=epoch):
             return  # several leave at once: they would only hand the copy to and fro
-        self._asked = member.hub.now
+        self._asked = member.environment.now
         if member.role is Role.BACKUP:
-            member.hub.send(uid=epoch["p"], kind=Kind.YIELD, body={"g": member.group_id, "n": epoch["n"]})
+            member.environment.send(uid=epoch["p"], kind=Kind.YIELD, body={"g": member.group_id, "n": epoch["n"]})
         elif member.role is Role.PRIMARY:
             self._hand_over(epoch=epoch)
 
@@ -98,7 +98,7 @@
         answering = [uid for uid in epoch["b"] if uid not in silent]
         if answering:
             member.give_up(to=answering[0])
-        elif substitutes(hub=member.hub, epoch=epoch):
+        elif substitutes(environment=member.environment, epoch=epoch):
             member.take(why="leaving", avoid=silent)
 
     def asked(self, *, uid: str, number: int) -> None:
@@ -108,5 +108,5 @@
         if member.role is Role.BACKUP and member.base == number:
             member.take(why="yielded", avoid=[uid])
         elif member.role is Role.PRIMARY and epoch is not None and epoch["n"] == number and uid in epoch["b"]:
-            if substitutes(hub=member.hub, epoch=epoch):
+            if substitutes(environment=member.environment, epoch=epoch):
                 member.take(why="backup-leaves", avoid=[uid])
--- a/yarrowloom/replication/leader_lease.py
+++ b/yarrowloom/replication/leader_lease.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from ..transport.envelope import Kind
-from .environment import Hub
+from .environment import ReplicaEnvironment
 from .epoch import Epoch
 from .quorum_contact import Contact
 from .timing import CONTACT_PING_S, CONTACT_WAIT_S, DOUBT_S, PING_S, PROMISE_S
@@ -15,10 +15,10 @@
     """Invariants: `until` is at most PROMISE_S after the time at which the question was sent that the backup longest
     silent has answered; a primary without `contact` stays one, asks on, and serves again once it is back."""
 
-    def __init__(self, *, hub: Hub, group_id: int) -> None:
+    def __init__(self, *, environment: ReplicaEnvironment, group_id: int) -> None:
         self.until = 0.0
         self.contact = Contact()
-        self._hub = hub
+        self._environment = environment
         self._group = group_id
         self._answers: dict[str, float] = {}  # by backup: when the last question that it answered was sent
         self._pinged = 0.0
@@ -28,7 +28,7 @@
 
     def valid(self) -> bool:
         """A primary may serve now."""
-        return self._hub.now < self.until and self._hub.now < self.contact.until
+        return self._environment.now < self.until and self._environment.now < self.contact.until
 
     def in_contact(self) -> bool:
         """Contact with the witnesses was there when it was last looked at."""
@@ -37,9 +37,9 @@
     def start(self, *, epoch: Epoch, answers: dict[str, float]) -> None:
         """An epoch is installed; `answers`: by member, when the INSTALL was sent that it answered."""
         self._answers = {backup: answers[backup] for backup in epoch["b"]}
-        self.until = min(self._answers.values(), default=self._hub.now) + PROMISE_S
+        self.until = min(self._answers.values(), default=self._environment.now) + PROMISE_S
         self._apart = None
-        self.contact.begin(epoch=epoch, uid=self._hub.uid)
+        self.contact.begin(epoch=epoch, uid=self._environment.uid)
         for uid, sent in answers.items():
             self.contact.heard(uid=uid, sent=sent)
 
@@ -55,22 +55,22 @@
 
     def silent(self, *, epoch: Epoch, awake: float, patience: float = DOUBT_S) -> list[str]:
         """Backups that have not answered for longer than `patience`; this process last stood still at `awake`."""
-        return [u for u in epoch["b"] if self._hub.now > max(self._answers.get(u, NEVER_S), awake) + patience]
+        return [u for u in epoch["b"] if self._environment.now > max(self._answers.get(u, NEVER_S), awake) + patience]
 
     def watch(self) -> None:
         """Note when contact is lost and when it is back."""
-        now = self._hub.now
+        now = self._environment.now
         lost = now >= self.contact.until
         if lost and self._apart is None:
             self._apart = now
-            self._hub.note(event="contact-lost", group=self._group)
+            self._environment.note(event="contact-lost", group=self._group)
         elif not lost and self._apart is not None:
-            self._hub.note(event="contact-back", group=self._group, s=round(now - self._apart, 2))
+            self._environment.note(event="contact-back", group=self._group, s=round(now - self._apart, 2))
             self._apart = None
 
     def ask(self, *, epoch: Epoch) -> None:
         """Ask the backups for their lease and the other witnesses, less often, for contact."""
-        now = self._hub.now
+        now = self._environment.now
         if not epoch["b"]:
             self.until = now + PROMISE_S
         question: dict[str, Any] = {"g": self._group, "n": epoch["n"], "t": now}
@@ -79,15 +79,15 @@
         if now - self._pinged >= PING_S:
             self._pinged = now
             for uid in epoch["b"]:
-                self._hub.send(uid=uid, kind=Kind.PING, body=question)
+                self._environment.send(uid=uid, kind=Kind.PING, body=question)
         self._probe(question=question, witnesses=[u for u in epoch["w"] if u not in epoch["b"]])
 
     def _probe(self, *, question: dict[str, Any], witnesses: list[str]) -> None:
-        if self._hub.now - self._probed >= CONTACT_PING_S:
-            self._probed = self._hub.now
+        if self._environment.now - self._probed >= CONTACT_PING_S:
+            self._probed = self._environment.now
             for uid in witnesses:
-                if uid != self._hub.uid:
-                    self._hub.send(uid=uid, kind=Kind.PING, body=question)
+                if uid != self._environment.uid:
+                    self._environment.send(uid=uid, kind=Kind.PING, body=question)
 
     def answer(
         self, *, epoch: Epoch | None, asker: str, question: dict[str, Any], renews: bool
@@ -97,21 +97,21 @@
         has ended the lease before. To a primary that lost contact a backup tells whether it has it, and looks."""
         if epoch is None or epoch["n"] != question["n"]:
             return None
-        if self._hub.uid not in epoch["b"]:
-            return question if self._hub.uid in epoch["w"] else None
+        if self._environment.uid not in epoch["b"]:
+            return question if self._environment.uid in epoch["w"] else None
         if not renews:
             return None
         if asker != epoch["p"] or not question.get("apart"):
             return question
-        self.contact.begin(epoch=epoch, uid=self._hub.uid)
-        own = {"g": self._group, "n": epoch["n"], "t": self._hub.now}
+        self.contact.begin(epoch=epoch, uid=self._environment.uid)
+        own = {"g": self._group, "n": epoch["n"], "t": self._environment.now}
         self._probe(question=own, witnesses=epoch["w"])
-        return {**question, "contact": self._hub.now < self.contact.until}
+        return {**question, "contact": self._environment.now < self.contact.until}
 
     def better_off(self, *, answer: dict[str, Any]) -> bool:
         """Contact is lost here, and a backup has told for a while that it has it: after a cut that heals, this member
         has it back by then."""
-        now = self._hub.now
+        now = self._environment.now
         if self._apart is None or not answer.get("contact"):
             self._elsewhere = None
             return False
--- a/yarrowloom/replication/reconfiguration.py
+++ b/yarrowloom/replication/reconfiguration.py
@@ -1,6 +1,6 @@
 """When a primary asks for another set of witnesses or backups although all that it has answer."""
 
-from .environment import Hub
+from .environment import ReplicaEnvironment
 from .epoch import Epoch
 from .timing import RISK_S, WANT_S
 
@@ -43,22 +43,24 @@
         """An epoch of this primary is installed; `fewer`: without backups that were slow to copy the state."""
         self.short = min(self.short + 1, SHORT_MOST) if fewer else 0
 
-    def reason(self, *, hub: Hub, epoch: Epoch) -> str:
+    def reason(self, *, environment: ReplicaEnvironment, epoch: Epoch) -> str:
         """Why an election is due; empty: it is not."""
-        now, have = hub.now, epoch["w"]
-        witnesses = frozenset(hub.witnesses(have=have))
+        now, have = environment.now, epoch["w"]
+        witnesses = frozenset(environment.witnesses(have=have))
         waited = self._witnesses.same(members=witnesses, now=now)
-        small = len(have) < 2 * hub.losses() + 1 and len(witnesses) > len(have)
-        live = sum(hub.up(uid=u) for u in have)
-        at_risk = 2 * (live - hub.losses()) <= len(have)
+        small = len(have) < 2 * environment.losses() + 1 and len(witnesses) > len(have)
+        live = sum(environment.up(uid=u) for u in have)
+        at_risk = 2 * (live - environment.losses()) <= len(have)
         if witnesses != frozenset(have) and (small or waited >= (RISK_S if at_risk else WANT_S)):
             return "witnesses"
         holders = [epoch["p"], *epoch["b"]]
-        if len(epoch["b"]) < hub.losses():
-            spare = frozenset(u for u in hub.partners(first=epoch["b"]) if u not in holders and hub.up(uid=u))
+        if len(epoch["b"]) < environment.losses():
+            spare = frozenset(
+                u for u in environment.partners(first=epoch["b"]) if u not in holders and environment.up(uid=u)
+            )
             if spare and self._backups.some(members=spare, now=now) >= RISK_S * 2**self.short:
                 return "backups"
-        elsewhere = frozenset(hub.other_zones(holders=holders)) if epoch["b"] else frozenset()
+        elsewhere = frozenset(environment.other_zones(holders=holders)) if epoch["b"] else frozenset()
         if elsewhere and self._zones.some(members=elsewhere, now=now) >= WANT_S:
             return "zones"
         return ""
--- a/yarrowloom/replication/replica.py
+++ b/yarrowloom/replication/replica.py
@@ -5,7 +5,7 @@
 from ..transport.envelope import Kind
 from .batch import Batch
 from .election import Campaign
-from .environment import MOVES, Hub, Reducer, Role
+from .environment import MOVES, Reducer, ReplicaEnvironment, Role
 from .epoch import Epoch, check_epoch
 from .handover import Relief
 from .leader_lease import Lease
@@ -22,11 +22,11 @@
     leaves, also not after a restart. What a restarted member has is a beginning of its epoch's events with all that
     were confirmed: a proposal, which counts once the backups of a new epoch have copied it."""
 
-    def __init__(self, *, group_id: int, hub: Hub, state: Reducer, epoch: Epoch | None) -> None:
-        super().__init__(group_id=group_id, uid=hub.uid, state=state, epoch=epoch)
-        self.hub = hub
+    def __init__(self, *, group_id: int, environment: ReplicaEnvironment, state: Reducer, epoch: Epoch | None) -> None:
+        super().__init__(group_id=group_id, uid=environment.uid, state=state, epoch=epoch)
+        self.environment = environment
         self.role = Role.IDLE
-        self.lease = Lease(hub=hub, group_id=group_id)
+        self.lease = Lease(environment=environment, group_id=group_id)
         self.heard = 0.0
         self.rest = 0.0
         self.camp: Campaign | None = None
@@ -36,7 +36,7 @@
         self.awake = 0.0  # when this process last stood still: silence counts from then
         self.renewal = Renewal()
         self.relief = Relief(member=self)
-        if epoch is not None and epoch["n"] == 0 and hub.uid in (epoch["p"], *epoch["b"]):
+        if epoch is not None and epoch["n"] == 0 and environment.uid in (epoch["p"], *epoch["b"]):
             self.base = 0
             self._place()
 
@@ -56,10 +56,10 @@
         """May act as the primary right now."""
         return self.role is Role.PRIMARY and self.lease.valid()
 
-    def commit(self, *, ev: dict[str, Any], then: tuple[Any, ...] | None = None) -> Any:
+    def commit(self, *, event: dict[str, Any], then: tuple[Any, ...] | None = None) -> Any:
         """Apply an event; `then` is carried out once it is durable. Only while serving."""
-        result = self._apply(event=ev)
-        self.queue.append((ev, then))
+        result = self._apply(event=event)
+        self.queue.append((event, then))
         return result
 
     def _apply(self, *, event: dict[str, Any]) -> Any:
@@ -68,7 +68,7 @@
         try:
             result = self.state.apply(event)
         except Exception as err:
-            self.hub.note(
+            self.environment.note(
                 event="copy-void", group=self.group_id, epoch=self.base, number=self.applied + 1, cause=repr(err)
             )
             self.base = -1
@@ -84,7 +84,7 @@
         elif self.in_flight is not None:
             self.in_flight.effects.append(then)
         else:
-            self.hub.effect(eff=then)
+            self.environment.effect(effect=then)
 
     # -- roles
 
@@ -100,7 +100,7 @@
             self.queue.clear()
             self.in_flight = None
             self.camp = None
-            self.hub.deposed(group_id=self.group_id)
+            self.environment.deposed(group_id=self.group_id)
 
     def _place(self) -> None:
         """Take the part that the known epoch gives."""
@@ -110,12 +110,12 @@
         if not mine and self._unpack(epoch=e):
             mine = True
         self._prune(n=e["n"])
-        if mine and e["p"] == self.hub.uid:
+        if mine and e["p"] == self.environment.uid:
             self._become(Role.LAPSED)
-            self.rest = max(self.rest, self.hub.now + 0.05)
-        elif mine and self.hub.uid in e["b"]:
+            self.rest = max(self.rest, self.environment.now + 0.05)
+        elif mine and self.environment.uid in e["b"]:
             self._become(Role.LAPSED if self.proposed(n=e["n"] + 1) else Role.BACKUP)
-            self.heard = self.hub.now
+            self.heard = self.environment.now
         elif self.role is not Role.IDLE:
             self._become(Role.IDLE)
 
@@ -125,10 +125,10 @@
         if not self.wit.learn(epoch):
             return
         self._save(done=("none",))
-        self.hub.installed(group_id=self.group_id, epoch=epoch)
+        self.environment.installed(group_id=self.group_id, epoch=epoch)
         camp = self.camp
         # An earlier life may have served in an epoch whose copy it proposed: this one goes on to the next.
-        if camp is not None and epoch["p"] == self.hub.uid and epoch["t"] == camp.tag and not camp.resumed:
+        if camp is not None and epoch["p"] == self.environment.uid and epoch["t"] == camp.tag and not camp.resumed:
             self.base = epoch["n"]
             self._prune(n=epoch["n"])
             camp.decided(epoch=epoch)
@@ -136,7 +136,7 @@
         self._place()
 
     def _save(self, *, done: tuple[Any, ...]) -> None:
-        self.hub.write(rec={"k": "w", "g": self.group_id, **self.wit.dump()}, done=done)
+        self.environment.write(rec={"k": "w", "g": self.group_id, **self.wit.dump()}, done=done)
 
     # -- disk
 
@@ -148,7 +148,7 @@
         """All is replayed: take the part that the disk tells."""
         self.role = Role.IDLE
         e = self.wit.seen
-        if e is not None and self.base == e["n"] and self.hub.uid in (e["p"], *e["b"]):
+        if e is not None and self.base == e["n"] and self.environment.uid in (e["p"], *e["b"]):
             own = self.proposed(n=e["n"] + 1)
             if own is not None:
                 self._load(epoch=e["n"], rec=own)  # has also what was applied and not yet on disk
@@ -158,7 +158,7 @@
 
     def tick(self) -> None:
         """Called a few times a second."""
-        now = self.hub.now
+        now = self.environment.now
         if self.camp is not None:
             self.camp.tick()
             return
@@ -175,27 +175,27 @@
     def _turn(self) -> float:
         """Seconds that this backup waits for those named before it to take over."""
         e = self.wit.seen
-        return TURN_S * e["b"].index(self.hub.uid) if e is not None and self.hub.uid in e["b"] else 0.0
+        return TURN_S * e["b"].index(self.environment.uid) if e is not None and self.environment.uid in e["b"] else 0.0
 
     def give_up(self, *, to: str = "") -> None:
         """Have a backup take over at once; `to` names the one that should."""
         e = self.wit.seen
         assert e is not None
         self.lease.end()
-        order = [to] if to else [u for u in self.hub.partners(first=e["b"]) if u in e["b"]]
+        order = [to] if to else [u for u in self.environment.partners(first=e["b"]) if u in e["b"]]
         for uid in (order or e["b"])[:1]:
-            self.hub.send(uid=uid, kind=Kind.YIELD, body={"g": self.group_id, "n": e["n"]})
+            self.environment.send(uid=uid, kind=Kind.YIELD, body={"g": self.group_id, "n": e["n"]})
         self._become(Role.LAPSED)
-        self.rest = self.hub.now + REST_S
+        self.rest = self.environment.now + REST_S
 
     def thawed(self) -> None:
         """The process stood still: silence of others, and of the own disk, proves nothing yet."""
-        self.awake = self.hub.now
-        self.heard = max(self.heard, self.hub.now)
-        self.rest = max(self.rest, self.hub.now + 0.3)
+        self.awake = self.environment.now
+        self.heard = max(self.heard, self.environment.now)
+        self.rest = max(self.rest, self.environment.now + 0.3)
 
     def _serve(self) -> None:
-        now, e = self.hub.now, self.wit.seen
+        now, e = self.environment.now, self.wit.seen
         assert e is not None
         self.lease.watch()
         self.lease.ask(epoch=e)
@@ -216,7 +216,7 @@
             self.take(why="backup-silent", avoid=silent)
         elif now >= self.reset and self.lease.in_contact():
             self.reset = now + RENEW_S
-            why = self.renewal.reason(hub=self.hub, epoch=e)
+            why = self.renewal.reason(environment=self.environment, epoch=e)
             if why:
                 self.take(why=why)
 
@@ -233,7 +233,7 @@
             self.in_flight.acknowledged_by.add(uid)
             self._landed()
         elif self.lease.better_off(answer=m):
-            self.hub.note(event="yield-for-contact", group=self.group_id, to=uid)
+            self.environment.note(event="yield-for-contact", group=self.group_id, to=uid)
             self.give_up(to=uid)
 
     def hand_over(self) -> None:
@@ -243,7 +243,7 @@
     def take(self, *, why: str, avoid: list[str] | None = None) -> None:
         """Campaign to be the primary of the next epoch."""
         assert self.wit.seen is not None
-        self.hub.note(event="campaign", group=self.group_id, why=why, after=self.wit.seen["n"])
+        self.environment.note(event="campaign", group=self.group_id, why=why, after=self.wit.seen["n"])
         self._become(Role.TAKING)
         self.camp = Campaign(rep=self, why=why, avoid=set(avoid or ()), first=self.wit.seen["b"])
         self.camp.tick()
@@ -254,15 +254,15 @@
         """Send the next batch, one at a time."""
         if self.in_flight is not None or not self.queue or not self.serving():
             return
-        events = [ev for ev, _ in self.queue if ev is not None]
-        effects = [eff for _, eff in self.queue if eff is not None]
+        events = [event for event, _ in self.queue if event is not None]
+        effects = [effect for _, effect in self.queue if effect is not None]
         self.queue = []
         last = self.applied  # what waits here is the newest of what is applied
         first = last - len(events) + 1
         e = self.wit.seen
         assert e is not None
-        self.in_flight = Batch(first=first, last=last, events=events, effects=effects, begun_at=self.hub.now)
-        self.hub.write(
+        self.in_flight = Batch(first=first, last=last, events=events, effects=effects, begun_at=self.environment.now)
+        self.environment.write(
             rec={"k": "lg", "g": self.group_id, "n": e["n"], "first": first, "evs": events},
             done=("near", self.group_id, e["n"], last),
         )
@@ -272,10 +272,10 @@
     def _fire(self) -> None:
         e, batch = self.wit.seen, self.in_flight
         assert e is not None and batch is not None
-        batch.sent_at = self.hub.now
+        batch.sent_at = self.environment.now
         for uid in e["b"]:
             if uid not in batch.acknowledged_by:
-                self.hub.send(
+                self.environment.send(
                     uid=uid,
                     kind=Kind.LOG,
                     body={
@@ -283,7 +283,7 @@
                         "n": e["n"],
                         "first": batch.first,
                         "evs": batch.events,
-                        "t": self.hub.now,
+                        "t": self.environment.now,
                     },
                 )
 
@@ -305,21 +305,23 @@
         ):
             return
         self.in_flight = None
-        for eff in batch.effects:
-            self.hub.effect(eff=eff)
+        for effect in batch.effects:
+            self.environment.effect(effect=effect)
         self.flush()
 
     def activate(self) -> None:
         """The campaign is won and installed: all disks hold the whole state."""
         e = self.wit.seen
         assert e is not None
-        effs = (self.in_flight.effects if self.in_flight else []) + [eff for _, eff in self.queue if eff is not None]
+        effects = (self.in_flight.effects if self.in_flight else []) + [
+            effect for _, effect in self.queue if effect is not None
+        ]
         self.queue, self.in_flight, self.camp = [], None, None
         self._become(Role.PRIMARY)
-        self.reset = self.hub.now + 1.0
-        self.hub.elected(group_id=self.group_id)
-        for eff in effs:
-            self.hub.effect(eff=eff)
+        self.reset = self.environment.now + 1.0
+        self.environment.elected(group_id=self.group_id)
+        for effect in effects:
+            self.environment.effect(effect=effect)
 
     # -- messages
 
@@ -334,7 +336,9 @@
                 rec = {key: m[key] for key in ("inst", "tag", "st")}
                 rec.update(k="ck", g=self.group_id, applied=int(m["applied"]))
                 self.keep(rec=rec)
-                self.hub.write(rec=rec, done=("send", uid, int(Kind.CKPTOK), {"g": self.group_id, "tag": m["tag"]}))
+                self.environment.write(
+                    rec=rec, done=("send", uid, int(Kind.CKPTOK), {"g": self.group_id, "tag": m["tag"]})
+                )
         elif kind is Kind.LOG:
             self._log(uid=uid, m=m)
         elif kind is Kind.PING:
@@ -342,8 +346,8 @@
             answer = self.lease.answer(epoch=self.wit.seen, asker=uid, question=m, renews=renews)
             if answer is not None and self.wit.seen is not None:
                 if renews and uid == self.wit.seen["p"]:
-                    self.heard = self.hub.now
-                self.hub.send(uid=uid, kind=Kind.PONG, body=answer)
+                    self.heard = self.environment.now
+                self.environment.send(uid=uid, kind=Kind.PONG, body=answer)
         elif kind is Kind.YIELD:
             self.relief.asked(uid=uid, number=m["n"])
         elif kind is Kind.PONG or kind is Kind.LOGOK:
@@ -357,10 +361,10 @@
         e = self.wit.seen
         if e is None or e["n"] != m["e"]["n"]:
             return
-        if self.hub.uid in e["b"]:
+        if self.environment.uid in e["b"]:
             if self.role is not Role.BACKUP or self.base != e["n"]:
                 return
-            self.heard = self.hub.now
+            self.heard = self.environment.now
         self._save(done=("send", uid, int(Kind.INSTALLED), {"g": self.group_id, "n": e["n"], "t": m.get("t")}))
 
     def _vote(self, *, uid: str, kind: Kind, m: dict[str, Any]) -> None:
@@ -378,17 +382,17 @@
         if res["ok"]:
             self._save(done=("send", uid, int(back), body))
         else:
-            self.hub.send(uid=uid, kind=back, body=body)
+            self.environment.send(uid=uid, kind=back, body=body)
 
     def _log(self, *, uid: str, m: dict[str, Any]) -> None:
         if self.role is not Role.BACKUP or self.base != m["n"]:
             return
-        self.heard = self.hub.now
+        self.heard = self.environment.now
         last = m["first"] + len(m["evs"]) - 1
         try:
             fresh = unapplied(first=m["first"], events=m["evs"], applied=self.applied)
         except ReplayError as err:
-            self.hub.note(event="log-gap", group=self.group_id, epoch=self.base, cause=err.text)
+            self.environment.note(event="log-gap", group=self.group_id, epoch=self.base, cause=err.text)
             return
         rec: dict[str, Any] = {"k": "none", "g": self.group_id}
         if fresh:
@@ -398,6 +402,6 @@
                 self._apply(event=event)
         except Exception:  # noted, and the copy is void; the primary replaces a backup that does not answer
             return
-        self.hub.write(
+        self.environment.write(
             rec=rec, done=("send", uid, int(Kind.LOGOK), {"g": self.group_id, "n": m["n"], "last": last, "t": m["t"]})
         )
--- a/yarrowloom/scheduling/admission.py
+++ b/yarrowloom/scheduling/admission.py
@@ -31,7 +31,7 @@
             else:
                 self.effects(
                     self.rep.commit(
-                        ev={"t": "cancel", "id": job_id, "at": int(self.hub.wall * 1000)},
+                        event={"t": "cancel", "id": job_id, "at": int(self.environment.wall * 1000)},
                         then=("reply", uid, request_id, 200, {}),
                     )
                 )
@@ -43,28 +43,32 @@
         if "cv" in b and self._unrouted(b=b):
             self._refuse_route(uid=uid, request_id=request_id, b=b)
             return
-        row = {**b["j"], "q": b["q"], "at": int(self.hub.wall * 1000)}
+        row = {**b["j"], "q": b["q"], "at": int(self.environment.wall * 1000)}
         why = self._refusal(job=row)
         if why:
-            self.hub.reply(uid=uid, request_id=request_id, status=429, doc={"error": why})
+            self.environment.reply(uid=uid, request_id=request_id, status=429, doc={"error": why})
             return
         self.live += 1
-        self.effects(self.rep.commit(ev={"t": "job", "id": job_id, "j": row}, then=("reply", uid, request_id, 200, {})))
+        self.effects(
+            self.rep.commit(event={"t": "job", "id": job_id, "j": row}, then=("reply", uid, request_id, 200, {}))
+        )
         self.pump()
 
     def _unrouted(self, *, b: dict[str, Any]) -> bool:
         """Whether an edge routed a call by an older configuration than this node's, in which the queue is gone, or
         in which the path (told while the edge's may be out of date) is not the queue's."""
-        if self.hub.stamp() <= b["cv"]:
+        if self.environment.stamp() <= b["cv"]:
             return False
-        if self.hub.route(name=b["q"]) is None:
+        if self.environment.route(name=b["q"]) is None:
             return True
-        return "at" in b and self.hub.select(host=b["at"][0], path=b["at"][1]) != b["q"]
+        return "at" in b and self.environment.select(host=b["at"][0], path=b["at"][1]) != b["q"]
 
     def _refuse_route(self, *, uid: str, request_id: int, b: dict[str, Any]) -> None:
         """404 where the path leads nowhere for sure; else the caller is to ask again."""
-        nowhere = "at" in b and not self.hub.select(host=b["at"][0], path=b["at"][1])
-        self.hub.reply(uid=uid, request_id=request_id, status=404 if nowhere else 503, doc={"error": "no such queue"})
+        nowhere = "at" in b and not self.environment.select(host=b["at"][0], path=b["at"][1])
+        self.environment.reply(
+            uid=uid, request_id=request_id, status=404 if nowhere else 503, doc={"error": "no such queue"}
+        )
 
     def _refusal(self, *, job: dict[str, Any]) -> str:
         """Why a job can't be taken: too many in hand, or what waits before it would take so long that it could earn
--- a/yarrowloom/scheduling/binding.py
+++ b/yarrowloom/scheduling/binding.py
@@ -92,7 +92,7 @@
         self.asks[self.request_id] = LeaseAsk(
             request_id=self.request_id,
             agent=agent,
-            at=self.hub.now,
+            at=self.environment.now,
             size=group.size,
             attempt=att,
             on=on,
@@ -116,7 +116,7 @@
         }
         if group.gang:
             body.update(all=True, mark=MARK_S)
-        self.hub.send(uid=agent, kind=Kind.LEASE, body=body)
+        self.environment.send(uid=agent, kind=Kind.LEASE, body=body)
 
     def _there(self, *, group: Group) -> dict[str, int]:
         """Members that run or are on their way, by minion."""
@@ -138,14 +138,21 @@
             del self.asks[ask.request_id]
             self._landed(ask=ask)
         if b.get("r"):
-            self.room.report(uid=uid, rows=b["r"], shut=[], now=self.hub.now)
+            self.room.report(uid=uid, rows=b["r"], shut=[], now=self.environment.now)
         got: list[Held] = []
         size = ask.size if ask is not None else Size(*b["size"])
         for lease_id, minion_id, seq in b["x"]:
             spot = self.room.spots.get(minion_id)
             if spot is not None and spot.seq == seq:
                 got.append(
-                    Held(agent=uid, minion_id=minion_id, lease_id=lease_id, seq=seq, since=self.hub.now, size=size)
+                    Held(
+                        agent=uid,
+                        minion_id=minion_id,
+                        lease_id=lease_id,
+                        seq=seq,
+                        since=self.environment.now,
+                        size=size,
+                    )
                 )
         if ask is None:
             self.release(got)
@@ -168,7 +175,7 @@
     def silence(self, *, uid: str) -> None:
         """An agent fell silent: what it told of its room counts no longer, and it is to tell all of it once it can."""
         self.room.close(uid=uid)
-        self.hub.send(uid=uid, kind=Kind.ROOMGET, body={"g": self.group_id})
+        self.environment.send(uid=uid, kind=Kind.ROOMGET, body={"g": self.group_id})
 
     def _landed(self, *, ask: LeaseAsk) -> None:
         """An ask is answered or given up: its room no longer flies."""
@@ -197,7 +204,7 @@
                 self.start(group=group, batch=sorted(fresh, key=lambda r: r[0]))
             else:
                 self.release([h for _, h in fresh])
-                self.hub.trace(event="gang-put-off", id=group.job_id, unit=group.key, n=att.need, got=len(rows))
+                self.environment.trace(event="gang-put-off", id=group.job_id, unit=group.key, n=att.need, got=len(rows))
                 att.bad = True
                 group.out.clear()
         left = [i for idxs in att.plan.values() for i in idxs]
@@ -207,7 +214,7 @@
             if group.gang and group.phase is Phase.BOUND:
                 self.backlog.wake(group=group)
                 group.move(Phase.TURN)
-                self.backlog.park(group=group, now=self.hub.now)
+                self.backlog.park(group=group, now=self.environment.now)
             else:
                 self.backlog.wake(group=group)
         if live:
@@ -232,7 +239,7 @@
             orders.append([job_id, key, i, run, held])
         if not x:
             return
-        self.hub.trace(
+        self.environment.trace(
             event="start",
             id=job_id,
             unit=key,
@@ -240,14 +247,14 @@
             n=len(x),
             of=len(unit["s"]),
             est=group.est,
-            wait=round(self.hub.now - group.since, 2),
+            wait=round(self.environment.now - group.since, 2),
             near=group.near,
             cycles=group.tries,
         )
-        self.nominator.drop(unit=(job_id, key), now=self.hub.now)
+        self.nominator.drop(unit=(job_id, key), now=self.environment.now)
         self.effects(
             self.rep.commit(
-                ev={"t": "start", "id": job_id, "u": key, "x": x, "at": int(self.hub.wall * 1000)},
+                event={"t": "start", "id": job_id, "u": key, "x": x, "at": int(self.environment.wall * 1000)},
                 then=("orders", self.group_id, orders),
             )
         )
@@ -283,7 +290,7 @@
             )
             specs.setdefault(spot.agent, {})[job_id] = job["spec"]
         for uid, part in by.items():
-            self.hub.send(
+            self.environment.send(
                 uid=uid, kind=Kind.ORDER, body={"g": self.group_id, "n": self.rep.base, "sp": specs[uid], "x": part}
             )
         if late:
@@ -292,7 +299,7 @@
     def give_up(self) -> None:
         """Asks that were not answered in time count as refused. An agent that has said nothing since it was asked is
         asked no more until it is heard again: at high load its minions seem to be the only ones with room."""
-        now = self.hub.now
+        now = self.environment.now
         late: list[LeaseAsk] = []
         for ask in self.asks.values():
             if now - ask.at <= ASK_S:
--- a/yarrowloom/scheduling/environment.py
+++ b/yarrowloom/scheduling/environment.py
@@ -5,7 +5,7 @@
 from ..transport.envelope import Kind
 
 
-class PlacerHub(Protocol):
+class SchedulerEnvironment(Protocol):
     """What a placing node needs of its node."""
 
     now: float
--- a/yarrowloom/scheduling/job_queue.py
+++ b/yarrowloom/scheduling/job_queue.py
@@ -9,7 +9,7 @@
 from ..replication.replica import Replica
 from ..transport.envelope import Kind
 from .capacity import Room, Size, Spot
-from .environment import PlacerHub
+from .environment import SchedulerEnvironment
 from .lease_cache import Held, Pool
 from .pod_group import Backlog, Group, Phase, Prio
 from .preemption import CRAWL_S, CRAWL_X, Nominator, Preemptor, Victim
@@ -25,9 +25,11 @@
     """Invariants: a start is durable before its order leaves; a unit with a task to start has a group in `backlog`;
     every task that is RUN is held by the spot of its minion or awaits that minion's next attachment."""
 
-    def __init__(self, *, group_id: int, hub: PlacerHub, rep: Replica, jobs: Jobs, far: float, status_s: float) -> None:
+    def __init__(
+        self, *, group_id: int, environment: SchedulerEnvironment, rep: Replica, jobs: Jobs, far: float, status_s: float
+    ) -> None:
         self.group_id = group_id
-        self.hub = hub
+        self.environment = environment
         self.rep = rep
         self.jobs = jobs
         self.far = far
@@ -49,7 +51,7 @@
 
     def _adopt(self, *, job_id: str, job: dict[str, Any]) -> None:
         if job["st"] in ENDED:
-            self.over.append((self.hub.now, job_id))
+            self.over.append((self.environment.now, job_id))
         else:
             self.live += 1
             if job["times"] and job["k"] < job["times"]:
@@ -75,23 +77,23 @@
 
     def tries(self, *, job: dict[str, Any]) -> int:
         """The queue's limit on failed runs."""
-        route = self.hub.route(name=job["q"])
+        route = self.environment.route(name=job["q"])
         return int(route.get("max-tries", 1)) if route is not None else int(job["mt"])
 
     def service(self, *, job: dict[str, Any]) -> str:
         """Where the queue's tasks run now."""
-        route = self.hub.route(name=job["q"])
+        route = self.environment.route(name=job["q"])
         return str(route["backend"]) if route is not None else str(job["svc"])
 
     def rank(self, *, job: dict[str, Any]) -> int:
         """The queue's rank; 0 goes first."""
-        return int((self.hub.route(name=job["q"]) or {}).get("rank", 9))
+        return int((self.environment.route(name=job["q"]) or {}).get("rank", 9))
 
     # -- groups
 
     def aim(self, *, job: dict[str, Any]) -> float:
         """Milliseconds within which a job earns all its worth."""
-        route = self.hub.route(name=job["q"]) or {}
+        route = self.environment.route(name=job["q"]) or {}
         chain: int = sum(s["est"] for s in job["steps"])
         return max(float(route.get("target-ms", 0)) + float(route.get("stretch", 1)) * chain, 500.0)
 
@@ -104,12 +106,12 @@
         aim = self.aim(job=job)
         rest = sum(s["est"] for s in job["steps"][int(at) :])
         late_at = (base + LATE * aim) / 1000
-        return (self.hub.wall > late_at, self.rank(job=job), base + aim - rest, seen, job_id, key), late_at
+        return (self.environment.wall > late_at, self.rank(job=job), base + aim - rest, seen, job_id, key), late_at
 
     def enter(self, *, job_id: str, key: str) -> None:
         """A group has a member to start: both are known now."""
         group = self.backlog.groups.get((job_id, key))
-        now, job = self.hub.now, self.jobs.jobs[job_id]
+        now, job = self.environment.now, self.jobs.jobs[job_id]
         if job["st"] in ENDED or "u" not in job:
             return
         if group is None:
@@ -153,11 +155,11 @@
     def leave(self, *, job_id: str) -> None:
         """A job's groups are gone."""
         for key in list(self.backlog.of.get(job_id, ())):
-            self.nominator.drop(unit=(job_id, key), now=self.hub.now)
+            self.nominator.drop(unit=(job_id, key), now=self.environment.now)
             self.backlog.remove(job_id=job_id, key=key)
 
     def _ranking(self, *, queue: str) -> tuple[Any, ...]:
-        route = self.hub.route(name=queue) or {}
+        route = self.environment.route(name=queue) or {}
         return tuple(route.get(key) for key in RANKING_KEYS)
 
     def configured(self) -> None:
@@ -175,31 +177,31 @@
 
     # -- effects of events
 
-    def effects(self, effs: list[tuple[Any, ...]]) -> None:
+    def effects(self, effects: list[tuple[Any, ...]]) -> None:
         """Take note of what events brought about."""
         stops = []
-        for eff in effs:
-            kind = eff[0]
+        for effect in effects:
+            kind = effect[0]
             if kind == "ready":
-                self.enter(job_id=eff[1], key=eff[2])
+                self.enter(job_id=effect[1], key=effect[2])
             elif kind == "stop":
-                stops.append(eff[1:])
-                if self.jobs.jobs[eff[2].split(".")[0]]["st"] in ENDED:
-                    self.halting[eff[2]] = (eff[1], eff[3], self.hub.now)
+                stops.append(effect[1:])
+                if self.jobs.jobs[effect[2].split(".")[0]]["st"] in ENDED:
+                    self.halting[effect[2]] = (effect[1], effect[3], self.environment.now)
             elif kind == "over":
-                self.over.append((self.hub.now, eff[1]))
+                self.over.append((self.environment.now, effect[1]))
                 self.live -= 1
-                job = self.jobs.jobs[eff[1]]
-                self.hub.trace(
+                job = self.jobs.jobs[effect[1]]
+                self.environment.trace(
                     event="job-end",
-                    id=eff[1],
+                    id=effect[1],
                     queue=job["q"],
                     state=job["st"],
-                    ms=int(self.hub.wall * 1000) - job["at"],
+                    ms=int(self.environment.wall * 1000) - job["at"],
                 )
-                self.leave(job_id=eff[1])
+                self.leave(job_id=effect[1])
             elif kind == "timed":
-                self._timed(job_id=eff[1])
+                self._timed(job_id=effect[1])
         if stops:
             self.rep.barrier(then=("stops", self.group_id, stops))
 
@@ -211,7 +213,7 @@
             if spot is not None:
                 by.setdefault(spot.agent, []).append([minion_id, task, run])
         for uid, part in by.items():
-            self.hub.send(uid=uid, kind=Kind.STOP, body={"g": self.group_id, "x": part})
+            self.environment.send(uid=uid, kind=Kind.STOP, body={"g": self.group_id, "x": part})
 
     # -- agents
 
@@ -221,7 +223,12 @@
             spot = self.room.spots.get(minion_id)
             if spot is not None and spot.fence > fence:
                 continue
-            if spot is not None and spot.fence == fence and spot.agent == uid and self.hub.now - spot.since < AGAIN_S:
+            if (
+                spot is not None
+                and spot.fence == fence
+                and spot.agent == uid
+                and self.environment.now - spot.since < AGAIN_S
+            ):
                 self.attach(spot=spot)  # a repeat: what left under this attachment stays good
                 continue
             self.seq += 1
@@ -236,7 +243,7 @@
                     site=site,
                     labels=tuple(labels),
                     cap=Size(*cap),
-                    since=self.hub.now,
+                    since=self.environment.now,
                 )
             )
             self.attach(spot=self.room.spots[minion_id])
@@ -254,7 +261,7 @@
             self.held.pop(task, None)
             if job["st"] in ENDED:
                 ended.append([spot.minion_id, task, unit["r"][i]])
-        self.hub.send(
+        self.environment.send(
             uid=spot.agent,
             kind=Kind.ATTACH,
             body={
@@ -274,9 +281,9 @@
         for minion_id in sorted(self.room.of.get(uid, ())):
             self.seq += 1
             self.pool.forget(minion_id=minion_id)
-            self.room.attach(spot=self.room.spots[minion_id].attached_anew(seq=self.seq, now=self.hub.now))
+            self.room.attach(spot=self.room.spots[minion_id].attached_anew(seq=self.seq, now=self.environment.now))
             self.attach(spot=self.room.spots[minion_id])
-        self.hub.send(uid=uid, kind=Kind.ROOMGET, body={"g": self.group_id})
+        self.environment.send(uid=uid, kind=Kind.ROOMGET, body={"g": self.group_id})
 
     def void(self, *, rows: list[Any]) -> None:
         """Orders that never started: (minion, attachment or None, task, run)."""
@@ -296,7 +303,7 @@
                 self._gone(task=task, run=run)
                 self.effects(
                     self.rep.commit(
-                        ev={"t": "end", "id": job_id, "u": key, "i": i, "run": run, "how": "void", "v": "", "mt": 1}
+                        event={"t": "end", "id": job_id, "u": key, "i": i, "run": run, "how": "void", "v": "", "mt": 1}
                     )
                 )
 
@@ -308,7 +315,7 @@
             held = self.held.pop(task, None)
             if parts is not None and job is not None and "u" in job:
                 self._judge(minion_id=b["m"], job=job, parts=parts, run=run, how=how)
-                ev = {
+                event = {
                     "t": "end",
                     "id": parts[0],
                     "u": parts[1],
@@ -317,12 +324,12 @@
                     "how": how,
                     "v": saved,
                     "mt": self.tries(job=job),
-                    "at": int(self.hub.wall * 1000),
+                    "at": int(self.environment.wall * 1000),
                 }
                 self._gone(task=task, run=run)
-                self.effects(self.rep.commit(ev=ev))
+                self.effects(self.rep.commit(event=event))
             if held is not None:
-                self.pool.put(held=held, now=self.hub.now)
+                self.pool.put(held=held, now=self.environment.now)
         rows = [[num, task, run] for num, task, run, _, _ in b["x"]]
         self.rep.barrier(then=("endsok", self.group_id, uid, b["m"], b["f"], rows))
         self.pump()
@@ -330,7 +337,7 @@
     def _judge(self, *, minion_id: str, job: dict[str, Any], parts: tuple[str, str, int], run: int, how: str) -> None:
         """What an end tells of its minion."""
         if how == "alone":
-            self.hub.note(event="gang-alone", task=".".join(map(str, parts)), run=run)
+            self.environment.note(event="gang-alone", task=".".join(map(str, parts)), run=run)
         unit = job["u"].get(parts[1])
         if unit is None or parts[2] >= len(unit["s"]) or unit["r"][parts[2]] != run or unit["s"][parts[2]] != RUN:
             return
@@ -341,9 +348,9 @@
         if (
             how == "failed"
             and not any(unit["f"])
-            and self.room.failed(minion_id=minion_id, job_id=parts[0], now=self.hub.now)
+            and self.room.failed(minion_id=minion_id, job_id=parts[0], now=self.environment.now)
         ):
-            self.hub.note(event="minion-shy", minion=minion_id, streak=self.room.spots[minion_id].streak)
+            self.environment.note(event="minion-shy", minion=minion_id, streak=self.room.spots[minion_id].streak)
 
     def lost(self, *, uid: str, b: dict[str, Any]) -> None:
         """An agent declares a minion gone."""
@@ -357,7 +364,7 @@
                 self.held.pop(task, None)
                 self._gone(task=task, run=self.jobs.jobs[job_id]["u"][key]["r"][i])
             if self.jobs.on.get(minion_id):  # a repeat finds nothing left
-                self.effects(self.rep.commit(ev={"t": "lost", "m": minion_id, "x": None, "v": b["v"]}))
+                self.effects(self.rep.commit(event={"t": "lost", "m": minion_id, "x": None, "v": b["v"]}))
         self.rep.barrier(then=("send", uid, int(Kind.LOSTOK), {"g": self.group_id, "m": minion_id, "f": b["f"]}))
         self.pump()
 
@@ -370,7 +377,7 @@
                 self.room.owe(spot=spot, size=h.size)
                 by.setdefault(h.agent, []).append([h.minion_id, h.lease_id])
         for uid, part in by.items():
-            self.hub.send(uid=uid, kind=Kind.RETURN, body={"g": self.group_id, "x": part})
+            self.environment.send(uid=uid, kind=Kind.RETURN, body={"g": self.group_id, "x": part})
 
     # -- runs
 
@@ -389,7 +396,7 @@
                     size=Size(step["cpu"], step["mem"], step["gpu"]),
                     horizon=math.inf
                     if step["last"]
-                    else self.hub.now + unit["r"][i] * max(CRAWL_X * step["est"] / 1000, CRAWL_S),
+                    else self.environment.now + unit["r"][i] * max(CRAWL_X * step["est"] / 1000, CRAWL_S),
                 ),
             )
 
--- a/yarrowloom/scheduling/scheduler.py
+++ b/yarrowloom/scheduling/scheduler.py
@@ -43,14 +43,14 @@
         self.cycles = 0
         self.failed = 0
         super().__init__(**kw)
-        self.swept = self.told = self.hub.now
+        self.swept = self.told = self.environment.now
         self.warmer = Warmer(table=self.room, past=self.jobs.past, row=defaults["warm"])
 
     # -- passes
 
     def pump(self) -> None:
         """One slice of placing, if one is due."""
-        now = self.hub.now
+        now = self.environment.now
         if now < self.next_slice or not self.rep.serving():
             return
         cycles, looks = self.cycles, self.room.looks
@@ -88,7 +88,7 @@
             while units and req not in out:
                 unit, until = next(iter(units.items()))
                 group = self.backlog.groups.get(unit)
-                if group is None or group.phase is Phase.BOUND or self.hub.now > until or group.rank != rank:
+                if group is None or group.phase is Phase.BOUND or self.environment.now > until or group.rank != rank:
                     del units[unit]
                 else:
                     out[req] = rank
@@ -102,10 +102,10 @@
         if not members or (group.gang and RUN in unit["s"]):
             self.backlog.bind(group=group)
             return
-        if self.hub.wall > group.late_at and not group.prio[0]:
+        if self.environment.wall > group.late_at and not group.prio[0]:
             prio, _ = self.prio(job_id=group.job_id, key=group.key, seen=group.seen)
             self.backlog.rekey(group=group, prio=prio, svc=group.svc)
-        waited = self.hub.now - group.since
+        waited = self.environment.now - group.since
         patient = (
             bool(group.near)
             and waited < min(group.est, 4000) / 2000 * (self.far - 1)
@@ -147,8 +147,8 @@
             shun=shun,
             off=off,
             sore=sore,
-            bar=bool(sore) and self.hub.now - group.since < BAR_S,
-            now=self.hub.now,
+            bar=bool(sore) and self.environment.now - group.since < BAR_S,
+            now=self.environment.now,
             rank=group.rank,
         )
         if self.warmer.kept and not group.gang:
@@ -161,7 +161,7 @@
         if (
             not decision.feasible
             and ask.tight
-            and self.hub.now - group.since > min(group.est, 6000) / 1000 * (self.far - 1)
+            and self.environment.now - group.since > min(group.est, 6000) / 1000 * (self.far - 1)
         ):
             ask.tight = False
             decision = cycle.run(room=self.room, ask=ask)
@@ -174,7 +174,7 @@
         self.failed += 1
         why = " ".join(f"{k}:{v}" for k, v in sorted(decision.refused.items())) or "no-minion"
         group.why = f"{decision.fit}/{n} {why}"
-        self.hub.trace(
+        self.environment.trace(
             event="cycle-failed",
             id=group.job_id,
             unit=group.key,
@@ -193,48 +193,52 @@
         late = group.prio[0]
         if not late and waited > AFTER_S and not group.gang:
             self._preempt(
-                rows=self.preemptor.choose(group=group, n=n, strict=patient, now=self.hub.now),
+                rows=self.preemptor.choose(group=group, n=n, strict=patient, now=self.environment.now),
                 svc=group.svc,
                 note=group.svc,
             )
         if group.gang and not late and waited > NOMINATE_AFTER_S:
-            nom = self.nominator.nominate(group=group, n=n, now=self.hub.now)
+            nom = self.nominator.nominate(group=group, n=n, now=self.environment.now)
             if nom is not None:
                 self._preempt(
                     rows=self.preemptor.on(minion_ids=nom.minion_ids, svc=group.svc, rank=group.rank),
                     svc=group.svc,
                     note="",
                 )
-                self.hub.trace(
+                self.environment.trace(
                     event="minions-nominated", id=group.job_id, unit=group.key, n=n, minions=len(nom.minion_ids)
                 )
         if not late and not patient and not group.gang and BLOCK_S <= waited < BLOCK_MOST_S and could:
             units = self.holding.setdefault(group.svc, {}).setdefault((group.req, group.rank), {})
             units[group.job_id, group.key] = group.since + BLOCK_MOST_S
             walk.top[group.req] = min(walk.top.get(group.req, group.rank), group.rank)
-        self.backlog.park(group=group, now=self.hub.now)
+        self.backlog.park(group=group, now=self.environment.now)
 
     def _preempt(self, *, rows: list[Any], svc: str, note: str) -> None:
         if rows:
-            self.stops(self.preemptor.stop(victims=rows, svc=note, now=self.hub.now))
-            self.hub.note(event="pushed-out", runs=len(rows), service=svc)
+            self.stops(self.preemptor.stop(victims=rows, svc=note, now=self.environment.now))
+            self.environment.note(event="pushed-out", runs=len(rows), service=svc)
 
     # -- time
 
     def tick(self) -> None:
         """Called several times a second while serving."""
-        now = self.hub.now
+        now = self.environment.now
         if self.warmer.on:
-            self.warmer.tick(now=now, wall=self.hub.wall, ranks=self.hub.ranks(), shut=self.hub.evacuations())
+            self.warmer.tick(
+                now=now, wall=self.environment.wall, ranks=self.environment.ranks(), shut=self.environment.evacuations()
+            )
         if self.warmer.on and now - self.told > TELL_S:
             self.told = now
             row = self.warmer.report()
-            self.hub.note(event="warm", **{k: row[k] for k in ("hits", "misses", "gone", "cold", "core-s-held")})
+            self.environment.note(
+                event="warm", **{k: row[k] for k in ("hits", "misses", "gone", "cold", "core-s-held")}
+            )
         self.give_up()
         for uid in self.room.silent(now=now, after=SILENT_S):
             self.silence(uid=uid)
         self.release(self.pool.expire(now=now))
-        wall = self.hub.wall * 1000
+        wall = self.environment.wall * 1000
         while self.timed and self.timed[0][0] <= wall:
             _, job_id = heapq.heappop(self.timed)
             job = self.jobs.jobs.get(job_id)
@@ -244,7 +248,7 @@
                 heapq.heappush(self.timed, (wall + 200.0, job_id))
                 continue
             if wall >= job["first"] + job["k"] * job["period"]:
-                self.effects(self.rep.commit(ev={"t": "due", "id": job_id, "k": job["k"]}))
+                self.effects(self.rep.commit(event={"t": "due", "id": job_id, "k": job["k"]}))
             if job["k"] < job["times"]:
                 self._timed(job_id=job_id)
         if now - self.swept > SWEEP_S:
@@ -253,14 +257,14 @@
         self.pump()
 
     def _sweep(self) -> None:
-        now = self.hub.now
+        now = self.environment.now
         for svc, victim in self.preemptor.crawling(now=now):
             parts = split_name(task=victim.task)
             group = self.backlog.groups.get(parts[:2]) if parts is not None else None
             if group is not None:
                 group.sore.add(victim.minion_id)
             self.stops(self.preemptor.stop(victims=[victim], svc="", now=now))
-            self.hub.note(event="crawls", task=victim.task, minion=victim.minion_id, service=svc)
+            self.environment.note(event="crawls", task=victim.task, minion=victim.minion_id, service=svc)
         ids = []
         while self.over and now - self.over[0][0] > self.status_s * 1.25:
             at, job_id = self.over.popleft()
@@ -269,7 +273,7 @@
             else:
                 ids.append(job_id)
         if ids:
-            self.rep.commit(ev={"t": "forget", "ids": ids})
+            self.rep.commit(event={"t": "forget", "ids": ids})
         for task, held in list(self.held.items()):  # of a gang's member that is done by another's end, say
             spot = self.room.spots.get(held.minion_id)
             if spot is None or spot.seq != held.seq:
@@ -290,8 +294,8 @@
                 self.warmer.started(
                     queue=job["q"],
                     kind=kind_key(q=job["q"], steps=job["steps"]),
-                    now=self.hub.now,
-                    wait_ms=self.hub.wall * 1000 - job["at"],
+                    now=self.environment.now,
+                    wait_ms=self.environment.wall * 1000 - job["at"],
                 )
         super().start(group=group, batch=batch)
 
@@ -318,7 +322,7 @@
                     "before": before,
                     "cycles-failed": group.tries,
                     "last": group.why,
-                    "waited-s": round(self.hub.now - group.since, 2),
+                    "waited-s": round(self.environment.now - group.since, 2),
                 }
             )
         return out
--- a/yarrowloom/simulator/machines/machine_set.py
+++ b/yarrowloom/simulator/machines/machine_set.py
@@ -315,7 +315,7 @@
             del disk.pending[: len(batch)]
             proc.disk_busy = False
             node = self.core(ip)
-            self.post(ip, proc, lambda: node.done(effs=[e for _, e in batch]), rank=Rank.URGENT)
+            self.post(ip, proc, lambda: node.done(effects=[e for _, e in batch]), rank=Rank.URGENT)
             self._sync(ip, proc)
 
         self.at(delay=wait, fn=synced)
--- a/yarrowloom/testbed/virtual_testbed.py
+++ b/yarrowloom/testbed/virtual_testbed.py
@@ -209,7 +209,7 @@
                 seat=seat,
                 kind="disk",
                 size=sum(len(b) for b, _ in batch),
-                fn=partial(node.done, effs=[e for _, e in batch]),
+                fn=partial(node.done, effects=[e for _, e in batch]),
             )
             self._sync(seat)
 
--- a/yarrowloom/transport/http_server.py
+++ b/yarrowloom/transport/http_server.py
@@ -172,11 +172,11 @@
             horizon, began = self.horizon, True
         while True:
             try:
-                ev = self.conn.next_event()
+                event = self.conn.next_event()
             except h11.RemoteProtocolError as err:
                 await self._refuse(status=err.error_status_hint or 400)
                 return None
-            if ev is h11.NEED_DATA:
+            if event is h11.NEED_DATA:
                 if not began and self.conn.trailing_data[0]:
                     began = True
                     horizon = trio.current_time() + lim.header_ms / 1000
@@ -194,19 +194,19 @@
                     began = True
                     horizon = trio.current_time() + lim.header_ms / 1000
                 self.conn.receive_data(data)
-            elif isinstance(ev, h11.Request):
-                head = ev
+            elif isinstance(event, h11.Request):
+                head = event
                 horizon = trio.current_time() + max(lim.header_ms, lim.idle_ms) / 1000
-                size = dict(ev.headers).get(b"content-length")
+                size = dict(event.headers).get(b"content-length")
                 if size is not None and int(size) > lim.body_bytes:
                     await self._refuse(status=413)
                     return None
-            elif isinstance(ev, h11.Data):
-                body += ev.data
+            elif isinstance(event, h11.Data):
+                body += event.data
                 if len(body) > lim.body_bytes:
                     await self._refuse(status=413)
                     return None
-            elif isinstance(ev, h11.EndOfMessage):
+            elif isinstance(event, h11.EndOfMessage):
                 assert head is not None
                 if sum(len(k) + len(v) + 4 for k, v in head.headers) > lim.header_bytes:
                     await self._refuse(status=431)
