--- a/docs/experiments/growth.py
+++ b/docs/experiments/growth.py
@@ -72,7 +72,7 @@
                 self.spent[key] += took
                 self.worst[key] = max(self.worst.get(key, 0.0), took)
                 if who:
-                    self.node[node.uid] += took
+                    self.node[node.node_id] += took
 
         return run
 
@@ -92,15 +92,15 @@
 def install(meter: Meter) -> None:
     """Put the meter round the nodes' inputs; names in brackets are parts of others."""
     core: Any = CoreNode
-    core.on = meter.wrap(lambda *, uid, kind, body: "frame " + kind.name, core.on)
+    core.on = meter.wrap(lambda *, node_id, kind, body: "frame " + kind.name, core.on)
     core.http = meter.wrap(lambda *, call, req: "beat" if req.path.startswith("/minions/") else "control", core.http)
     core.done = meter.wrap(lambda *, effects: "disk done", core.done)
     core.tick = meter.wrap(lambda: "tick", core.tick)
     core.checkpoint = meter.wrap(lambda: "(checkpoint)", core.checkpoint, who=False)
     placer: Any = Placer
     placer.pump = meter.wrap(lambda: "(pump)", placer.pump, who=False)
-    placer.claim = meter.wrap(lambda *, uid, b: "(placer claim)", placer.claim, who=False)
-    placer.gap = meter.wrap(lambda *, uid: "(placer gap)", placer.gap, who=False)
+    placer.claim = meter.wrap(lambda *, node_id, b: "(placer claim)", placer.claim, who=False)
+    placer.gap = meter.wrap(lambda *, node_id: "(placer gap)", placer.gap, who=False)
     if not meter.profile:
         evictor: Any = Evictor
         evictor._rows = meter.count(
@@ -224,7 +224,7 @@
     if mode == "attach":
         for ip in sim.core_ips:
             for p in sim.core(ip).placers.values():
-                sim.step(ip, sim.procs[ip], lambda p=p: p.gap(uid=sim.procs[sim.core_ips[0]].node.uid))  # type: ignore[misc]
+                sim.step(ip, sim.procs[ip], lambda p=p: p.gap(node_id=sim.procs[sim.core_ips[0]].node.node_id))  # type: ignore[misc]
     played = play(sim, seconds=seconds, most=most)
     meter.on = False
     beats, jobs = sum(m.seq for m in fleet) - seqs, caller.n - jobs
--- a/docs/experiments/growth_collapse.py
+++ b/docs/experiments/growth_collapse.py
@@ -129,7 +129,7 @@
             if kind not in FIRST:
                 send(self, ip, proc, dst, kind, body)
                 return
-            uid = proc.node.uid
+            node_id = proc.node.node_id
             due = self.now if ip == dst else self.now + 0.001 + self.rng.random() * 0.002
             due = last_due[ip, dst] = max(due, last_due.get((ip, dst), 0.0) + 1e-7)
 
@@ -137,7 +137,7 @@
                 to = self.procs.get(dst)
                 if to is not None and to.up:
                     STATE["kind"] = kind
-                    self.step(dst, to, lambda: to.node.on(uid=uid, kind=kind, body=body))
+                    self.step(dst, to, lambda: to.node.on(node_id=node_id, kind=kind, body=body))
                     STATE.pop("kind", None)
 
             self.at(delay=due - self.now, fn=arrive)
@@ -148,11 +148,11 @@
         thawed, take = Replica.thawed, Replica.take
 
         def woke(self: Replica) -> None:
-            last[self.environment.uid] = self.environment.now
+            last[self.environment.node_id] = self.environment.now
             thawed(self)
 
         def taken(self: Replica, *, why: str, avoid: str = "", stay: bool = False) -> None:
-            if why.startswith("backup") and self.environment.now - last.get(self.environment.uid, -9.0) < 0.6:
+            if why.startswith("backup") and self.environment.now - last.get(self.environment.node_id, -9.0) < 0.6:
                 return
             take(self, why=why, avoid=avoid, stay=stay)
 
@@ -161,19 +161,19 @@
         claim = Desk.claim
         when: dict[tuple[int, str, int], float] = {}
 
-        def claimed(self: Desk, *, uid: str, b: dict[str, Any]) -> None:
+        def claimed(self: Desk, *, node_id: str, b: dict[str, Any]) -> None:
             rows = []
             for row in b["x"]:
                 link, key = self.links.get(row[0]), (id(self), row[0], row[1])
                 if (
                     link is None
                     or link.fence != row[1]
-                    or link.agent != uid
+                    or link.agent != node_id
                     or self.environment.now - when.get(key, -9.0) > 2.0
                 ):
                     when[key] = self.environment.now
                     rows.append(row)
-            claim(self, uid=uid, b={**b, "x": rows})
+            claim(self, node_id=node_id, b={**b, "x": rows})
 
         Desk.claim = claimed  # type: ignore[method-assign]
     if "calls" in names:
@@ -195,7 +195,7 @@
     take = Replica.take
 
     def taken(self: Replica, *, why: str, avoid: str = "", stay: bool = False) -> None:
-        EVENTS.append((sim.now, self.environment.uid.split(":")[0], f"campaign group={self.group_id} why={why}"))
+        EVENTS.append((sim.now, self.environment.node_id.split(":")[0], f"campaign group={self.group_id} why={why}"))
         take(self, why=why, avoid=avoid, stay=stay)
 
     Replica.take = taken  # type: ignore[method-assign]
--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -15,15 +15,15 @@
 
     def __init__(self) -> None:
         self.now = 100.0
-        self.uid = "me"
+        self.node_id = "me"
         self.sent: list[tuple[str, Kind, dict[str, Any]]] = []
         self.answers: dict[Any, Response] = {}
         self.trust = True
         self.shut: set[str] = set()
         self.lost: list[str] = []
 
-    def send(self, *, uid: str, kind: Kind, body: dict[str, Any]) -> None:
-        self.sent.append((uid, kind, orjson.loads(orjson.dumps(body))))
+    def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
+        self.sent.append((node_id, kind, orjson.loads(orjson.dumps(body))))
 
     def respond(self, *, call: Any, res: Response) -> None:
         self.answers[call] = res
@@ -103,11 +103,11 @@
         raise AssertionError("never answered")
 
     def attach(self, *, group_id: int, x: list[Any] | None = None, seq: int = 1, n: int = 1) -> None:
-        self.agent.attach(uid=f"p{group_id}", b={"g": group_id, "n": n, "seq": seq, "m": "i", "f": 5, "x": x or []})
+        self.agent.attach(node_id=f"p{group_id}", b={"g": group_id, "n": n, "seq": seq, "m": "i", "f": 5, "x": x or []})
 
     def ask(self, *, group_id: int, n: int = 1, cpu: int = 1000, gpu: int = 0) -> list[Any]:
         self.agent.lease(
-            uid=f"p{group_id}",
+            node_id=f"p{group_id}",
             b={
                 "g": group_id,
                 "rid": 1,
@@ -130,7 +130,7 @@
         self, *, lease_id: int, group_id: int = 2, task: str = TASK, run: int = 1, n: int = 1, seq: int = 1
     ) -> None:
         self.agent.order(
-            uid=f"p{group_id}",
+            node_id=f"p{group_id}",
             b={
                 "g": group_id,
                 "n": n,
--- a/tests/cluster_state/test_config_delta.py
+++ b/tests/cluster_state/test_config_delta.py
@@ -166,12 +166,12 @@
 def test_the_journal_of_changes_gives_the_same_state_as_whole_documents(seed: int) -> None:
     """Backup and journal see events as JSON only; an old journal's whole documents still load."""
     rng = random.Random(seed)
-    reg, twin = Registry(), Registry()
+    registry, twin = Registry(), Registry()
     doc = whole(version=1, routes=20)
     kinds = set()
     for _ in range(40):
-        base, method, body = reg.stamp, "PUT", orjson.dumps(doc)
-        if reg.conf is not None and rng.random() < 0.5:
+        base, method, body = registry.stamp, "PUT", orjson.dumps(doc)
+        if registry.conf is not None and rng.random() < 0.5:
             method = "PATCH"
             body = orjson.dumps(
                 {
@@ -180,38 +180,38 @@
                     "removals": {"route-table": [f"r{rng.randrange(9)}"]},
                 }
             )
-        event = reg.judge(method=method, base=str(base), body=body)
+        event = registry.judge(method=method, base=str(base), body=body)
         assert event is not None
         kinds.add("d" in event)
-        reg.apply(event)
-        assert reg.judge(method=method, base=str(base), body=body) is None
+        registry.apply(event)
+        assert registry.judge(method=method, base=str(base), body=body) is None
         with pytest.raises(StampError):
-            reg.judge(method=method, base=str(base), body=body + b" ")
-        assert reg.conf is not None
+            registry.judge(method=method, base=str(base), body=body + b" ")
+        assert registry.conf is not None
         if rng.random() < 0.3:
-            twin.apply(orjson.loads(orjson.dumps({"t": "conf", "doc": reg.conf, "h": event["h"]})))
+            twin.apply(orjson.loads(orjson.dumps({"t": "conf", "doc": registry.conf, "h": event["h"]})))
         else:
             twin.apply(orjson.loads(orjson.dumps(event)))
-        assert text(twin.dump()) == text(reg.dump())
+        assert text(twin.dump()) == text(registry.dump())
         if method == "PUT":
-            assert text(reg.conf) == text(doc)
-        doc = changed(rng=rng, doc=reg.conf)
+            assert text(registry.conf) == text(doc)
+        doc = changed(rng=rng, doc=registry.conf)
     assert kinds == {True, False}
 
 
 def test_one_changed_route_of_510_is_logged_as_such() -> None:
-    reg = Registry()
-    first = reg.judge(method="PUT", base="0", body=orjson.dumps(whole(version=1, routes=510)))
+    registry = Registry()
+    first = registry.judge(method="PUT", base="0", body=orjson.dumps(whole(version=1, routes=510)))
     assert first is not None and "doc" in first
-    reg.apply(first)
+    registry.apply(first)
     for method, body in (
         ("PATCH", {"config-version": 3, "upserts": {"route-table": [route(5, rank=0)]}}),
         ("PUT", {**whole(version=5, routes=511)}),
     ):
-        event = reg.judge(method=method, base=str(reg.stamp), body=orjson.dumps(body))
+        event = registry.judge(method=method, base=str(registry.stamp), body=orjson.dumps(body))
         assert event is not None and len(orjson.dumps(event)) < 800
-        reg.apply(event)
-    assert reg.stamp == 5 and small(
+        registry.apply(event)
+    assert registry.stamp == 5 and small(
         delta=diff(old=whole(version=1, routes=4), new=whole(version=2, routes=5)), doc=whole(version=2, routes=5)
     )
 
--- a/tests/cluster_state/test_operator_requests_cluster.py
+++ b/tests/cluster_state/test_operator_requests_cluster.py
@@ -77,7 +77,7 @@
     sim.heal()
     sim.run(seconds=5.0)
     assert primary(sim) == lead
-    assert sim.core(lead).reg.evac == (["z1"] if then == "POST" else [])
+    assert sim.core(lead).registry.evac == (["z1"] if then == "POST" else [])
 
 
 def test_an_order_of_the_opposite_kind_is_taken_at_once_through_any_node() -> None:
--- a/tests/integration/test_large_clusters.py
+++ b/tests/integration/test_large_clusters.py
@@ -30,15 +30,15 @@
         minion_id = f"m{i}"
         labels = ("a", f"r{i // RACK}")
         room.attach(
-            spot=Spot(minion_id=minion_id, agent="a", fence=1, seq=i, svc="s", site="z", labels=labels, cap=cap)
+            spot=Spot(minion_id=minion_id, agent="a", fence=1, seq=i, service="s", site="z", labels=labels, cap=cap)
         )
         free: list[int | str] = [minion_id, rng.choice([rng.randint(0, 9000), 12_000]), rng.randint(0, 80_000), 2]
-        room.report(uid="a", rows=[free], shut=[], now=1.0)
+        room.report(node_id="a", rows=[free], shut=[], now=1.0)
     return room
 
 
 def gang(*, members: int, **more: Any) -> Ask:
-    return Ask(svc="s", size=MEMBER, members=list(range(members)), need=members, tight=True, **more)
+    return Ask(service="s", size=MEMBER, members=list(range(members)), need=members, tight=True, **more)
 
 
 # -- gangs of one rack
@@ -87,15 +87,17 @@
     sim, oracle, caller, _ = cluster(seed=3101, cores=7, edges=2, minions=21)
     sim.run(seconds=4.0)
     serving = {ip for group_id in range(2) for ip in sim.serving(group_id=group_id)}
-    epochs = [rep.epoch for ip in serving for rep in sim.core(ip).reps.values() if rep.epoch is not None]
+    epochs = [
+        replica.epoch for ip in serving for replica in sim.core(ip).replicas.values() if replica.epoch is not None
+    ]
     holders = {backup.split(":")[0] for epoch in epochs for backup in epoch["b"]}
     cut = next(ip for ip in sim.core_ips if ip not in serving | holders and sim.core(ip).agent.minions)
     silenced(sim=sim, ip=cut)
     placer = sim.core(sim.serving(group_id=1)[0]).placers[1]
     job_ids = [caller.submit(stages=[STEP]) for _ in range(12)]
     sim.run(seconds=1.2)
-    assert placer.room.of[sim.uids[cut]] and not any(
-        placer.room.spots[minion_id].open for minion_id in placer.room.of[sim.uids[cut]]
+    assert placer.room.of[sim.node_ids[cut]] and not any(
+        placer.room.spots[minion_id].open for minion_id in placer.room.of[sim.node_ids[cut]]
     )
     assert sim.until(cond=lambda: all(caller.state(job_id=j) == (200, "complete") for j in job_ids), limit=5.0)
     sim.heal()
@@ -153,18 +155,18 @@
 def test_edges_are_looked_through_once_for_many_heartbeats() -> None:
     looks = 0
 
-    def alive(uid: str) -> bool:
+    def alive(node_id: str) -> bool:
         nonlocal looks
         looks += 1
         return True
 
     nodes = {f"e{i:03d}": {"kind": "edge"} for i in range(300)}
     relays = EdgeRelays()
-    via = [relays.for_edge(uid=uid, now=5.0, nodes=nodes, alive=alive) for uid in nodes]
+    via = [relays.for_edge(node_id=node_id, now=5.0, nodes=nodes, alive=alive) for node_id in nodes]
     assert looks == 300 and via[:FANOUT] == [[]] * FANOUT
     assert all(len(row) == 2 and set(row) <= set(relays.names) for row in via[FANOUT:])
     few = dict(list(nodes.items())[:FANOUT])
-    assert relays.for_edge(uid="e299", now=5.0 + LOOK_S, nodes=few, alive=alive) == []
+    assert relays.for_edge(node_id="e299", now=5.0 + LOOK_S, nodes=few, alive=alive) == []
 
 
 # -- calls that a busy process could not take
@@ -179,16 +181,16 @@
 def test_a_call_that_waited_too_long_is_refused_for_good_unless_a_copy_was_taken() -> None:
     sim, _, _, _ = cluster(seed=3103)
     node = sim.core(sim.serving(group_id=1)[0])
-    node.reps[1].commit(event={"t": "forget", "ids": []})  # an answer must wait for this event
+    node.replicas[1].commit(event={"t": "forget", "ids": []})  # an answer must wait for this event
     call = {"rid": 7, "g": 1, "op": "count", "b": {"q": "fast"}}
     edge = "10.0.1.1:7001#ff"
     node.out.sends.clear()
-    node.too_late(uid=edge, m=call)
+    node.too_late(node_id=edge, m=call)
     assert answers(node=node) == [(7, 503)]
-    node.on(uid=edge, kind=Kind.CALL, m=call)  # a repeat that was on its way
+    node.on(node_id=edge, kind=Kind.CALL, m=call)  # a repeat that was on its way
     assert answers(node=node) == [(7, 503)] and "error" in OVERLOADED
-    node.on(uid=edge, kind=Kind.CALL, m={**call, "rid": 8})
-    node.too_late(uid=edge, m={**call, "rid": 8})
+    node.on(node_id=edge, kind=Kind.CALL, m={**call, "rid": 8})
+    node.too_late(node_id=edge, m={**call, "rid": 8})
     assert answers(node=node) == []
 
 
@@ -199,5 +201,5 @@
     assert sim.until(cond=lambda: job_id in oracle.accepted, limit=3.0)
     node = sim.core(sim.serving(group_id=1)[0])
     node.out.sends.clear()
-    node.too_late(uid="10.0.1.1:7001#ff", m={"rid": 9, "g": 1, "op": "put", "b": {"id": job_id, "q": "fast"}})
+    node.too_late(node_id="10.0.1.1:7001#ff", m={"rid": 9, "g": 1, "op": "put", "b": {"id": job_id, "q": "fast"}})
     assert answers(node=node) == [(9, 200)]
--- a/tests/mutants/test_operator_request_mutants.py
+++ b/tests/mutants/test_operator_request_mutants.py
@@ -43,14 +43,14 @@
     """A 412 that rests on what is only applied leaves at once."""
     whole = CoreNode._serve0
 
-    def serve(self: CoreNode, *, uid: str, request_id: int, op: str, b: dict[str, Any]) -> None:
+    def serve(self: CoreNode, *, node_id: str, request_id: int, op: str, b: dict[str, Any]) -> None:
         try:
             if op == "conf":
-                self.reg.judge(method=b["m"], base=b["base"], body=b["body"].encode())
+                self.registry.judge(method=b["m"], base=b["base"], body=b["body"].encode())
         except YarrowError as err:
-            self.reply(uid=uid, request_id=request_id, status=err.status, doc={})
+            self.reply(node_id=node_id, request_id=request_id, status=err.status, doc={})
             return
-        whole(self, uid=uid, request_id=request_id, op=op, b=b)
+        whole(self, node_id=node_id, request_id=request_id, op=op, b=b)
 
     patch.setattr(CoreNode, "_serve0", serve)
 
--- a/tests/node/test_busy_process.py
+++ b/tests/node/test_busy_process.py
@@ -18,12 +18,12 @@
     """The newest number of each group."""
     out = []
     for group_id in range(JOB_GROUPS + 1):
-        known = [e["n"] for ip in sim.core_ips if (e := sim.core(ip).reps[group_id].epoch) is not None]
+        known = [e["n"] for ip in sim.core_ips if (e := sim.core(ip).replicas[group_id].epoch) is not None]
         out.append(max(known))
     return out
 
 
-@pytest.mark.parametrize("g", range(JOB_GROUPS + 1))
+@pytest.mark.parametrize("group_id", range(JOB_GROUPS + 1))
 @pytest.mark.parametrize("seconds", [0.85, 1.15])
 def test_a_primary_that_stood_still_asks_its_backup_before_it_replaces_it(group_id: int, seconds: float) -> None:
     sim, oracle, caller, _ = cluster(seed=91)
@@ -45,7 +45,7 @@
     for ip in sim.core_ips:
         sim.freeze(ip=ip, seconds=2.5)
     sim.run(seconds=6.0)
-    owners = {row["o"] for row in sim.core(sim.serving(group_id=0)[0]).reg.minions.values()}
+    owners = {row["o"] for row in sim.core(sim.serving(group_id=0)[0]).registry.minions.values()}
     assert epochs(sim) == before and len(owners) == 3
     assert all(caller.state(job_id=j) == (200, "complete") for j in job_ids) and oracle.broken == []
 
@@ -53,10 +53,10 @@
 def test_a_short_absence_of_a_witness_costs_no_campaign() -> None:
     sim, _, _, _ = cluster(seed=93, cores=6)
     sim.run(seconds=8.0)
-    e = [sim.core(sim.core_ips[0]).reps[group_id].epoch for group_id in range(JOB_GROUPS + 1)]
+    e = [sim.core(sim.core_ips[0]).replicas[group_id].epoch for group_id in range(JOB_GROUPS + 1)]
     busy = {u for x in e if x is not None for u in (x["p"], *x["b"])}
     kept = {u for x in e if x is not None for u in x["w"]}
-    idle = next(ip for ip in sim.core_ips if sim.uids[ip] in kept - busy)
+    idle = next(ip for ip in sim.core_ips if sim.node_ids[ip] in kept - busy)
     before = epochs(sim)
     sim.freeze(ip=idle, seconds=2.6)
     sim.run(seconds=8.0)
--- a/tests/node/test_call_identity.py
+++ b/tests/node/test_call_identity.py
@@ -13,11 +13,11 @@
 ADDR = "10.9.0.9:7000"
 
 
-def caller(*, sim: Sim, incarnation: int, uid: str = ADDR + "#0") -> CoreNode:
+def caller(*, sim: Sim, incarnation: int, node_id: str = ADDR + "#0") -> CoreNode:
     """A core process beside the cluster that knows its epochs."""
     node = CoreNode(
         startup=sim.startup(ip="10.9.0.9", first=False),
-        uid=uid,
+        node_id=node_id,
         incarnation=incarnation,
         first=False,
         now=sim.now,
@@ -36,22 +36,22 @@
     return rows[0]
 
 
-def answered(sim: Sim, *, uid: str, m: dict[str, Any]) -> tuple[str, dict[str, Any]]:
+def answered(sim: Sim, *, node_id: str, m: dict[str, Any]) -> tuple[str, dict[str, Any]]:
     """What the primary of group 0 answers a call: who and what."""
     primary = sim.core(sim.serving(group_id=0)[0])
     got: list[dict[str, Any]] = []
     real = primary.send
 
-    def send(*, uid: str, kind: Kind, body: dict[str, Any]) -> None:
+    def send(*, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
         if kind is Kind.REPLY:
             got.append(orjson.loads(orjson.dumps(body)))
-        real(uid=uid, kind=kind, body=body)
+        real(node_id=node_id, kind=kind, body=body)
 
     primary.send = send  # type: ignore[method-assign]
-    primary.on(uid=uid, kind=Kind.CALL, m=m)
+    primary.on(node_id=node_id, kind=Kind.CALL, m=m)
     assert sim.until(cond=lambda: bool(got), limit=2.0)
     primary.send = real  # type: ignore[method-assign]
-    return primary.uid, got[0]
+    return primary.node_id, got[0]
 
 
 def ends(node: CoreNode) -> list[int]:
@@ -67,41 +67,41 @@
 def test_an_answer_to_an_earlier_life_is_not_taken_by_the_next_one() -> None:
     sim, _, _, _ = cluster(seed=5)
     old = caller(sim=sim, incarnation=1_000_000)
-    by, late = answered(sim, uid=old.uid, m=ask(old))
+    by, late = answered(sim, node_id=old.node_id, m=ask(old))
     new = caller(sim=sim, incarnation=2_000_000)  # the numbers of both began alike: incarnation modulo a million
     ask(new)
-    new.on(uid=by, kind=Kind.REPLY, m=late)
+    new.on(node_id=by, kind=Kind.REPLY, m=late)
     assert ends(new) == [] and len(new.calls.open) == 1
 
 
 def test_an_answer_to_a_node_that_lost_its_disk_is_not_taken_by_its_successor() -> None:
     sim, _, _, _ = cluster(seed=6)
     old = caller(sim=sim, incarnation=1)
-    by, late = answered(sim, uid=old.uid, m=ask(old))
-    new = caller(sim=sim, incarnation=1, uid=ADDR + "#77")
+    by, late = answered(sim, node_id=old.node_id, m=ask(old))
+    new = caller(sim=sim, incarnation=1, node_id=ADDR + "#77")
     ask(new)
-    new.on(uid=by, kind=Kind.REPLY, m=late)
+    new.on(node_id=by, kind=Kind.REPLY, m=late)
     assert ends(new) == [] and len(new.calls.open) == 1
 
 
 def test_an_answer_of_a_node_that_was_not_asked_is_refused() -> None:
     sim, _, _, _ = cluster(seed=7)
     node = caller(sim=sim, incarnation=1)
-    by, right = answered(sim, uid=node.uid, m=ask(node))
-    other = next(sim.core(ip).uid for ip in sim.core_ips if sim.core(ip).uid != by)
-    node.on(uid=other, kind=Kind.REPLY, m=dict(right))
+    by, right = answered(sim, node_id=node.node_id, m=ask(node))
+    other = next(sim.core(ip).node_id for ip in sim.core_ips if sim.core(ip).node_id != by)
+    node.on(node_id=other, kind=Kind.REPLY, m=dict(right))
     assert ends(node) == [] and len(node.calls.open) == 1
-    node.on(uid=by, kind=Kind.REPLY, m=right)
+    node.on(node_id=by, kind=Kind.REPLY, m=right)
     assert ends(node) == [200] and not node.calls.open
 
 
 def test_an_answer_after_its_call_was_given_up_is_dropped() -> None:
     sim, _, _, _ = cluster(seed=8)
     node = caller(sim=sim, incarnation=1)
-    by, late = answered(sim, uid=node.uid, m=ask(node))
+    by, late = answered(sim, node_id=node.node_id, m=ask(node))
     node.now += 3.1
     node.calls.tick()
     assert ends(node) == [503]
     ask(node)
-    node.on(uid=by, kind=Kind.REPLY, m=late)
+    node.on(node_id=by, kind=Kind.REPLY, m=late)
     assert ends(node) == [503] and len(node.calls.open) == 1
--- a/tests/node/test_call_repeats.py
+++ b/tests/node/test_call_repeats.py
@@ -20,13 +20,13 @@
     got: list[tuple[int, Any]] = []
     real = node.send
 
-    def send(*, uid: str, kind: Kind, body: dict[str, Any]) -> None:
-        if kind is Kind.REPLY and body["rid"] == m["rid"] and uid == CALLER:
+    def send(*, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
+        if kind is Kind.REPLY and body["rid"] == m["rid"] and node_id == CALLER:
             got.append((body["s"], orjson.loads(orjson.dumps(body["d"]))))
-        real(uid=uid, kind=kind, body=body)
+        real(node_id=node_id, kind=kind, body=body)
 
     node.send = send  # type: ignore[method-assign]
-    node.on(uid=CALLER, kind=Kind.CALL, m=orjson.loads(orjson.dumps(m)))
+    node.on(node_id=CALLER, kind=Kind.CALL, m=orjson.loads(orjson.dumps(m)))
     sim.run(seconds=wait)
     node.send = real  # type: ignore[method-assign]
     return got
@@ -40,7 +40,7 @@
 def test_a_call_for_the_agent_of_a_node_that_is_gone_is_not_carried_out_by_its_successor(op: str) -> None:
     sim, _, _, _ = cluster(seed=501)
     node = owner_of(sim, minion_id="i-0")
-    gone = node.uid.split("#")[0] + "#before"
+    gone = node.node_id.split("#")[0] + "#before"
     m = {"rid": 5, "to": gone, "g": -1, "op": op, "b": {"m": "i-0", "d": {}}}
     assert answers(sim, node, m=m) == [(503, {})]
     assert not node.agent.minions["i-0"].draining
@@ -51,7 +51,7 @@
     sim, _, _, _ = cluster(seed=502)
     owner = owner_of(sim, minion_id="i-0")
     other = next(sim.core(ip) for ip in sim.core_ips if sim.core(ip) is not owner)
-    m = {"rid": 6, "to": other.uid, "g": -1, "op": "leave", "b": {"m": "i-0"}}
+    m = {"rid": 6, "to": other.node_id, "g": -1, "op": "leave", "b": {"m": "i-0"}}
     assert answers(sim, other, m=m) == [(503, {})]
 
 
@@ -69,9 +69,9 @@
     sim, _, _, _ = cluster(seed=504)
     primary = sim.core(sim.serving(group_id=0)[0])
     minion_id = next(m for ip in sim.core_ips if sim.core(ip) is not primary for m in sim.core(ip).agent.minions)
-    got = answers(sim, primary, m={"rid": 7, "to": primary.uid, "g": 0, "op": "leave", "b": {"m": minion_id}})
-    assert got == [(200, {"o": owner_of(sim, minion_id=minion_id).uid})]
-    got = answers(sim, primary, m={"rid": 8, "to": primary.uid, "g": 0, "op": "leave", "b": {"m": "i-unknown"}})
+    got = answers(sim, primary, m={"rid": 7, "to": primary.node_id, "g": 0, "op": "leave", "b": {"m": minion_id}})
+    assert got == [(200, {"o": owner_of(sim, minion_id=minion_id).node_id})]
+    got = answers(sim, primary, m={"rid": 8, "to": primary.node_id, "g": 0, "op": "leave", "b": {"m": "i-unknown"}})
     assert got == [(200, {})]
 
 
@@ -86,7 +86,7 @@
     sim.kill(ip=old)
     assert sim.until(cond=lambda: bool(sim.serving(group_id=1)), limit=8.0)
     new = sim.core(sim.serving(group_id=1)[0])
-    assert new.uid != node.uid
+    assert new.node_id != node.node_id
     b = {"id": job_id, "q": row["q"], "j": {}}
     for request_id in (9, 9, 10):
         assert answers(sim, new, m={"rid": request_id, "to": "", "g": 1, "op": "put", "b": b}) == [(200, {})]
@@ -111,15 +111,15 @@
 
 def test_the_end_of_a_minion_told_late_does_not_end_the_one_that_came_back() -> None:
     """`gone` is sent again for half a minute."""
-    reg = Registry()
-    reg.apply({"t": "own", "ms": [["i-0", "a#0", {"site": "z", "svc": "s", "labels": []}]]})
-    first = reg.minions["i-0"]["f"]
+    registry = Registry()
+    registry.apply({"t": "own", "ms": [["i-0", "a#0", {"site": "z", "svc": "s", "labels": []}]]})
+    first = registry.minions["i-0"]["f"]
     for _ in range(2):
-        reg.apply({"t": "gone", "m": "i-0", "f": first})
-    assert reg.minions == {}
-    reg.apply({"t": "own", "ms": [["i-0", "b#0", {"site": "z", "svc": "s", "labels": []}]]})
-    reg.apply({"t": "gone", "m": "i-0", "f": first})
-    assert reg.minions["i-0"]["o"] == "b#0"
+        registry.apply({"t": "gone", "m": "i-0", "f": first})
+    assert registry.minions == {}
+    registry.apply({"t": "own", "ms": [["i-0", "b#0", {"site": "z", "svc": "s", "labels": []}]]})
+    registry.apply({"t": "gone", "m": "i-0", "f": first})
+    assert registry.minions["i-0"]["o"] == "b#0"
 
 
 def test_a_beat_that_comes_again_or_late_changes_nothing() -> None:
@@ -135,7 +135,7 @@
         "capacity": {"cpus": 1, "mem-mb": 1, "gpus": 0},
     }
     before = (minion.seq, dict(minion.running), minion.cap, minion.draining)
-    m = {"rid": 15, "to": node.uid, "g": -1, "op": "beat", "b": {"m": "i-0", "d": doc}}
+    m = {"rid": 15, "to": node.node_id, "g": -1, "op": "beat", "b": {"m": "i-0", "d": doc}}
     got = answers(sim, node, m=m, wait=0.0)
     assert (minion.seq, dict(minion.running), minion.cap, minion.draining) == before
     assert got == [(200, {"fence-no": minion.fence})]
@@ -146,10 +146,10 @@
     primary = sim.core(sim.serving(group_id=0)[0])
     b = {"m": "i-new", "site": "z1", "svc": "svc", "labels": []}
     owners = [
-        answers(sim, primary, m={"rid": request_id, "to": primary.uid, "g": 0, "op": "who", "b": b})
+        answers(sim, primary, m={"rid": request_id, "to": primary.node_id, "g": 0, "op": "who", "b": b})
         for request_id in (20, 20, 21)
     ]
     assert all(rows == owners[0] and rows[0][0] == 200 for rows in owners)
-    fence = primary.reg.minions["i-new"]["f"]
-    assert answers(sim, primary, m={"rid": 22, "to": primary.uid, "g": 0, "op": "who", "b": b}) == owners[0]
-    assert primary.reg.minions["i-new"]["f"] == fence
+    fence = primary.registry.minions["i-new"]["f"]
+    assert answers(sim, primary, m={"rid": 22, "to": primary.node_id, "g": 0, "op": "who", "b": b}) == owners[0]
+    assert primary.registry.minions["i-new"]["f"] == fence
--- a/tests/node/test_config_dissemination_tree.py
+++ b/tests/node/test_config_dissemination_tree.py
@@ -169,9 +169,9 @@
             if node.conf is not None:
                 stamp = node.conf["config-version"]
                 assert node.conf == docs[stamp]
-                uid, was = seen.get(node.startup.ip, ("", 0))
-                assert uid != node.uid or stamp >= was
-                seen[node.startup.ip] = (node.uid, stamp)
+                node_id, was = seen.get(node.startup.ip, ("", 0))
+                assert node_id != node.node_id or stamp >= was
+                seen[node.startup.ip] = (node.node_id, stamp)
     sim.loss = 0.0
     sim.heal()
     sim.run(seconds=1.0)
--- a/tests/node/test_config_freshness.py
+++ b/tests/node/test_config_freshness.py
@@ -45,9 +45,9 @@
 def bystander(sim: Sim) -> str:
     """A core machine that is neither primary nor backup of any group."""
     parts = set()
-    for rep in sim.core(settled(sim)).reps.values():
-        assert rep.epoch is not None
-        parts |= {u.split(":")[0] for u in (rep.epoch["p"], *rep.epoch["b"])}
+    for replica in sim.core(settled(sim)).replicas.values():
+        assert replica.epoch is not None
+        parts |= {u.split(":")[0] for u in (replica.epoch["p"], *replica.epoch["b"])}
     return next(ip for ip in sim.core_ips if ip not in parts)
 
 
@@ -161,9 +161,9 @@
         sim.cut(a=child.startup.ip, b=ip)
         if ip != core:
             sim.cut(a=relay.startup.ip, b=ip)
-    child.via, child.via_at = [relay.uid], sim.now
+    child.via, child.via_at = [relay.node_id], sim.now
     sim.run(seconds=0.6)
-    child.via, child.via_at = [relay.uid], sim.now
+    child.via, child.via_at = [relay.node_id], sim.now
     assert edge(sim, 0).ready() and edge(sim, 1).ready()
     island(sim, [core, child.startup.ip, relay.startup.ip])
     since = sim.now
@@ -189,13 +189,13 @@
         now += 0.01
         for node, other in ((a, b), (b, a)):
             node.now = now
-            node.via, node.via_at = [other.uid], now
+            node.via, node.via_at = [other.node_id], now
             node.tick()
-            way += [(now + delay, other, node.uid, kind, node.load(body=body)) for _, kind, body in node.out.sends]
+            way += [(now + delay, other, node.node_id, kind, node.load(body=body)) for _, kind, body in node.out.sends]
             node.out.sends.clear()
         due, way = [row for row in way if row[0] <= now], [row for row in way if row[0] > now]
-        for _, node, uid, kind, m in due:
-            node.on(uid=uid, kind=kind, m=m)
+        for _, node, node_id, kind, m in due:
+            node.on(node_id=node_id, kind=kind, m=m)
         if now > sim.now + APPLY_S:
             assert not a.ready() and not b.ready(), (now - sim.now, delay)
 
--- a/tests/node/test_config_freshness_core.py
+++ b/tests/node/test_config_freshness_core.py
@@ -55,7 +55,7 @@
     assert status == 200 and doc["config-version"] == 9
     status, doc = sim.ask(ip=core, method="GET", path="/state")
     assert doc["proof-age-ms"] < 1000 and doc["config"] == 9
-    assert doc["evacuated"] == sim.core(settled(sim)).reg.evac  # orders of a deaf core arrive, without an answer
+    assert doc["evacuated"] == sim.core(settled(sim)).registry.evac  # orders of a deaf core arrive, without an answer
 
 
 def owners(sim: Sim) -> dict[str, list[str]]:
--- a/tests/node/test_controller.py
+++ b/tests/node/test_controller.py
@@ -32,9 +32,9 @@
 
 
 def racks(*, sim: Sim) -> dict[Place, set[str]]:
-    reg = sim.core(sim.serving(group_id=0)[0]).reg
+    registry = sim.core(sim.serving(group_id=0)[0]).registry
     out: dict[Place, set[str]] = {}
-    for row in reg.minions.values():
+    for row in registry.minions.values():
         out.setdefault(place(row=row), set()).add(row["o"])
     return out
 
@@ -50,23 +50,23 @@
 @pytest.mark.parametrize("seed", range(10))
 def test_the_index_of_owners_follows_every_event(seed: int) -> None:
     rng = random.Random(seed)
-    reg = Registry()
+    registry = Registry()
     for _ in range(300):
         minion_ids = [f"i-{rng.randrange(40)}" for _ in range(rng.randint(1, 5))]
         if rng.random() < 0.7:
             info = {"site": rng.choice("ab"), "svc": "s", "labels": rng.choice([[], ["k"], ["k", "r1"], ["k", "r2"]])}
-            reg.apply(
+            registry.apply(
                 {"t": "own", "ms": [[m, rng.choice("xyz"), info if rng.random() < 0.5 else {}] for m in minion_ids]}
             )
         else:
-            reg.apply({"t": "gone", "m": minion_ids[0], "f": rng.choice([0, reg.fence])})
+            registry.apply({"t": "gone", "m": minion_ids[0], "f": rng.choice([0, registry.fence])})
         if rng.random() < 0.05:
-            reg.load(reg.dump())
-        fresh = Owners(rows=reg.minions)
-        assert (fresh.by, fresh.sums, fresh.spots) == (reg.owners.by, reg.owners.sums, reg.owners.spots)
-        for uid in "xyz":
-            rows = [(m, r["f"]) for m, r in reg.minions.items() if r["o"] == uid]
-            assert reg.owners.digest(uid=uid) == total(rows=rows)
+            registry.load(registry.dump())
+        fresh = Owners(rows=registry.minions)
+        assert (fresh.by, fresh.sums, fresh.spots) == (registry.owners.by, registry.owners.sums, registry.owners.spots)
+        for node_id in "xyz":
+            rows = [(m, r["f"]) for m, r in registry.minions.items() if r["o"] == node_id]
+            assert registry.owners.digest(node_id=node_id) == total(rows=rows)
 
 
 def test_picks_keep_racks_together_and_spread_them() -> None:
@@ -114,10 +114,10 @@
             return body
 
         node.heart = heart  # type: ignore[method-assign]
-    applied = primary.reps[0].applied
+    applied = primary.replicas[0].applied
     sim.run(seconds=5.0)
     assert len(seen) >= 5 * 18 and not any(seen)
-    assert primary.reps[0].applied == applied
+    assert primary.replicas[0].applied == applied
 
 
 @pytest.mark.parametrize("lost", [0, 2])
@@ -188,14 +188,14 @@
     monkeypatch.setattr(chief, "BATCH", 10)
     ip = next(u for u in sim.core_ips if u not in sim.serving(group_id=0) and u not in sim.serving(group_id=1))
     minion_ids = set(sim.core(ip).agent.minions)
-    before = {m: sim.core(sim.serving(group_id=0)[0]).reg.minions[m]["f"] for m in minion_ids}
+    before = {m: sim.core(sim.serving(group_id=0)[0]).registry.minions[m]["f"] for m in minion_ids}
     sim.kill(ip=ip)
     sim.boot(ip=ip)
     assert sim.until(cond=lambda: len(attached(sim=sim)) == 120, limit=6.0)
-    reg = sim.core(sim.serving(group_id=0)[0]).reg
+    registry = sim.core(sim.serving(group_id=0)[0]).registry
     held = sim.core(ip).agent.minions
     assert set(held) == minion_ids and len(minion_ids) > 20
-    assert all(held[m].fence == reg.minions[m]["f"] > before[m] for m in minion_ids)
+    assert all(held[m].fence == registry.minions[m]["f"] > before[m] for m in minion_ids)
     assert oracle.broken == []
 
 
--- a/tests/node/test_edge.py
+++ b/tests/node/test_edge.py
@@ -113,13 +113,13 @@
     job_id = call(sim, got, n=7)
     sim.run(seconds=1.0)
     primary = sim.core(sim.serving(group_id=1)[0])
-    applied, request_id = primary.reps[1].applied, node.calls.request_id
+    applied, request_id = primary.replicas[1].applied, node.calls.request_id
     for _ in range(50):
         got.clear()
         call(sim, got, n=7, method="GET")
         sim.run(seconds=0.02)
         assert got[job_id][1].status == 200
-    assert primary.reps[1].applied == applied and node.calls.request_id == request_id + 50
+    assert primary.replicas[1].applied == applied and node.calls.request_id == request_id + 50
 
 
 def test_an_edge_stays_ready_while_cores_are_busy_and_says_so_when_it_is_cut_off() -> None:
--- a/tests/node/test_recovery.py
+++ b/tests/node/test_recovery.py
@@ -59,9 +59,9 @@
 def states(node: CoreNode) -> dict[int, tuple[int, int, bytes]]:
     """By group: epoch, number of the last event, and the state, of the copies that count."""
     return {
-        group_id: (rep.base, rep.applied, orjson.dumps(rep.state.dump(), option=orjson.OPT_SORT_KEYS))
-        for group_id, rep in node.reps.items()
-        if rep.role is not Role.IDLE
+        group_id: (replica.base, replica.applied, orjson.dumps(replica.state.dump(), option=orjson.OPT_SORT_KEYS))
+        for group_id, replica in node.replicas.items()
+        if replica.role is not Role.IDLE
     }
 
 
@@ -81,7 +81,7 @@
     """Each journal gives a beginning of what its process has."""
     for ip in sim.core_ips:
         live, again = sim.core(ip), replayed(sim, ip)
-        assert again.uid == live.uid, f"journal of {ip} unusable"
+        assert again.node_id == live.node_id, f"journal of {ip} unusable"
         now = states(live)
         for group_id, (base, applied, state) in states(again).items():
             if group_id in now and now[group_id][0] == base:
@@ -92,18 +92,18 @@
 def agree(sim: RingSim) -> None:
     """All copies of one group's newest epoch are equal, and so are those that the journals tell."""
     for group_id in (0, 1):
-        primary = sim.core(sim.serving(group_id=group_id)[0]).reps[group_id]
+        primary = sim.core(sim.serving(group_id=group_id)[0]).replicas[group_id]
         epoch = primary.epoch
         assert epoch is not None
-        for uid in (epoch["p"], *epoch["b"]):
-            ip = uid.split(":")[0]
+        for node_id in (epoch["p"], *epoch["b"]):
+            ip = node_id.split(":")[0]
             want = states(sim.core(sim.serving(group_id=group_id)[0]))[group_id]
             assert states(sim.core(ip))[group_id] == want, (group_id, ip)
             again = replayed(sim, ip)
-            assert again.uid == sim.uids[ip]
-            rep = again.reps[group_id]
-            assert (rep.base, rep.applied) == want[:2], (group_id, ip)
-            assert orjson.dumps(rep.state.dump(), option=orjson.OPT_SORT_KEYS) == want[2], (group_id, ip)
+            assert again.node_id == sim.node_ids[ip]
+            replica = again.replicas[group_id]
+            assert (replica.base, replica.applied) == want[:2], (group_id, ip)
+            assert orjson.dumps(replica.state.dump(), option=orjson.OPT_SORT_KEYS) == want[2], (group_id, ip)
 
 
 def old_number(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -126,7 +126,9 @@
     assert sim.until(cond=lambda: all(sim.serving(group_id=group_id) for group_id in (0, 1)), limit=20.0)
     assert sim.until(
         cond=lambda: all(
-            not p.disk and not p.disk_busy and all(r.in_flight is None and not r.queue for r in p.node.reps.values())
+            not p.disk
+            and not p.disk_busy
+            and all(r.in_flight is None and not r.queue for r in p.node.replicas.values())
             for p in sim.procs.values()
             if isinstance(p.node, CoreNode) and p.up
         ),
@@ -152,7 +154,7 @@
     sim.run(seconds=8.0)
     quiet(sim)
     agree(sim)
-    assert sim.core(sim.serving(group_id=0)[0]).reg.stamp == version
+    assert sim.core(sim.serving(group_id=0)[0]).registry.stamp == version
     jobs = sim.core(sim.serving(group_id=1)[0]).jobs[1].jobs
     assert set(oracle.accepted) <= set(jobs) and not oracle.broken
 
@@ -189,7 +191,7 @@
 
     def waits() -> bool:
         sim.run(seconds=0.0005)
-        return any(event is not None and event["t"] == "start" for event, _ in node.reps[1].queue)
+        return any(event is not None and event["t"] == "start" for event, _ in node.replicas[1].queue)
 
     assert any(waits() for _ in range(4000))
     journal = [*node.checkpoint(), END]
@@ -198,7 +200,12 @@
     quiet(sim)
     journal += sim.disks[ip].synced[begin:]
     again = CoreNode(
-        startup=sim.startup(ip=ip, first=False), uid=node.uid, incarnation=2, log=Lines(), first=False, now=sim.now
+        startup=sim.startup(ip=ip, first=False),
+        node_id=node.node_id,
+        incarnation=2,
+        log=Lines(),
+        first=False,
+        now=sim.now,
     )
     if old:
         with pytest.raises(ReplayError) as caught:
@@ -258,28 +265,30 @@
     )
     ((event, fields),) = log.warned
     assert event == "journal-unusable" and fields["cause"] and fields["record"] in range(len(sim.disks[ip].synced))
-    assert found.uid == f"{ip}:7000#new" and all(rep.base < 0 and rep.epoch is None for rep in found.reps.values())
-    old = sim.uids[ip]
+    assert found.node_id == f"{ip}:7000#new" and all(
+        replica.base < 0 and replica.epoch is None for replica in found.replicas.values()
+    )
+    old = sim.node_ids[ip]
     sim.boot(ip=ip, first=True)
-    assert sim.uids[ip] not in (old, f"{ip}:7000#0")
+    assert sim.node_ids[ip] not in (old, f"{ip}:7000#0")
     node = sim.core(ip)
     led: list[int] = []
     for _ in range(40):
         sim.run(seconds=0.1)
-        led += [group_id for group_id, rep in node.reps.items() if rep.serving() and rep.applied < 1]
+        led += [group_id for group_id, replica in node.replicas.items() if replica.serving() and replica.applied < 1]
     assert not led
     version = load(sim, caller, seconds=2.0, version=version)
     sim.run(seconds=6.0)
     assert sim.procs[ip].up and sim.core(ip) is node
-    members = sim.core(sim.serving(group_id=0)[0]).reg.members
-    assert node.uid in members and old not in members
+    members = sim.core(sim.serving(group_id=0)[0]).registry.members
+    assert node.node_id in members and old not in members
     for group_id in (0, 1):
-        rep = sim.core(sim.serving(group_id=group_id)[0]).reps[group_id]
-        assert rep.epoch is not None and node.uid in rep.epoch["w"] and old not in rep.epoch["w"]
+        replica = sim.core(sim.serving(group_id=group_id)[0]).replicas[group_id]
+        assert replica.epoch is not None and node.node_id in replica.epoch["w"] and old not in replica.epoch["w"]
     assert node.table is not None and node.table.stamp == version and not oracle.broken
     sim.kill(ip=ip)
     sim.boot(ip=ip)
-    assert sim.uids[ip] == node.uid  # the new identity is in the journal: it is no newcomer again
+    assert sim.node_ids[ip] == node.node_id  # the new identity is in the journal: it is no newcomer again
 
 
 def test_a_node_without_a_whole_snapshot_never_said_anything() -> None:
@@ -296,7 +305,7 @@
             rand=0.5,
             log=Log(name="sim", level="error"),
             token="new",
-        ).uid
+        ).node_id
 
     assert last_snapshot(records=head) == -1 and last_snapshot(records=[*head, END]) == 0
     assert start(records=[], first=True) == start(records=head, first=True) == f"{ip}:7000#0"
--- a/tests/node/test_refused_calls.py
+++ b/tests/node/test_refused_calls.py
@@ -75,9 +75,9 @@
     ended: list[tuple[int, bool]] = []
 
     class Caller:
-        now, uid, serves = 0.0, "edge#1", ("a", 1)
+        now, node_id, serves = 0.0, "edge#1", ("a", 1)
 
-        def send(self, *, uid: str, kind: Any, body: dict[str, Any]) -> None: ...
+        def send(self, *, node_id: str, kind: Any, body: dict[str, Any]) -> None: ...
 
         def primary(self, *, group_id: int) -> tuple[str, int] | None:
             return self.serves
@@ -95,20 +95,20 @@
         calls.start(group_id=1, op="put", b={}, done=(), ttl=3.0)
         return calls.request_id
 
-    def answer(number: int, *, uid: str, status: int) -> None:
-        calls.reply(uid=uid, m={"rid": number, "to": "edge#1", "s": status, "d": []})
+    def answer(number: int, *, node_id: str, status: int) -> None:
+        calls.reply(node_id=node_id, m={"rid": number, "to": "edge#1", "s": status, "d": []})
 
     number = start()
-    answer(number, uid="a", status=429)
+    answer(number, node_id="a", status=429)
     assert ended.pop() == (429, True)  # nobody else was asked: it is final
     number = start()
     caller.serves = ("b", 2)
     calls.tick()  # the next primary is asked
-    answer(number, uid="a", status=429)  # the former one's answer comes late
+    answer(number, node_id="a", status=429)  # the former one's answer comes late
     assert ended.pop() == (0, True)  # the other may have taken it: no clear answer
     number = start()
     caller.serves = ("b", 2)
     calls.tick()
-    answer(number, uid="a", status=NOT_PRIMARY)  # the former one never took it
-    answer(number, uid="b", status=429)
+    answer(number, node_id="a", status=NOT_PRIMARY)  # the former one never took it
+    answer(number, node_id="b", status=429)
     assert ended.pop() == (429, True)
--- a/tests/prediction/test_call_times.py
+++ b/tests/prediction/test_call_times.py
@@ -31,7 +31,7 @@
 
     def job(self, *, at: int, q: str = "q", rows: list[Step] | None = None, **more: Any) -> None:
         self.n += 1
-        self.h.note_job(at=at, job_id=f"{self.n:016x}", q=q, svc=f"s-{q}", steps=rows or steps(), **more)
+        self.h.note_job(at=at, job_id=f"{self.n:016x}", q=q, service=f"s-{q}", steps=rows or steps(), **more)
 
     def ask(self, *, now: int, horizon: int = 5000, q: str = "q") -> Prediction | None:
         return next((p for p in self.h.predict(now_ms=now, horizon_ms=horizon) if p.queue == q), None)
@@ -126,7 +126,7 @@
             right += p is not None and p.early <= then <= p.late
         s.job(at=then, q="b", rows=b)
     assert told >= 35 and right >= 0.85 * told
-    assert p is not None and (p.n, p.gang, p.near, p.svc) == (9, True, "r1", "s-b")
+    assert p is not None and (p.n, p.gang, p.near, p.service) == (9, True, "r1", "s-b")
 
 
 def test_chance_neighbours_are_no_followers() -> None:
@@ -321,7 +321,7 @@
                 else {}
             )
             for h in (s.h, twin):
-                h.note_job(at=at, job_id=job_id, q=q, svc="s", steps=rows, **more)
+                h.note_job(at=at, job_id=job_id, q=q, service="s", steps=rows, **more)
         else:
             done = rng.random() < 0.8
             for h in (s.h, twin):
--- a/tests/prediction/test_run_times.py
+++ b/tests/prediction/test_run_times.py
@@ -211,7 +211,7 @@
             "run": rng.randint(1, 3),
             "how": rng.choice(["done", "done", "failed"]),
             "ms": rng.expovariate(0.001),
-            "mid": rng.choice(["", f"m{rng.randint(0, 700)}", f"m{rng.randint(0, 7)}"]),
+            "minion_id": rng.choice(["", f"m{rng.randint(0, 700)}", f"m{rng.randint(0, 7)}"]),
         }
         one.note_end(**args)
         two.note_end(**args)
--- a/tests/prediction/test_warm_plan.py
+++ b/tests/prediction/test_warm_plan.py
@@ -20,7 +20,7 @@
         "likely": 1200,
         "late": 1500,
         "queue": "q",
-        "svc": "s",
+        "service": "s",
         "form": Form(1000, 64, 0, ""),
         "gang": False,
         "tight": False,
@@ -161,7 +161,7 @@
                     early=early,
                     likely=early,
                     late=late,
-                    svc=f"s{rng.randint(0, 1)}",
+                    service=f"s{rng.randint(0, 1)}",
                     n=rng.choice([1, 4, 20_000]),
                     gang=rng.random() < 0.3,
                     confidence=rng.random(),
@@ -171,8 +171,8 @@
             )
         w.plan(now_ms=wall, steady=t, preds=preds)
         follow(now=t)
-        for svc in ("s0", "s1"):
-            assert sum(r.n for r in w.rooms.values() if r.svc == svc) <= bounds.tasks
+        for service in ("s0", "s1"):
+            assert sum(r.n for r in w.rooms.values() if r.service == service) <= bounds.tasks
         for kind in list(w.rooms):
             if rng.random() < 0.2:
                 w.hit(kind=kind, steady=t, wait_ms=5)
--- a/tests/replication/test_handover.py
+++ b/tests/replication/test_handover.py
@@ -149,7 +149,7 @@
         stamp += 1
         change(sim, to=stamp)
     sim.run(seconds=CATCH_UP_S)
-    live = {sim.uids[ip] for ip in sim.core_ips}
+    live = {sim.node_ids[ip] for ip in sim.core_ips}
     for group_id in range(JOB_GROUPS + 1):
         epoch = newest(sim, group_id=group_id)
         assert {epoch["p"], *epoch["b"]} <= live and set(epoch["w"]) <= live, epoch
--- a/tests/replication/test_install.py
+++ b/tests/replication/test_install.py
@@ -18,8 +18,8 @@
     sim, _, _, _ = cluster(seed=seed, cores=5)
     sim.run(seconds=6.0)
     primary = sim.serving(group_id=0)[0]
-    rep = sim.core(primary).reps[0]
-    others = sorted(u for u in rep.epoch["w"] if u != sim.core(primary).uid) if rep.epoch else []
+    replica = sim.core(primary).replicas[0]
+    others = sorted(u for u in replica.epoch["w"] if u != sim.core(primary).node_id) if replica.epoch else []
     backup = others[0].split(":")[0]
     begun: list[float] = []
     whole = sim._send
@@ -34,14 +34,14 @@
 
     monkeypatch.setattr(sim, "_send", send)
     sim.core(primary).now = sim.now
-    rep.take(why="test", avoid=others[1:])
-    assert sim.until(cond=lambda: rep.role is Role.PRIMARY and bool(begun), limit=3.0)
+    replica.take(why="test", avoid=others[1:])
+    assert sim.until(cond=lambda: replica.role is Role.PRIMARY and bool(begun), limit=3.0)
     assert sim.now - begun[0] >= LATE_S
-    other = sim.core(backup).reps[0]
+    other = sim.core(backup).replicas[0]
     for ip in sim.core_ips:
         if ip != primary:
             sim.cut(a=primary, b=ip)
-    assert rep.lease.until <= other.heard + PROMISE_S
+    assert replica.lease.until <= other.heard + PROMISE_S
     for _ in range(120):
         sim.run(seconds=0.02)
         assert len(sim.serving(group_id=0)) <= 1
@@ -54,13 +54,13 @@
     sim, _, _, _ = cluster(seed=seed, cores=5)
     sim.run(seconds=6.0)
     primary = sim.serving(group_id=0)[0]
-    rep = sim.core(primary).reps[0]
-    assert rep.epoch is not None
+    replica = sim.core(primary).replicas[0]
+    assert replica.epoch is not None
     for ip in sim.core_ips:
         if ip != primary:
-            sim.core(ip).reps[0]._unpack = lambda *, epoch: False  # type: ignore[method-assign]
+            sim.core(ip).replicas[0]._unpack = lambda *, epoch: False  # type: ignore[method-assign]
     sim.core(primary).now = sim.now
-    rep.take(why="test")
+    replica.take(why="test")
     for _ in range(60):
         sim.run(seconds=0.05)
-        assert sim.serving(group_id=0) == [] or rep.epoch["b"] == []
+        assert sim.serving(group_id=0) == [] or replica.epoch["b"] == []
--- a/tests/replication/test_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -11,9 +11,9 @@
 from tests.support.replication_model import Op, World
 from yarrowloom.replication import election as ballot
 from yarrowloom.replication import replica
-from yarrowloom.replication.election import Campaign
+from yarrowloom.replication.election import Election
 from yarrowloom.replication.environment import Role
-from yarrowloom.replication.epoch import Epoch, Witness
+from yarrowloom.replication.epoch import Acceptor, Epoch
 from yarrowloom.replication.replica import Replica
 from yarrowloom.transport.envelope import Kind
 
@@ -31,7 +31,7 @@
     """The primary stands still, its backup's election has begun."""
     w = calm_start(script=script)
     do(w, ("freeze", 2, 2.0))
-    while w.members[0].rep.camp is None:
+    while w.members[0].replica.election is None:
         do(w, calm(w))
     return w
 
@@ -59,10 +59,10 @@
 
 
 def an_acceptor_forgets_its_promise_over_a_restart(p: Patch) -> None:
-    def load(self: Witness, doc: dict[str, Any]) -> None:
+    def load(self: Acceptor, doc: dict[str, Any]) -> None:
         self.seen, self.promised, self.voted, self.value = doc["e"], None, None, None
 
-    p.setattr(Witness, "load", load)
+    p.setattr(Acceptor, "load", load)
 
 
 def a_vote_leaves_before_it_is_synced(p: Patch) -> None:
@@ -80,10 +80,10 @@
 def a_backup_answers_the_old_epoch_after_its_election_began(p: Patch) -> None:
     real = Replica.on
 
-    def on(self: Replica, *, uid: str, kind: Kind, m: dict[str, Any]) -> None:
+    def on(self: Replica, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
         if kind is Kind.PING and self.role is Role.TAKING and self.base == m["n"]:
-            self.environment.send(uid=uid, kind=Kind.PONG, body=m)
-        real(self, uid=uid, kind=kind, m=m)
+            self.environment.send(node_id=node_id, kind=Kind.PONG, body=m)
+        real(self, node_id=node_id, kind=kind, m=m)
 
     p.setattr(Replica, "on", on)
 
@@ -101,12 +101,12 @@
 
 
 def an_election_replaces_a_value_that_was_accepted(p: Patch) -> None:
-    real = Campaign.on
+    real = Election.on
 
-    def on(self: Campaign, *, uid: str, kind: Kind, m: dict[str, Any]) -> None:
-        real(self, uid=uid, kind=kind, m={**m, "ab": None} if kind is Kind.PROMISE else m)
+    def on(self: Election, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
+        real(self, node_id=node_id, kind=kind, m={**m, "ab": None} if kind is Kind.PROMISE else m)
 
-    p.setattr(Campaign, "on", on)
+    p.setattr(Election, "on", on)
 
 
 def a_copy_is_installed_whatever_its_tag(p: Patch) -> None:
@@ -139,8 +139,8 @@
 
     def fire(self: Replica) -> None:
         real(self)
-        assert self.in_flight is not None and self.wit.seen is not None
-        self.in_flight.acknowledged_by.update(self.wit.seen["b"])
+        assert self.in_flight is not None and self.acceptor.seen is not None
+        self.in_flight.acknowledged_by.update(self.acceptor.seen["b"])
 
     p.setattr(Replica, "_fire", fire)
 
@@ -164,10 +164,10 @@
 
 
 def a_witness_that_lost_its_disk_votes(p: Patch) -> None:
-    def is_open(self: Witness, *, n: int) -> bool:
+    def is_open(self: Acceptor, *, n: int) -> bool:
         return self.seen is not None and n == self.seen["n"] + 1
 
-    p.setattr(Witness, "_open", is_open)
+    p.setattr(Acceptor, "_open", is_open)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/tests/replication/test_quorum_contact.py
+++ b/tests/replication/test_quorum_contact.py
@@ -14,13 +14,13 @@
 
 def newest(sim: Sim, *, group_id: int) -> Epoch:
     """The newest epoch of a group that any running process knows."""
-    known = [sim.core(ip).reps[group_id].epoch for ip in sim.core_ips if sim.procs[ip].up]
+    known = [sim.core(ip).replicas[group_id].epoch for ip in sim.core_ips if sim.procs[ip].up]
     return max((e for e in known if e is not None), key=lambda e: e["n"])
 
 
-def machine(uid: str) -> str:
+def machine(node_id: str) -> str:
     """The address of the machine that a uid names."""
-    return uid.split(":")[0]
+    return node_id.split(":")[0]
 
 
 def split(sim: Sim, *, left: Iterable[str]) -> None:
@@ -32,7 +32,7 @@
 
 
 def holders(epoch: Epoch) -> list[str]:
-    return [machine(uid) for uid in (epoch["p"], *epoch["b"])]
+    return [machine(node_id) for node_id in (epoch["p"], *epoch["b"])]
 
 
 @pytest.mark.parametrize("losses", [1, 2])
@@ -102,8 +102,8 @@
     sim.run(seconds=4.0)
     for ip in others:
         node = sim.core(ip)
-        assert node.uid not in newest(sim, group_id=0)["w"]
-        assert node.reps[0].wit.promised is None
+        assert node.node_id not in newest(sim, group_id=0)["w"]
+        assert node.replicas[0].acceptor.promised is None
     assert sim.serving(group_id=0) == [] and newest(sim, group_id=0)["n"] == epoch["n"]
 
 
--- a/tests/replication/test_snapshot.py
+++ b/tests/replication/test_snapshot.py
@@ -9,9 +9,9 @@
 
 
 def holders(cell: Cell) -> list[Member]:
-    epoch = cell.primary().rep.epoch
+    epoch = cell.primary().replica.epoch
     assert epoch is not None
-    return [cell.members[uid] for uid in (epoch["p"], *epoch["b"])]
+    return [cell.members[node_id] for node_id in (epoch["p"], *epoch["b"])]
 
 
 def arrive(cell: Cell) -> None:
@@ -28,7 +28,7 @@
     cell = Cell()
     primary = cell.primary()
     cell.commit(x=1)
-    primary.rep.flush()
+    primary.replica.flush()
     cell.commit(x=2)
     primary.rotate(count=len(primary.unsynced))
     cell.settle(seconds=0.3)
@@ -41,13 +41,13 @@
     cell = Cell()
     primary = cell.primary()
     cell.commit(x=1)
-    primary.rep.flush()
+    primary.replica.flush()
     cell.commit(x=2)
     primary.journal += primary.snapshot()
     cell.commit(x=3)
     cell.settle(seconds=0.3)
     batches = [rec["first"] for rec in map(orjson.loads, primary.journal) if rec["k"] == "lg"]
-    assert batches[-1] == primary.rep.applied - 1  # events 2 and 3 are one batch
+    assert batches[-1] == primary.replica.applied - 1  # events 2 and 3 are one batch
     _, replayed = primary.replayed(journal=primary.journal)
     assert replayed.rows == primary.state.rows == [1, 2, 3]
 
@@ -57,7 +57,7 @@
     cell = Cell()
     primary, backup = cell.primary(), cell.backup()
     cell.commit(x=1)
-    primary.rep.flush()
+    primary.replica.flush()
     arrive(cell)
     assert backup.state.rows == [1] and backup.unsynced
     backup.rotate(count=len(backup.unsynced))
@@ -76,18 +76,18 @@
     cell.commit(x=1)
     cell.settle(seconds=0.3)
     records = [orjson.loads(raw) for raw in [*before, *spare, *primary.snapshot()[1:-1]]]
-    rep, replayed = primary.replayed(journal=[orjson.dumps(rec) for rec in records])
-    assert replayed.rows == [1] and rep.base == primary.rep.base
+    replica, replayed = primary.replayed(journal=[orjson.dumps(rec) for rec in records])
+    assert replayed.rows == [1] and replica.base == primary.replica.base
 
 
 def test_a_witness_record_that_waited_while_a_snapshot_was_taken_takes_nothing_back() -> None:
     cell = Cell()
     member = cell.primary()
-    waiting = orjson.dumps({"k": "w", "g": 0, **member.rep.wit.dump()})
-    assert member.rep.wit.seen is not None
-    member.rep.wit.prepare(n=member.rep.wit.seen["n"] + 1, ballot=[5, "b:1#0"])
-    rep, _ = member.replayed(journal=[*member.snapshot(), waiting])
-    assert rep.wit.promised == [5, "b:1#0"]
+    waiting = orjson.dumps({"k": "w", "g": 0, **member.replica.acceptor.dump()})
+    assert member.replica.acceptor.seen is not None
+    member.replica.acceptor.prepare(n=member.replica.acceptor.seen["n"] + 1, ballot=[5, "b:1#0"])
+    replica, _ = member.replayed(journal=[*member.snapshot(), waiting])
+    assert replica.acceptor.promised == [5, "b:1#0"]
 
 
 def test_a_snapshot_that_was_cut_off_does_not_count() -> None:
@@ -99,8 +99,8 @@
     before = list(primary.journal)
     head = primary.snapshot()
     for kept in range(len(head)):
-        rep, replayed = primary.replayed(journal=before + head[:kept])
-        assert replayed.rows == [1] and rep.role is Role.LAPSED
+        replica, replayed = primary.replayed(journal=before + head[:kept])
+        assert replayed.rows == [1] and replica.role is Role.LAPSED
 
 
 def test_a_spare_copy_of_an_undecided_epoch_is_kept_by_a_snapshot_and_used_once_it_is_decided() -> None:
@@ -108,13 +108,13 @@
     primary, backup = cell.primary(), cell.backup()
     cell.commit(x=1)
     cell.settle(seconds=0.3)
-    primary.rep.take(why="test")
+    primary.replica.take(why="test")
     cell.deliver()
     backup.sync(count=len(backup.unsynced))
     assert [kind for _, _, kind, _ in cell.wire] == [Kind.CKPTOK]  # the backup has synced the copy
     backup.rotate(count=0)
     backup.restart()
-    assert [rec["inst"] for rec in backup.rep.spares.values()] == [2]
+    assert [rec["inst"] for rec in backup.replica.spares.values()] == [2]
     assert cell.settle(seconds=10.0, until=lambda: len(cell.decided) >= 2 and bool(cell.serving()))
     assert all(member.state.rows == [1] for member in holders(cell))
 
@@ -155,12 +155,12 @@
 def test_a_backup_takes_a_batch_once_however_often_it_comes_and_refuses_one_after_a_gap() -> None:
     cell = Cell()
     primary, backup = cell.primary(), cell.backup()
-    base, start = backup.rep.base, backup.rep.applied
+    base, start = backup.replica.base, backup.replica.applied
 
     def log(*, first: int, events: list[int]) -> list[int]:
         """Send one batch; the events that are confirmed by number."""
-        backup.rep.on(
-            uid=primary.uid,
+        backup.replica.on(
+            node_id=primary.node_id,
             kind=Kind.LOG,
             m={"g": 0, "n": base, "first": start + first, "evs": [{"x": x} for x in events], "t": cell.now},
         )
@@ -186,23 +186,23 @@
     cell = Cell()
     primary = cell.primary()
     cell.commit(x=1)
-    primary.rep.flush()
+    primary.replica.flush()
     cell.commit(x=2)
-    cell.cut(uid=primary.uid)
+    cell.cut(node_id=primary.node_id)
     primary.rotate(count=0)
     primary.restart()
-    assert primary.state.rows == [1, 2] and primary.rep.role is Role.LAPSED
+    assert primary.state.rows == [1, 2] and primary.replica.role is Role.LAPSED
     for _ in range(60):
         cell.now += 0.05
-        primary.rep.tick()
+        primary.replica.tick()
         primary.sync(count=len(primary.unsynced))
-        cell.cut(uid=primary.uid)
-        assert not primary.rep.serving() and not cell.confirmed and primary.rep.base == 1
+        cell.cut(node_id=primary.node_id)
+        assert not primary.replica.serving() and not cell.confirmed and primary.replica.base == 1
     assert cell.settle(seconds=20.0, until=lambda: bool(cell.serving()))
     for member in holders(cell):
         _, replayed = member.replayed(journal=member.journal)
         assert replayed.rows == member.state.rows
-        assert member.rep.base == cell.primary().rep.base > 1
+        assert member.replica.base == cell.primary().replica.base > 1
 
 
 def test_a_backup_that_began_to_take_over_confirms_nothing_more_after_a_restart() -> None:
@@ -211,20 +211,20 @@
     cell = Cell()
     first, taker = cell.primary(), cell.backup()
     third = next(m for m in cell.members.values() if m not in (first, taker))
-    taker.rep.take(why="test", avoid=[first.uid])
+    taker.replica.take(why="test", avoid=[first.node_id])
     for _ in range(100):
-        cell.cut(uid=first.uid)
+        cell.cut(node_id=first.node_id)
         for member in (taker, third):
             member.sync(count=len(member.unsynced))
-        if third.rep.wit.voted is not None and taker.rep.wit.voted is not None:
+        if third.replica.acceptor.voted is not None and taker.replica.acceptor.voted is not None:
             break
         cell.deliver()
     cell.wire.clear()
     taker.restart()
-    assert first.rep.serving()
+    assert first.replica.serving()
     cell.commit(x=1, member=first)
     cell.settle(seconds=1.0)
-    first.rep.take(why="test") if first.rep.role is Role.PRIMARY else None
+    first.replica.take(why="test") if first.replica.role is Role.PRIMARY else None
     cell.settle(seconds=10.0, until=lambda: len(cell.decided) >= 2 and bool(cell.serving()))
     cell.settle(seconds=1.0)
     assert set(cell.confirmed) <= set(cell.primary().state.rows)
@@ -240,12 +240,12 @@
     backup.state.refused = 2
     cell.commit(x=2)
     cell.settle(seconds=0.3)
-    assert backup.rep.role is Role.IDLE and backup.rep.base == -1
+    assert backup.replica.role is Role.IDLE and backup.replica.base == -1
     assert 2 not in cell.confirmed
     assert [name for name, _ in backup.notes].count("copy-void") == 1
     assert cell.settle(seconds=20.0, until=lambda: 2 in cell.confirmed)
     assert all(member.state.rows == [1, 2] for member in holders(cell))
-    assert all(member.state.rows == [1, 2] for member in cell.members.values() if member.rep.role is not Role.IDLE)
+    assert all(member.state.rows == [1, 2] for member in cell.members.values() if member.replica.role is not Role.IDLE)
 
 
 def test_a_backup_whose_reducer_raised_has_the_beginning_after_a_restart() -> None:
@@ -268,5 +268,5 @@
     primary.state.refused = 2
     with pytest.raises(AssertionError, match="refused by the reducer"):
         cell.commit(x=2)
-    assert not primary.rep.serving() and primary.rep.role is Role.IDLE
+    assert not primary.replica.serving() and primary.replica.role is Role.IDLE
     assert cell.primary() is not primary and cell.primary().state.rows == [1]
--- a/tests/replication/test_snapshot_any_order.py
+++ b/tests/replication/test_snapshot_any_order.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.support.replica_cell import Cell, Member, Role
-from yarrowloom.replication.election import Campaign
+from yarrowloom.replication.election import Election
 from yarrowloom.replication.log_replay import unapplied
 from yarrowloom.replication.replica_storage import StoredCopy
 
@@ -47,10 +47,10 @@
             self.cell.commit(x=self.next, member=member)
             self.next += 1
             if self.rng.random() < 0.5:
-                member.rep.flush()
+                member.replica.flush()
 
     def flush(self) -> None:
-        self.member().rep.flush()
+        self.member().replica.flush()
 
     def message(self) -> None:
         if self.cell.wire:
@@ -67,40 +67,40 @@
 
     def rotate(self) -> None:
         member = self.member()
-        self.overlaps += bool(member.rep.queue) or bool(member.unsynced)
+        self.overlaps += bool(member.replica.queue) or bool(member.unsynced)
         member.rotate(count=self.rng.randint(0, len(member.unsynced)))
 
     def restart(self) -> None:
         """Of the records that no sync covers a beginning is there; or of a snapshot that was being written."""
-        taking = [m for m in self.cell.members.values() if m.rep.role is Role.TAKING]
+        taking = [m for m in self.cell.members.values() if m.replica.role is Role.TAKING]
         member = self.rng.choice(taking) if taking and self.rng.random() < 0.5 else self.member()
-        base, live = member.rep.base, list(member.state.rows)
+        base, live = member.replica.base, list(member.state.rows)
         if self.rng.random() < 0.3:
             head = member.snapshot()
             member.journal += head[: self.rng.randrange(len(head))]
             member.unsynced = []
         member.restart(lost=self.rng.randint(0, len(member.unsynced)))
-        self.cell.cut(uid=member.uid) if self.rng.random() < 0.5 else None
+        self.cell.cut(node_id=member.node_id) if self.rng.random() < 0.5 else None
         self.restarts += 1
-        if member.rep.base == base and member.rep.role is not Role.IDLE:
+        if member.replica.base == base and member.replica.role is not Role.IDLE:
             need(live[: len(member.state.rows)] == member.state.rows, "replayed", member.state.rows, "live", live)
 
     def take(self) -> None:
         """A backup believes that its primary is silent."""
         member = self.member()
-        if member.rep.role is Role.BACKUP:
-            member.rep.take(why="test")
+        if member.replica.role is Role.BACKUP:
+            member.replica.take(why="test")
 
     def time(self) -> None:
         self.cell.now += self.rng.choice([0.01, 0.05, 0.2])
-        self.member().rep.tick()
+        self.member().replica.tick()
 
     # -- what must hold
 
     def judge(self) -> None:
         for member in self.cell.members.values():
-            rows, base = member.state.rows, member.rep.base
-            if member.rep.role is Role.IDLE:
+            rows, base = member.state.rows, member.replica.base
+            if member.replica.role is Role.IDLE:
                 continue
             need(rows == sorted(set(rows)), "an event twice or out of order", rows)
             known = self.history.setdefault(base, rows)
@@ -108,7 +108,7 @@
             need(longer[: len(shorter)] == shorter, "two stories of one epoch", rows, known)
             self.history[base] = list(longer)
         for member in self.cell.serving():
-            need(set(self.cell.confirmed) <= set(member.state.rows), "confirmed and lost", member.uid)
+            need(set(self.cell.confirmed) <= set(member.state.rows), "confirmed and lost", member.node_id)
         need(len(self.cell.confirmed) == len(set(self.cell.confirmed)), "confirmed twice")
 
     def run(self, *, steps: int = STEPS) -> None:
@@ -123,12 +123,12 @@
         self.cell.settle(seconds=1.0)
         need(self.next - 1 in self.cell.confirmed, "no end of it")
         self.judge()
-        epoch = primary.rep.epoch
+        epoch = primary.replica.epoch
         assert epoch is not None
-        for uid in (epoch["p"], *epoch["b"]):
-            member = self.cell.members[uid]
+        for node_id in (epoch["p"], *epoch["b"]):
+            member = self.cell.members[node_id]
             _, replayed = member.replayed(journal=member.journal)
-            need(member.state.rows == primary.state.rows == replayed.rows, "copies differ", uid)
+            need(member.state.rows == primary.state.rows == replayed.rows, "copies differ", node_id)
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
@@ -160,7 +160,7 @@
         elif guard == "a backup that began to take over confirms nothing more":
             patch.setattr(StoredCopy, "proposed", lambda self, n: None)
         elif guard == "a life does not serve in an epoch that an earlier one may have served in":
-            patch.setattr(Campaign, "resumed", property(lambda self: False, lambda self, value: None), raising=False)
+            patch.setattr(Election, "resumed", property(lambda self: False, lambda self, value: None), raising=False)
         yield
 
 
--- a/tests/replication/test_stalled_process.py
+++ b/tests/replication/test_stalled_process.py
@@ -131,7 +131,7 @@
     while sim.now < before + STILL_S + 1.0:
         sim.run(seconds=0.05)
         assert agent.lease <= sim.now + 1.5
-        if newest(sim, group_id=0)["p"] == sim.core(primary).uid:
+        if newest(sim, group_id=0)["p"] == sim.core(primary).node_id:
             assert agent.lease <= before + 1.5
 
 
@@ -147,12 +147,12 @@
     assert still.begun
     before = sim.now
     number = newest(sim, group_id=0)["n"]
-    rep = sim.core(primary).reps[0]
+    replica = sim.core(primary).replicas[0]
     while sim.now < before + STILL_S + 1.0:
         sim.run(seconds=0.05)
         assert len(sim.serving(group_id=0)) <= 1
         if newest(sim, group_id=0)["n"] == number:
-            assert rep.lease.until <= before + 1.2
+            assert replica.lease.until <= before + 1.2
     assert newest(sim, group_id=0)["n"] > number and len(sim.serving(group_id=0)) == 1
 
 
@@ -162,7 +162,7 @@
     sim, _, _, _ = cluster(seed=seed, cores=7)
     sim.run(seconds=SETTLE_S)
     named = holders(newest(sim, group_id=0))
-    owners = {minion_id: row["o"] for minion_id, row in sim.core(named[0]).reg.minions.items()}
+    owners = {minion_id: row["o"] for minion_id, row in sim.core(named[0]).registry.minions.items()}
     rest = [ip for ip in sim.core_ips if ip not in named]
     for a in named:
         for b in rest:
@@ -171,5 +171,5 @@
     sim.heal()
     assert sim.until(cond=lambda: sim.serving(group_id=0) == [named[0]], limit=1.0)
     sim.run(seconds=0.3)
-    now = {minion_id: row["o"] for minion_id, row in sim.core(named[0]).reg.minions.items()}
+    now = {minion_id: row["o"] for minion_id, row in sim.core(named[0]).registry.minions.items()}
     assert {m: o for m, o in now.items() if owners[m] != o} == {}
--- a/tests/replication/test_successive_losses.py
+++ b/tests/replication/test_successive_losses.py
@@ -62,7 +62,7 @@
 
 def full(sim: Sim, *, losses: int) -> bool:
     """Both groups are served, by as many live holders as the budget wants and the members allow."""
-    live = {sim.uids[ip] for ip in sim.core_ips if sim.procs[ip].up}
+    live = {sim.node_ids[ip] for ip in sim.core_ips if sim.procs[ip].up}
     want = min(losses + 1, len(live))
     for group_id in range(JOB_GROUPS + 1):
         epoch = newest(sim, group_id=group_id)
@@ -137,7 +137,7 @@
         sim.run(seconds=CATCH_UP_S)
         stamp += 1
         change(sim, to=stamp)
-    live = {sim.uids[ip] for ip in sim.core_ips}
+    live = {sim.node_ids[ip] for ip in sim.core_ips}
     sim.run(seconds=CATCH_UP_S)
     for group_id in range(JOB_GROUPS + 1):
         epoch = newest(sim, group_id=group_id)
--- a/tests/replication/test_zones.py
+++ b/tests/replication/test_zones.py
@@ -16,12 +16,12 @@
     return ip.split(".")[1]
 
 
-def zone_of(uid: str) -> str:
-    return zone(uid.split(":")[0])
+def zone_of(node_id: str) -> str:
+    return zone(node_id.split(":")[0])
 
 
-def most_in_one_zone(uids: list[str]) -> int:
-    zones = [zone_of(u) for u in uids]
+def most_in_one_zone(node_ids: list[str]) -> int:
+    zones = [zone_of(u) for u in node_ids]
     return max(zones.count(z) for z in zones)
 
 
@@ -59,10 +59,10 @@
     first = zone(sim.serving(group_id=0)[0])
     # Beyond the budget in machines, but links only: two zones are cut off and heal, nothing is lost.
     stay = [ip for ip in sim.core_ips if zone(ip) == first]
-    rep = sim.core(sim.serving(group_id=0)[0]).reps[0]
+    replica = sim.core(sim.serving(group_id=0)[0]).replicas[0]
     sim.core(sim.serving(group_id=0)[0]).now = sim.now
     away = [u for u in sim.core(stay[0]).members if zone_of(u) != first]
-    rep.take(why="test", avoid=away)
+    replica.take(why="test", avoid=away)
     sim.run(seconds=0.6)
     assert {zone(ip) for ip in holders(newest(sim, group_id=0))} == {first}
     sim.run(seconds=MEND_S)
--- a/tests/scheduling/test_binding_model.py
+++ b/tests/scheduling/test_binding_model.py
@@ -88,7 +88,7 @@
 
 
 def an_agent_takes_no_note_of_a_gap(p: pytest.MonkeyPatch) -> None:
-    p.setattr(Agent, "gap", lambda self, uid: None)
+    p.setattr(Agent, "gap", lambda self, node_id: None)
 
 
 def what_never_started_stays_in_the_record(p: pytest.MonkeyPatch) -> None:
@@ -98,10 +98,10 @@
 def a_sent_order_is_called_never_started(p: pytest.MonkeyPatch) -> None:
     real = Agent.attach
 
-    def attach(self: Agent, *, uid: str, b: dict[str, Any]) -> None:
+    def attach(self: Agent, *, node_id: str, b: dict[str, Any]) -> None:
         for r in self.minions[b["m"]].runs.values():
             r.sent = False
-        real(self, uid=uid, b=b)
+        real(self, node_id=node_id, b=b)
 
     p.setattr(Agent, "attach", attach)
 
@@ -148,10 +148,10 @@
     assert calm.broken == [] and calm.states > 60
     real = Agent.attach
 
-    def attach(self: Agent, *, uid: str, b: dict[str, Any]) -> None:
+    def attach(self: Agent, *, node_id: str, b: dict[str, Any]) -> None:
         for r in self.minions[b["m"]].runs.values():
             r.sent = r.live = False
-        real(self, uid=uid, b=b)
+        real(self, node_id=node_id, b=b)
 
     monkeypatch.setattr(Agent, "attach", attach)
     found = after_death()
--- a/tests/scheduling/test_lease_identity.py
+++ b/tests/scheduling/test_lease_identity.py
@@ -15,7 +15,7 @@
     landed: list[int] = []
     monkeypatch.setattr(placer, "_landed", lambda *, ask: landed.append(ask.request_id))
     monkeypatch.setattr(placer, "_settle", lambda *, att: None)
-    asked, other = (sim.core(ip).uid for ip in sim.core_ips[:2])
+    asked, other = (sim.core(ip).node_id for ip in sim.core_ips[:2])
 
     class Nothing:
         plan: dict[str, list[int]] = {}
@@ -34,9 +34,9 @@
         been=[],
     )
     answer = {"g": 1, "rid": request_id, "x": [], "to": "", "r": [], "size": [1, 1, 0]}
-    placer.grant(uid=other, b=dict(answer))
+    placer.grant(node_id=other, b=dict(answer))
     assert request_id in placer.asks and landed == []
-    placer.grant(uid=asked, b=dict(answer))
+    placer.grant(node_id=asked, b=dict(answer))
     assert request_id not in placer.asks and landed == [request_id]
 
 
@@ -49,10 +49,10 @@
         job_id = caller.submit(stages=[{"task-count": 4, "cpus": 500, "mem-mb": 64, "estimate-ms": 200}])
         assert sim.until(cond=lambda job_id=job_id: caller.state(job_id=job_id)[1] == "complete", limit=10.0)  # type: ignore[misc]
         placer = sim.core(ip).placers[1]
-        first = placer.rep.base << 32
+        first = placer.replica.base << 32
         assert first < placer.request_id < first + 1000
         asks.append(placer.request_id >> 32)
-        leases.append((sim.core(ip).uid, sim.core(ip).agent.next >> 32))
+        leases.append((sim.core(ip).node_id, sim.core(ip).agent.next >> 32))
         sim.kill(ip=ip)
         sim.run(seconds=0.3)
         sim.boot(ip=ip)
--- a/tests/scheduling/test_scheduling_cycle.py
+++ b/tests/scheduling/test_scheduling_cycle.py
@@ -24,14 +24,14 @@
                 agent="a",
                 fence=1,
                 seq=i,
-                svc="s",
+                service="s",
                 site="z",
                 labels=(rng.choice("ab"), rng.choice(RACKS)),
                 cap=cap,
             )
         )
         free: list[int | str] = [f"m{i}", rng.randint(0, cap.cpu), rng.randint(0, cap.mem), rng.randint(0, cap.gpu)]
-        room.report(uid="a", rows=[free], shut=[], now=1.0)
+        room.report(node_id="a", rows=[free], shut=[], now=1.0)
     return room
 
 
@@ -40,7 +40,7 @@
     if size == Size(0, 0, 0):
         size = Size(500, 0, 0)
     return Ask(
-        svc="s",
+        service="s",
         size=size,
         members=list(range(n)),
         need=rng.choice([1, n]),
@@ -117,16 +117,16 @@
                 agent="a",
                 fence=1,
                 seq=1,
-                svc="s",
+                service="s",
                 site="z",
                 labels=("k", rack),
                 cap=Size(4000, 9, 4),
             )
         )
-        room.report(uid="a", rows=[[minion_id, *free]], shut=[], now=1.0)
+        room.report(node_id="a", rows=[[minion_id, *free]], shut=[], now=1.0)
 
     def first(near: str) -> Decision:
-        return cycle.run(room=room, ask=Ask(svc="s", size=Size(1000, 1, 1), members=[0], need=1, near=near))
+        return cycle.run(room=room, ask=Ask(service="s", size=Size(1000, 1, 1), members=[0], need=1, near=near))
 
     assert first("").placed == [(0, "fit")]
     assert first("r1").placed == [(0, "data")]
@@ -141,16 +141,16 @@
                 agent="a",
                 fence=1,
                 seq=1,
-                svc="s",
+                service="s",
                 site="z",
                 labels=("k", "r"),
                 cap=Size(1000, 1, 0),
             )
         )
-    room.report(uid="a", rows=[["a", 1000, 1, 0], ["b", 1000, 1, 0]], shut=[], now=1.0)
-    ask = Ask(svc="s", size=Size(1000, 1, 0), members=[0], need=1, sore=frozenset({"a"}))
+    room.report(node_id="a", rows=[["a", 1000, 1, 0], ["b", 1000, 1, 0]], shut=[], now=1.0)
+    ask = Ask(service="s", size=Size(1000, 1, 0), members=[0], need=1, sore=frozenset({"a"}))
     assert cycle.run(room=room, ask=ask).placed == [(0, "b")]
-    room.report(uid="a", rows=[], shut=["b"], now=1.0)
+    room.report(node_id="a", rows=[], shut=["b"], now=1.0)
     assert cycle.run(room=room, ask=ask).placed == [(0, "a")]
 
 
@@ -159,7 +159,7 @@
     for _ in range(9):
         assert not room.failed(minion_id="m0", job_id="poison", now=1.0)
     assert [room.failed(minion_id="m1", job_id=j, now=1.0) for j in "abc"] == [False, False, True]
-    ask = Ask(svc="s", size=Size(0, 0, 0), members=[0] * 900, need=1, now=1.1)
+    ask = Ask(service="s", size=Size(0, 0, 0), members=[0] * 900, need=1, now=1.1)
     assert "m1" not in {minion_id for _, minion_id in cycle.run(room=room, ask=ask).placed}
     room.worked(minion_id="m1")
     assert room.spots["m1"].shy == 0.0
@@ -182,16 +182,18 @@
                     agent="a",
                     fence=1,
                     seq=step,
-                    svc="s",
+                    service="s",
                     site="z",
                     labels=("a", "r0"),
                     cap=Size(4000, 4000, 4),
                 )
             )
         elif move == 1:
-            room.report(uid="a", rows=[[minion_id, rng.randint(0, 4000), 4000, rng.randint(0, 4)]], shut=[], now=1.0)
+            room.report(
+                node_id="a", rows=[[minion_id, rng.randint(0, 4000), 4000, rng.randint(0, 4)]], shut=[], now=1.0
+            )
         elif move == 2:
-            room.report(uid="a", rows=[], shut=[minion_id], now=1.0)
+            room.report(node_id="a", rows=[], shut=[minion_id], now=1.0)
         elif move == 3:
             room.reserve(spot=spot, size=size, n=rng.choice([1, -1]))
         else:
@@ -201,7 +203,7 @@
             for s in room.spots.values()
             if s.open and max(s.free.gpu, 0) >= 1 and s.free.cpu >= 800
         )
-        assert [s.minion_id for s in room.ordered(svc="s", size=size)] == [minion_id for _, _, minion_id in scan]
+        assert [s.minion_id for s in room.ordered(service="s", size=size)] == [minion_id for _, _, minion_id in scan]
         shelf = room.shelves["s"]
         assert shelf.count == sum(s.open for s in room.spots.values())
         assert (
@@ -215,7 +217,7 @@
     return Group(
         job_id=f"{i:016x}",
         key="0.0",
-        svc="s",
+        service="s",
         size=size,
         prio=(False, rank, float(i), 0.0, f"{i:016x}", "0.0"),
         since=0.0,
@@ -233,15 +235,15 @@
                 agent="a",
                 fence=1,
                 seq=1,
-                svc="s",
+                service="s",
                 site="z",
                 labels=("k", f"r{i // 12}"),
                 cap=Size(32000, 64000, 8),
             )
         )
-        room.report(uid="a", rows=[[f"m{i:05}", 1000 if i % 4 else 9000, 64000, i % 9]], shut=[], now=1.0)
+        room.report(node_id="a", rows=[[f"m{i:05}", 1000 if i % 4 else 9000, 64000, i % 9]], shut=[], now=1.0)
     before = room.looks
-    got = cycle.run(room=room, ask=Ask(svc="s", size=Size(2000, 1, 1), members=[0, 1, 2, 3, 4], need=5))
+    got = cycle.run(room=room, ask=Ask(service="s", size=Size(2000, 1, 1), members=[0, 1, 2, 3, 4], need=5))
     assert got.feasible and room.looks - before <= 5
 
 
@@ -252,7 +254,7 @@
     for i in range(waiting):
         group = group_of(i, size=Size(4000, 1, 4) if i != waiting - 1 else Size(100, 1, 0))
         log.add(group=group)
-        heap_popped = log.pop(svc="s", walk=Walk(looks=1))
+        heap_popped = log.pop(service="s", walk=Walk(looks=1))
         assert heap_popped is group
         log.park(group=group, now=0.0)
     walk = Walk()
@@ -262,7 +264,7 @@
     while found is None and slices < 100:
         walk.begin(top={})
         walk.looks = 400
-        found = log.pop(svc="s", walk=walk)
+        found = log.pop(service="s", walk=walk)
         slices += 1
         assert walk.looks >= 0
     assert found is not None and found.size.cpu == 100
@@ -275,11 +277,11 @@
     for group in rows:
         log.add(group=group)
     walk = Walk(looks=10)
-    first = log.pop(svc="s", walk=walk)
+    first = log.pop(service="s", walk=walk)
     assert first is rows[2]
     log.wake(group=first)
-    assert [log.pop(svc="s", walk=walk) for _ in range(3)] == [rows[2], rows[1], rows[0]]
-    assert log.pop(svc="s", walk=walk) is None
+    assert [log.pop(service="s", walk=walk) for _ in range(3)] == [rows[2], rows[1], rows[0]]
+    assert log.pop(service="s", walk=walk) is None
 
 
 def test_backoff_doubles_and_ends() -> None:
@@ -288,7 +290,7 @@
     log.add(group=group)
     now, waits = 0.0, []
     for _ in range(7):
-        assert log.pop(svc="s", walk=Walk(looks=1)) is group
+        assert log.pop(service="s", walk=Walk(looks=1)) is group
         log.park(group=group, now=now)
         waits.append(group.again - now)
         assert log.due(now=group.again - 1e-6) == []
@@ -310,7 +312,7 @@
     now = 0.0
     for _ in range(200):
         walk = Walk(looks=100)
-        while (popped := log.pop(svc="s", walk=walk)) is not None:
+        while (popped := log.pop(service="s", walk=walk)) is not None:
             log.park(group=popped, now=now)
         now += 2.0
         for group in log.due(now=now):
@@ -319,6 +321,6 @@
             walk.grow(sizes=[Size(9, 9, 0)])
         walk.begin(top={})
         walk.looks = 100
-        while (popped := log.pop(svc="s", walk=walk)) is not None:
+        while (popped := log.pop(service="s", walk=walk)) is not None:
             log.park(group=popped, now=now)
     assert len(log.parked["s"]) <= 64 + 2 * 20 + 1 and len(log.active["s"]) <= 40 and len(log.wait) <= 40
--- a/tests/simulator/test_cluster_faults.py
+++ b/tests/simulator/test_cluster_faults.py
@@ -80,7 +80,7 @@
     cut = {frozenset(pair) for pair in combinations(sim.core_ips, 2) if pair in sim.cuts and pair[::-1] in sim.cuts}
     half = size // 2
     assert len(cut) == half * (size - half)
-    others = [*sim.edge_ips, "op", "caller", run.day.fleet[0].mid]
+    others = [*sim.edge_ips, "op", "caller", run.day.fleet[0].minion_id]
     assert not any((a, b) in sim.cuts or (b, a) in sim.cuts for a in others for b in (*sim.core_ips, *others))
     sim.run(seconds=2.0)
     assert not any(pair in sim.cuts for pair in combinations(sim.core_ips, 2))
@@ -257,9 +257,9 @@
 
 def assert_accepted_jobs_ended(run: Run) -> None:
     """All accepted jobs have ended; most jobs were accepted (some are given up by their callers during an outage)."""
-    accepted = [jid for jid in run.day.jids if jid in run.judge.accepted]
-    assert [jid for jid in accepted if jid not in run.judge.over] == []
-    assert len(accepted) > len(run.day.jids) / 2
+    accepted = [job_id for job_id in run.day.job_ids if job_id in run.judge.accepted]
+    assert [job_id for job_id in accepted if job_id not in run.judge.over] == []
+    assert len(accepted) > len(run.day.job_ids) / 2
 
 
 @pytest.mark.parametrize("seed", range(3))
--- a/tests/simulator/test_faults.py
+++ b/tests/simulator/test_faults.py
@@ -155,11 +155,18 @@
         real = sim.procs[b].node.on
 
         def on(
-            *, uid: str, kind: Any, m: Any, real: Any = real, arrived: list[float] = arrived, sim: Any = sim, a: str = a
+            *,
+            node_id: str,
+            kind: Any,
+            m: Any,
+            real: Any = real,
+            arrived: list[float] = arrived,
+            sim: Any = sim,
+            a: str = a,
         ) -> None:
-            if uid.startswith(a):
+            if node_id.startswith(a):
                 arrived.append(sim.now)
-            real(uid=uid, kind=kind, m=m)
+            real(node_id=node_id, kind=kind, m=m)
 
         sim.procs[b].node.on = on  # type: ignore[method-assign]
         release = sim.hold(cut=Cut(inside=frozenset([a]), others=frozenset([b]), inward=False), deliver=deliver)
--- a/tests/simulator/test_history_runs.py
+++ b/tests/simulator/test_history_runs.py
@@ -119,14 +119,14 @@
     """An answer about jobs is given to the oldest call about jobs that is open: to any, or to one of its own kind."""
     whole = Calls.reply
 
-    def reply(self: Calls, *, uid: str, m: dict[str, Any]) -> None:
+    def reply(self: Calls, *, node_id: str, m: dict[str, Any]) -> None:
         own = self.open.get(m["rid"])
         rids = [
             request_id
             for request_id, pend in self.open.items()
             if own is not None and own.group_id == pend.group_id > 0 and (pend.op == own.op or not same_kind)
         ]
-        whole(self, uid=uid, m={**m, "rid": rids[0] if rids else m["rid"]})
+        whole(self, node_id=node_id, m={**m, "rid": rids[0] if rids else m["rid"]})
 
     patch.setattr(Calls, "reply", reply)
 
--- a/tests/storage/stored_data.py
+++ b/tests/storage/stored_data.py
@@ -110,7 +110,7 @@
         for name, method in vars(Jobs).items()
         if name.startswith("_")
         and inspect.isfunction(method)
-        and [*inspect.signature(method).parameters] == ["self", "ev"]
+        and [*inspect.signature(method).parameters] == ["self", "event"]
     ]
     return KnownKinds(
         records=frozenset({*record_kinds, *NODE_RECORDS}),
--- a/tests/storage/test_storage.py
+++ b/tests/storage/test_storage.py
@@ -244,14 +244,14 @@
 
 
 def test_a_node_starts_as_first_only_on_a_disk_that_shows_that_nothing_was_acknowledged() -> None:
-    assert start_node(disk=SimDisk()).node.uid == FIRST_UID
-    assert start_node(disk=SimDisk(), bootstrap=False).node.uid != FIRST_UID
+    assert start_node(disk=SimDisk()).node.node_id == FIRST_UID
+    assert start_node(disk=SimDisk(), bootstrap=False).node.node_id != FIRST_UID
     disk = SimDisk()
     disk.cut_at = 12  # in the first batch
     with pytest.raises(PowerCutError):
         start_node(disk=disk)
     lose_all(disk=disk)
-    assert start_node(disk=disk).node.uid == FIRST_UID
+    assert start_node(disk=disk).node.node_id == FIRST_UID
 
 
 @pytest.mark.parametrize("how", DAMAGES)
@@ -259,12 +259,12 @@
     disk = SimDisk()
     start_node(disk=disk)
     lose_all(disk=disk)
-    assert start_node(disk=disk.copy()).node.uid == FIRST_UID
+    assert start_node(disk=disk.copy()).node.node_id == FIRST_UID
     damage(disk=disk, slot=1, how=how)
     node = start_node(disk=disk).node
-    assert node.uid != FIRST_UID
+    assert node.node_id != FIRST_UID
     lose_all(disk=disk)
-    assert start_node(disk=disk).node.uid == node.uid
+    assert start_node(disk=disk).node.node_id == node.node_id
 
 
 # -- room
--- a/tests/storage/test_writer.py
+++ b/tests/storage/test_writer.py
@@ -32,7 +32,7 @@
 def run_writer(*, shell: Shell, batches: int) -> list[int]:
     """Hand in batches of two entries; the numbers whose effects came, in order."""
     done: list[int] = []
-    shell.post = lambda *, fn, **_: done.extend(effect[0] for effect in fn.keywords["effs"])  # type: ignore[method-assign]
+    shell.post = lambda *, fn, **_: done.extend(effect[0] for effect in fn.keywords["effects"])  # type: ignore[method-assign]
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
--- a/tests/storage/write_data.py
+++ b/tests/storage/write_data.py
@@ -53,12 +53,12 @@
 
     def message(self, *, source: str, kind: Kind, group: int, **body: Any) -> None:
         """Give the node a message of a group."""
-        self.node.reps[group].on(uid=source, kind=kind, m={"g": group, **body})
+        self.node.replicas[group].on(node_id=source, kind=kind, m={"g": group, **body})
         self.write()
 
     def log(self, *, source: str, group: int, events: list[dict[str, Any]], first: int = 0) -> None:
         """The primary's batch, which the node takes as a backup."""
-        replica = self.node.reps[group]
+        replica = self.node.replicas[group]
         first = first or replica.applied + 1
         self.message(source=source, kind=Kind.LOG, group=group, n=replica.base, first=first, evs=events, t=1.0)
 
@@ -85,8 +85,8 @@
     change = {"config-version": 9, "upserts": {"service-table": [{"name": "other", "conn-limit": 2.5}]}}
     yield [order(method="PATCH", base=4, doc={**change, "removals": {"route-table": ["x1", "x2"]}})]
     members = [
-        {"t": "enrol", "uid": uid, "info": {"site": f"z{i}", "name": SEEDS[i], "ctl": f"{SEEDS[i]}:8000"}}
-        for i, uid in enumerate(UIDS)
+        {"t": "enrol", "uid": node_id, "info": {"site": f"z{i}", "name": SEEDS[i], "ctl": f"{SEEDS[i]}:8000"}}
+        for i, node_id in enumerate(UIDS)
     ]
     yield [
         *members,
@@ -214,7 +214,7 @@
 
 def copy_of(*, disk: DiskWriter, group: int, number: int, tag: str, source: str) -> None:
     """A copy for an epoch not yet decided, with what the node itself holds."""
-    replica = disk.node.reps[group]
+    replica = disk.node.replicas[group]
     text = orjson.dumps(replica.state.dump()).decode()
     disk.message(source=source, kind=Kind.CKPT, group=group, inst=number, tag=tag, applied=replica.applied, st=text)
 
@@ -261,8 +261,8 @@
     disk = DiskWriter(folder=folder, ip=SEEDS[1])
     for events in registry_events():
         disk.log(source=UIDS[0], group=0, events=events)
-    replica = disk.node.reps[1]
-    disk.node.members = dict(disk.node.reg.members)
+    replica = disk.node.replicas[1]
+    disk.node.members = dict(disk.node.registry.members)
     while not replica.spares:
         disk.node.now += 0.5
         replica.tick()
--- a/tests/support/binding_explorer.py
+++ b/tests/support/binding_explorer.py
@@ -28,7 +28,7 @@
     words = {line for line in lines if all(what == "ROOM" for _, what, _ in w.lines[line])}
     out: list[Choice] = [("deliver", *line) for line in lines if line not in words]
     out[:0] = [("rooms",)] if words else []
-    out += [("write", group_id) for group_id in w.placers if w.rep(group_id=group_id).queue]
+    out += [("write", group_id) for group_id in w.placers if w.replica(group_id=group_id).queue]
     idle = [m for m in w.minis.values() if m.sent < 0]
     out += [("beat", m.minion_id) for m in idle if w.now >= m.due]
     ends = [
@@ -44,7 +44,7 @@
     out += [("lose", *line) for line in lines if w.lines[line][0][1] not in ("NEWS", "MARK")]
     for group_id in w.placers:
         out.append(("die", group_id, False))
-        if w.rep(group_id=group_id).queue:
+        if w.replica(group_id=group_id).queue:
             out.append(("die", group_id, True))
     return out
 
@@ -59,7 +59,7 @@
             if all(kind == "ROOM" for _, kind, _ in w.lines[line]):
                 w.deliver(line=line)
     elif what == "write":
-        for effect in w.rep(group_id=c[1]).write():
+        for effect in w.replica(group_id=c[1]).write():
             w.effect(group_id=c[1], effect=effect)
     elif what == "beat":
         w.minis[c[1]].beat()
@@ -105,14 +105,14 @@
 def die(w: World, *, group_id: int, kept: bool) -> None:
     """A placing node dies with what it was told; what it sent is still on its way. `kept`: what it wrote last is
     durable, but nothing came of it. The next one begins; agents hear of it by and by."""
-    old, n = w.uid(group_id=group_id), w.rep(group_id=group_id).base + 1
+    old, n = w.node_id(group_id=group_id), w.replica(group_id=group_id).base + 1
     if kept:
-        w.rep(group_id=group_id).write()
+        w.replica(group_id=group_id).write()
     w.lines = {line: rows for line, rows in w.lines.items() if line[1] != old}
     w.torn = {line for line in w.torn if line[1] != old}
     w.rise(group_id=group_id, n=n)
-    for uid in w.agents:
-        w.push(src="news", dst=uid, what="NEWS", body={"g": group_id, "u": w.uid(group_id=group_id), "n": n})
+    for node_id in w.agents:
+        w.push(src="news", dst=node_id, what="NEWS", body={"g": group_id, "u": w.node_id(group_id=group_id), "n": n})
 
 
 def judge(w: World) -> None:
@@ -137,12 +137,12 @@
     out = []
     for group_id, p in w.placers.items():
         out += [f"job {job_id}" for job_id, job in p.jobs.jobs.items() if job["st"] not in ENDED]
-        out += [f"held {t} by {w.uid(group_id=group_id)}" for t in p.held] + [
-            f"ask {request_id} of {w.uid(group_id=group_id)}" for request_id in p.asks
+        out += [f"held {t} by {w.node_id(group_id=group_id)}" for t in p.held] + [
+            f"ask {request_id} of {w.node_id(group_id=group_id)}" for request_id in p.asks
         ]
-        out += [f"write {group_id}"] if w.rep(group_id=group_id).queue else []
+        out += [f"write {group_id}"] if w.replica(group_id=group_id).queue else []
         out += [
-            f"room of {minion_id} at {w.uid(group_id=group_id)}"
+            f"room of {minion_id} at {w.node_id(group_id=group_id)}"
             for minion_id in w.minis
             if (s := p.room.spots.get(minion_id)) is None or not s.open or s.free != s.cap
         ]
@@ -195,9 +195,9 @@
     nums = {n: i for i, n in enumerate(sorted(n for rows in w.lines.values() for n, _, _ in rows))}
     doc = {
         "w": {k: plain(v, set()) for k, v in vars(w).items() if k not in ("lines", "serial")},
-        "q": {group_id: plain(w.rep(group_id=group_id).queue, set()) for group_id in w.placers},
+        "q": {group_id: plain(w.replica(group_id=group_id).queue, set()) for group_id in w.placers},
         "l": {f"{a}>{b}": [[nums[n], what, body] for n, what, body in rows] for (a, b), rows in w.lines.items()},
-        "p": {uid: a.environment.prims for uid, a in w.agents.items()},  # type: ignore[attr-defined]
+        "p": {node_id: a.environment.prims for node_id, a in w.agents.items()},  # type: ignore[attr-defined]
     }
     return blake2b(orjson.dumps(doc, option=orjson.OPT_SORT_KEYS | orjson.OPT_NON_STR_KEYS), digest_size=16).digest()
 
--- a/tests/support/binding_model.py
+++ b/tests/support/binding_model.py
@@ -53,7 +53,7 @@
                 rows = then[2]
                 need(len({(h.agent, h.lease_id) for *_, h in rows}) == len(event["x"]), "LEASE", "shared", event)
                 for *_, h in rows:
-                    self.w.holds(uid=self.w.uid(group_id=self.group_id), agent=h.agent, lease_id=h.lease_id)
+                    self.w.holds(node_id=self.w.node_id(group_id=self.group_id), agent=h.agent, lease_id=h.lease_id)
         out = self.state.apply(event)
         self.queue.append((event, then))
         return out
@@ -82,7 +82,7 @@
     """A node's surroundings, for agents and placing nodes."""
 
     w: "World"
-    uid: str
+    node_id: str
     prims: dict[int, tuple[str, int]] = field(default_factory=dict)
 
     @property
@@ -93,12 +93,12 @@
     def wall(self) -> float:
         return self.w.now
 
-    def send(self, *, uid: str, kind: Kind, body: dict[str, Any]) -> None:
-        self.w.send(src=self.uid, dst=uid, kind=kind, body=body)
+    def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
+        self.w.send(src=self.node_id, dst=node_id, kind=kind, body=body)
 
     def respond(self, *, call: Any, res: Response) -> None:
         doc = orjson.loads(res.body) if res.body else {}
-        self.w.push(src=self.uid, dst=call[0], what="ANSWER", body={"seq": call[1], "s": res.status, "d": doc})
+        self.w.push(src=self.node_id, dst=call[0], what="ANSWER", body={"seq": call[1], "s": res.status, "d": doc})
 
     def trusted(self) -> bool:
         return True
@@ -127,7 +127,7 @@
     def route(self, *, name: str) -> dict[str, Any] | None:
         return {"backend": "s", "max-tries": 3, "target-ms": 2000, "rank": 0, "stretch": 2.0}
 
-    def reply(self, *, uid: str, request_id: int, status: int, doc: Any) -> None:
+    def reply(self, *, node_id: str, request_id: int, status: int, doc: Any) -> None:
         need(status == 200, "REFUSED", status, doc)
 
     def ranks(self) -> dict[str, int]:
@@ -225,7 +225,8 @@
         self.back: set[str] = set()  # those that were given back
         self.size: dict[str, int] = {}
         self.minis = {
-            minion_id: Mini(w=self, minion_id=minion_id, agent=uid) for uid, minion_id in (("a1", "i1"), ("a2", "i2"))
+            minion_id: Mini(w=self, minion_id=minion_id, agent=node_id)
+            for node_id, minion_id in (("a1", "i1"), ("a2", "i2"))
         }
         self.agents: dict[str, Agent] = {}
         self.placers: dict[int, Placer] = {}
@@ -233,7 +234,7 @@
             self.rise(group_id=group_id, n=1)
         for m in self.minis.values():
             environment = ReplicaEnvironment(
-                w=self, uid=m.agent, prims={group_id: (self.uid(group_id=group_id), 1) for group_id in (1, 2)}
+                w=self, node_id=m.agent, prims={group_id: (self.node_id(group_id=group_id), 1) for group_id in (1, 2)}
             )
             self.agents[m.agent] = Agent(
                 environment=cast(AgentEnvironment, environment), hold_ms=HOLD_MS, stop_ms=STOP_MS, lag_ms=LAG_MS
@@ -242,27 +243,27 @@
 
     # -- placing nodes
 
-    def uid(self, *, group_id: int) -> str:
-        return str(self.placers[group_id].environment.uid)
+    def node_id(self, *, group_id: int) -> str:
+        return str(self.placers[group_id].environment.node_id)
 
     def rise(self, *, group_id: int, n: int) -> None:
         """A placing node begins with what is durable."""
         jobs = Jobs(learn=False)
         for event in self.log[group_id]:
             jobs.apply(orjson.loads(orjson.dumps(event)))
-        rep = Rep(w=self, group_id=group_id, base=n, state=jobs)
+        replica = Rep(w=self, group_id=group_id, base=n, state=jobs)
         self.placers[group_id] = Placer(
             defaults=SHIPPED,
             group_id=group_id,
-            environment=ReplicaEnvironment(w=self, uid=f"p{group_id}.{n}"),
-            rep=cast(Replica, rep),
+            environment=ReplicaEnvironment(w=self, node_id=f"p{group_id}.{n}"),
+            replica=cast(Replica, replica),
             jobs=jobs,
             far=2.0,
             status_s=120.0,
         )
 
-    def rep(self, *, group_id: int) -> Rep:
-        return cast(Rep, self.placers[group_id].rep)
+    def replica(self, *, group_id: int) -> Rep:
+        return cast(Rep, self.placers[group_id].replica)
 
     def put(self, *, job_id: str, stages: list[dict[str, Any]]) -> None:
         """A job is handed in."""
@@ -270,9 +271,9 @@
         row = parse(body=orjson.dumps({"task-spec": f"spec-{job_id}", "stages": stages}))
         self.size[job_id] = stages[0]["cpus"]
         self.placers[group_id].call(
-            uid="edge", request_id=1, op="put", b={"id": job_id, "q": "q", "j": {**row, "svc": "s", "mt": 3}}
+            node_id="edge", request_id=1, op="put", b={"id": job_id, "q": "q", "j": {**row, "svc": "s", "mt": 3}}
         )
-        for effect in self.rep(group_id=group_id).write():
+        for effect in self.replica(group_id=group_id).write():
             self.effect(group_id=group_id, effect=effect)
 
     def effect(self, *, group_id: int, effect: Choice) -> None:
@@ -284,10 +285,12 @@
             p.stops(effect[2])
         elif effect[0] == "endsok":
             p.environment.send(
-                uid=effect[2], kind=Kind.ENDSOK, body={"g": effect[1], "m": effect[3], "f": effect[4], "x": effect[5]}
+                node_id=effect[2],
+                kind=Kind.ENDSOK,
+                body={"g": effect[1], "m": effect[3], "f": effect[4], "x": effect[5]},
             )
         elif effect[0] == "send":
-            p.environment.send(uid=effect[1], kind=Kind(effect[2]), body=effect[3])
+            p.environment.send(node_id=effect[1], kind=Kind(effect[2]), body=effect[3])
         else:
             need(effect[0] == "reply", "EFFECT", effect[0])
 
@@ -311,22 +314,22 @@
                 self.grants[f"{src}:{lease_id}"] = dst
         elif kind is Kind.RETURN:
             for _, lease_id in body["x"]:
-                self.holds(uid=src, agent=dst, lease_id=lease_id)
+                self.holds(node_id=src, agent=dst, lease_id=lease_id)
                 self.back.add(f"{dst}:{lease_id}")
         elif kind is Kind.ORDER:
             for _, _, lease_id, task, run, _, _ in body["x"]:
                 need(f"{task}/{run}" in self.begun, "EARLY", task, run, "is ordered and not in the record")
-                self.holds(uid=src, agent=dst, lease_id=lease_id)
-        if dst in self.agents or dst in (self.uid(group_id=1), self.uid(group_id=2)):
+                self.holds(node_id=src, agent=dst, lease_id=lease_id)
+        if dst in self.agents or dst in (self.node_id(group_id=1), self.node_id(group_id=2)):
             self.push(src=src, dst=dst, what=kind.name, body=body)
 
-    def holds(self, *, uid: str, agent: str, lease_id: int) -> None:
+    def holds(self, *, node_id: str, agent: str, lease_id: int) -> None:
         need(
-            self.grants.get(f"{agent}:{lease_id}") == uid and f"{agent}:{lease_id}" not in self.back,
+            self.grants.get(f"{agent}:{lease_id}") == node_id and f"{agent}:{lease_id}" not in self.back,
             "LEASE",
             f"{agent}:{lease_id}",
             "is not held by",
-            uid,
+            node_id,
         )
 
     def deliver(self, *, line: tuple[str, str]) -> None:
@@ -345,10 +348,10 @@
 
     def gap(self, *, src: str, dst: str) -> None:
         if dst in self.agents:
-            self.agents[dst].gap(uid=src)
+            self.agents[dst].gap(node_id=src)
         for p in self.placers.values():
-            if p.environment.uid == dst:
-                p.gap(uid=src)
+            if p.environment.node_id == dst:
+                p.gap(node_id=src)
 
     def take(self, *, src: str, dst: str, what: str, b: dict[str, Any]) -> None:
         """As in `node/core.py`."""
@@ -362,28 +365,28 @@
             self.agent(a=self.agents[dst], src=src, kind=Kind[what], b=b)
         else:
             p = self.placers[b["g"]]
-            if p.environment.uid == dst:
+            if p.environment.node_id == dst:
                 self.placer(p=p, src=src, kind=Kind[what], b=b)
 
     def agent(self, *, a: Agent, src: str, kind: Kind, b: dict[str, Any]) -> None:
         if kind is Kind.ORDER:
             was = {(m.minion_id, r.task, r.run) for m in a.minions.values() for r in m.runs.values()}
-            a.order(uid=src, b=b)
+            a.order(node_id=src, b=b)
             for minion_id, _, lease_id, task, run, _, _ in b["x"]:
                 r = a.minions[minion_id].runs.get(task)
                 if r is not None and r.run == run and (minion_id, task, run) not in was:
-                    self.holds(uid=src, agent=a.environment.uid, lease_id=lease_id)
+                    self.holds(node_id=src, agent=a.environment.node_id, lease_id=lease_id)
                     need(src == a.environment.primary(group_id=b["g"])[0], "LEASE", src, "is no primary")  # type: ignore[index]
         elif kind is Kind.ATTACH:
-            a.attach(uid=src, b=b)
+            a.attach(node_id=src, b=b)
         elif kind is Kind.LEASE:
-            a.lease(uid=src, b=b)
+            a.lease(node_id=src, b=b)
         elif kind is Kind.RETURN:
             a.giveback(b=b)
         elif kind is Kind.STOP:
             a.stop(b=b)
         elif kind is Kind.ROOMGET:
-            a.share.roomget(uid=src, group_id=b["g"])
+            a.share.roomget(node_id=src, group_id=b["g"])
         elif kind is Kind.ENDSOK:
             a.endsok(body=b)
         else:
@@ -391,15 +394,15 @@
 
     def placer(self, *, p: Placer, src: str, kind: Kind, b: dict[str, Any]) -> None:
         if kind is Kind.CLAIM:
-            p.claim(uid=src, b=b)
+            p.claim(node_id=src, b=b)
         elif kind is Kind.ENDS:
-            p.ends(uid=src, b=b)
+            p.ends(node_id=src, b=b)
         elif kind is Kind.GRANT:
-            p.grant(uid=src, b=b)
+            p.grant(node_id=src, b=b)
         elif kind is Kind.ROOM:
-            p.room.report(uid=src, rows=b["x"], shut=b["shut"], now=self.now)
+            p.room.report(node_id=src, rows=b["x"], shut=b["shut"], now=self.now)
             p.pump()
-        elif kind is Kind.NAK and b["n"] == p.rep.base:
+        elif kind is Kind.NAK and b["n"] == p.replica.base:
             p.void(rows=b["x"])
-        elif kind is Kind.VERDICT and b["n"] == p.rep.base:
+        elif kind is Kind.VERDICT and b["n"] == p.replica.base:
             p.void(rows=[[b["m"], b["seq"], t, r] for t, r in b["x"]])
--- a/tests/support/prediction_trial.py
+++ b/tests/support/prediction_trial.py
@@ -56,7 +56,7 @@
                 warm.hit(kind=room.kind, steady=at * 1000, wait_ms=0)
             else:
                 warm.began_cold(kind=kind_key(q=q, steps=steps), wait_ms=0)
-            hist.note_job(at=T0 + int(at * 1000), job_id=f"{k:016x}", q=q, svc="s", steps=steps)
+            hist.note_job(at=T0 + int(at * 1000), job_id=f"{k:016x}", q=q, service="s", steps=steps)
         now = T0 + int(t * 1000)
         warm.plan(now_ms=now, steady=t * 1000, preds=hist.predict(now_ms=now, horizon_ms=4000), weight=weight)
     print(
--- a/tests/support/replica_cell.py
+++ b/tests/support/replica_cell.py
@@ -41,15 +41,15 @@
     """One process and its disk. Invariant: `journal` is what the disk has, in order; `unsynced` may get lost, but for a
     prefix; an effect runs only once its record is in `journal`."""
 
-    def __init__(self, *, cell: "Cell", uid: str) -> None:
+    def __init__(self, *, cell: "Cell", node_id: str) -> None:
         self.cell = cell
-        self.uid = uid
+        self.node_id = node_id
         self.incarnation = 1
         self.journal: list[bytes] = []
         self.unsynced: list[tuple[bytes, Effect]] = []
         self.notes: list[tuple[str, dict[str, object]]] = []
         self.state = Rows()
-        self.rep: Replica
+        self.replica: Replica
 
     # -- what a replica asks of its node
 
@@ -57,30 +57,30 @@
     def now(self) -> float:
         return self.cell.now
 
-    def send(self, *, uid: str, kind: Kind, body: dict[str, Any]) -> None:
-        self.cell.wire.append((self.uid, uid, kind, orjson.dumps(body)))
+    def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
+        self.cell.wire.append((self.node_id, node_id, kind, orjson.dumps(body)))
 
     def write(self, *, rec: dict[str, Any], done: Effect) -> None:
         self.unsynced.append((orjson.dumps(rec), done))
 
     def effect(self, *, effect: Effect) -> None:
         if effect[0] == "near":
-            self.rep.near(n=effect[2], last=effect[3])
+            self.replica.near(n=effect[2], last=effect[3])
         elif effect[0] == "copied":
-            if self.rep.camp is not None:
-                self.rep.camp.copied(tag=effect[2], uid="")
+            if self.replica.election is not None:
+                self.replica.election.copied(tag=effect[2], node_id="")
         elif effect[0] == "send":
-            self.send(uid=effect[1], kind=Kind(effect[2]), body=effect[3])
+            self.send(node_id=effect[1], kind=Kind(effect[2]), body=effect[3])
         elif effect[0] == "confirmed":
             self.cell.confirmed.append(effect[1])
 
     def partners(self, *, first: list[str]) -> list[str]:
-        return sorted((u for u in self.cell.members if u != self.uid), key=lambda u: (u not in first, u))
+        return sorted((u for u in self.cell.members if u != self.node_id), key=lambda u: (u not in first, u))
 
     def other_zones(self, *, holders: list[str]) -> list[str]:
         return []
 
-    def up(self, *, uid: str) -> bool:
+    def up(self, *, node_id: str) -> bool:
         return True
 
     def losses(self) -> int:
@@ -118,11 +118,11 @@
     def ran(self, *, batch: list[tuple[bytes, Effect]]) -> None:
         for _, done in batch:
             self.effect(effect=done)
-        self.rep.flush()
+        self.replica.flush()
 
     def snapshot(self) -> list[bytes]:
         """The head of a ring file."""
-        return [orjson.dumps(rec) for rec in ({"k": "id", "uid": self.uid}, *self.rep.checkpoint())] + [END]
+        return [orjson.dumps(rec) for rec in ({"k": "id", "uid": self.node_id}, *self.replica.checkpoint())] + [END]
 
     def rotate(self, *, count: int) -> None:
         """As the writer does: a snapshot of what is now, then records that waited all along."""
@@ -134,12 +134,12 @@
         begin = last_snapshot(records=journal)
         recs = [orjson.loads(raw) for raw in counted(records=journal, begin=max(begin, 0))]
         state = Rows()
-        rep = built(group_id=0, environment=self, state=state, epoch=None)
+        replica = built(group_id=0, environment=self, state=state, epoch=None)
         for rec in recs:
             if rec["k"] not in ("id", "none"):
-                rep.restore(rec)
-        rep.settle()
-        return rep, state
+                replica.restore(rec)
+        replica.settle()
+        return replica, state
 
     def restart(self, *, lost: int = 0) -> None:
         """End and start again with what the disk has, less the newest records that no sync covered."""
@@ -147,7 +147,7 @@
         journal = journal[: len(journal) - min(lost, len(self.unsynced))]
         self.unsynced = []
         self.incarnation += 1
-        self.rep, self.state = self.replayed(journal=journal, built=self.cell.built)
+        self.replica, self.state = self.replayed(journal=journal, built=self.cell.built)
         self.journal = self.snapshot()
 
 
@@ -163,11 +163,11 @@
         self.confirmed: list[int] = []
         self.decided: dict[int, Epoch] = {}
         self.elections = 0
-        uids = [f"{name}:1#0" for name in "abcdefg"[:size]]
-        first: Epoch = {"n": 0, "p": uids[0], "b": uids[1 : 1 + losses], "w": uids, "t": ""}
-        self.members = {uid: Member(cell=self, uid=uid) for uid in uids}
+        node_ids = [f"{name}:1#0" for name in "abcdefg"[:size]]
+        first: Epoch = {"n": 0, "p": node_ids[0], "b": node_ids[1 : 1 + losses], "w": node_ids, "t": ""}
+        self.members = {node_id: Member(cell=self, node_id=node_id) for node_id in node_ids}
         for member in self.members.values():
-            member.rep = built(group_id=0, environment=member, state=member.state, epoch=first)
+            member.replica = built(group_id=0, environment=member, state=member.state, epoch=first)
             member.journal = member.snapshot()
 
     def deliver(self, *, at: int = 0) -> None:
@@ -175,8 +175,8 @@
         _src, dst, kind, body = self.wire.pop(at)
         if dst in self.members:
             member = self.members[dst]
-            member.rep.on(uid=_src, kind=kind, m=orjson.loads(body))
-            member.rep.flush()
+            member.replica.on(node_id=_src, kind=kind, m=orjson.loads(body))
+            member.replica.flush()
 
     def settle(self, *, seconds: float, until: Callable[[], bool] = lambda: False) -> bool:
         """Time goes on, with nothing lost."""
@@ -184,8 +184,8 @@
         while self.now < end and not until():
             self.now += STEP_S
             for member in self.members.values():
-                member.rep.tick()
-                member.rep.flush()
+                member.replica.tick()
+                member.replica.flush()
             while self.wire or any(m.unsynced for m in self.members.values()):
                 for member in self.members.values():
                     member.sync(count=len(member.unsynced))
@@ -198,20 +198,20 @@
         assert self.settle(seconds=30.0, until=lambda: bool(self.serving()))
         return self.serving()[0]
 
-    def cut(self, *, uid: str) -> None:
+    def cut(self, *, node_id: str) -> None:
         """What is on its way from or to a member is lost."""
-        self.wire = [row for row in self.wire if uid not in row[:2]]
+        self.wire = [row for row in self.wire if node_id not in row[:2]]
 
     def serving(self) -> list[Member]:
-        return [m for m in self.members.values() if m.rep.serving()]
+        return [m for m in self.members.values() if m.replica.serving()]
 
     def backup(self) -> Member:
-        epoch = self.primary().rep.epoch
+        epoch = self.primary().replica.epoch
         assert epoch is not None
         return self.members[epoch["b"][0]]
 
     def commit(self, *, x: int, member: Member | None = None) -> None:
-        (member or self.primary()).rep.commit(event={"x": x}, then=("confirmed", x))
+        (member or self.primary()).replica.commit(event={"x": x}, then=("confirmed", x))
 
 
 __all__ = ["END", "Cell", "Member", "Role", "Rows"]
--- a/tests/support/replication_adapter.py
+++ b/tests/support/replication_adapter.py
@@ -1,5 +1,5 @@
-"""All that the model of replication knows of the product's interface: members made of the real `Replica`, `Witness` and
-`Campaign`, their node's surroundings, restarts from disk as `node/core.py` and `node/runtime.py` do them."""
+"""All that the model of replication knows of the product: members made of the real `Replica`, `Acceptor` and
+`Election`, their node's surroundings, restarts from disk as `node/core.py` and `node/runtime.py` do them."""
 
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any, cast
@@ -49,7 +49,7 @@
 def numbers_of(*, state: Reducer) -> list[int]:
     """The events that a state holds; one applied twice is there twice."""
     if isinstance(state, Registry):
-        out = [int(uid) for uid in state.members]
+        out = [int(node_id) for node_id in state.members]
         return out + out[-1:] * (state.mods - len(out))
     assert isinstance(state, Book)
     return state.numbers
@@ -68,7 +68,7 @@
     w: "World"
     index: int
     addr: str
-    uid: str
+    node_id: str
     rate: float
     registry: bool
     incarnation: int = 0
@@ -84,7 +84,7 @@
     pending: list[tuple[int, dict[str, Any], tuple[Any, ...]]] = field(default_factory=list)
     last_heard: dict[str, float] = field(default_factory=dict)
     view: list[str] = field(default_factory=list)  # the uids that it takes for members
-    rep: Replica = field(init=False)
+    replica: Replica = field(init=False)
 
     # -- what the product asks (the Hub protocol)
 
@@ -92,9 +92,9 @@
     def now(self) -> float:
         return self.w.start + (self.w.now - self.w.start) * self.rate
 
-    def send(self, *, uid: str, kind: Kind, body: dict[str, Any]) -> None:
+    def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
         self.w.check_send(member=self, kind=kind, body=body)
-        self.w.send(src=self, dst=addr_of(uid=uid), kind=kind.name, body=body, copy=LANES[kind] is Lane.COPY)
+        self.w.send(src=self, dst=addr_of(node_id=node_id), kind=kind.name, body=body, copy=LANES[kind] is Lane.COPY)
 
     def write(self, *, rec: dict[str, Any], done: tuple[Any, ...]) -> None:
         if done[0] == "send" and Kind(done[2]) is Kind.LOGOK:
@@ -104,12 +104,12 @@
     def effect(self, *, effect: tuple[Any, ...]) -> None:
         what = effect[0]
         if what == "near":
-            self.rep.near(n=effect[2], last=effect[3])
+            self.replica.near(n=effect[2], last=effect[3])
         elif what == "copied":
-            if self.rep.camp is not None:
-                self.rep.camp.copied(tag=effect[2], uid="")
+            if self.replica.election is not None:
+                self.replica.election.copied(tag=effect[2], node_id="")
         elif what == "send":
-            self.send(uid=effect[1], kind=Kind(effect[2]), body=effect[3])
+            self.send(node_id=effect[1], kind=Kind(effect[2]), body=effect[3])
         elif what == "ack":
             self.w.acked_by(member=self, numbers=[effect[1]])
         elif what == "answer":
@@ -118,11 +118,11 @@
             assert what == "none", effect
 
     def partners(self, *, first: list[str]) -> list[str]:
-        rows = [(not self.up(uid=u), u not in first, u) for u in self.view if u != self.uid]
+        rows = [(not self.up(node_id=u), u not in first, u) for u in self.view if u != self.node_id]
         return [u for *_, u in sorted(rows)]
 
-    def up(self, *, uid: str) -> bool:
-        return uid == self.uid or self.now - self.last_heard.get(uid, -9.0) < ALIVE_S
+    def up(self, *, node_id: str) -> bool:
+        return node_id == self.node_id or self.now - self.last_heard.get(node_id, -9.0) < ALIVE_S
 
     def other_zones(self, *, holders: list[str]) -> list[str]:
         return []  # each member has a zone of its own
@@ -131,13 +131,13 @@
         return self.w.losses
 
     def witnesses(self, *, have: list[str]) -> list[str]:
-        up = [u for u in have if u in self.view and self.up(uid=u)]
-        up += [u for u in sorted(self.view) if u not in have and self.up(uid=u)]
+        up = [u for u in have if u in self.view and self.up(node_id=u)]
+        up += [u for u in sorted(self.view) if u not in have and self.up(node_id=u)]
         size = min(len(up) - 1 + len(up) % 2, WITNESSES_MOST)
         return sorted(up[:size]) if size >= max(len(have), 3) else have
 
     def everyone(self) -> list[str]:
-        return sorted({*self.view, self.uid})
+        return sorted({*self.view, self.node_id})
 
     def jitter(self) -> float:
         self.draws += 1
@@ -166,7 +166,7 @@
 
     @property
     def epoch(self) -> Epoch | None:
-        return self.rep.epoch
+        return self.replica.epoch
 
     @property
     def running(self) -> bool:
@@ -177,88 +177,88 @@
         return self.running and self.frozen_until < 0
 
     def serving(self) -> bool:
-        return self.running and self.rep.serving()
+        return self.running and self.replica.serving()
 
     def numbers(self) -> list[int]:
-        return numbers_of(state=self.rep.state)
+        return numbers_of(state=self.replica.state)
 
     def held_epoch(self) -> int:
         """The epoch whose record this member holds, as its primary or backup; below 0: none."""
-        return self.rep.base if self.rep.role in ROLES_WITH_STATE else -1
+        return self.replica.base if self.replica.role in ROLES_WITH_STATE else -1
 
     def whole_backup(self, *, n: int) -> bool:
-        return self.awake and self.rep.role is Role.BACKUP and self.rep.base == n
+        return self.awake and self.replica.role is Role.BACKUP and self.replica.base == n
 
     def begin(self, *, epoch: Epoch | None) -> None:
         """The process starts: with what its disk has, or for the first time."""
-        self.rep = self.replay(records=self.synced, epoch=epoch)
-        self.rep.thawed()
+        self.replica = self.replay(records=self.synced, epoch=epoch)
+        self.replica.thawed()
         self.synced = self.checkpoint()
         self.pending.clear()
 
     def replay(self, *, records: list[dict[str, Any]], epoch: Epoch | None = None) -> Replica:
         """The replica that a restart makes of records."""
-        rep = Replica(
+        replica = Replica(
             group_id=GROUP, environment=self.environment, state=Registry() if self.registry else Book(), epoch=epoch
         )
         try:
             for rec in copy_of(records):
                 if rec["k"] != "none":
-                    rep.restore(rec)
+                    replica.restore(rec)
         except ReplayError as err:
-            raise Broken(f"REPLAY {self.uid} {err.text}") from err
+            raise Broken(f"REPLAY {self.node_id} {err.text}") from err
         if records:
-            rep.settle()
-        return rep
+            replica.settle()
+        return replica
 
     def checkpoint(self) -> list[dict[str, Any]]:
-        rows: list[dict[str, Any]] = copy_of(self.rep.checkpoint())
+        rows: list[dict[str, Any]] = copy_of(self.replica.checkpoint())
         return rows
 
     def commit(self, *, number: int) -> None:
-        self.rep.commit(event=event(number=number, registry=self.registry), then=("ack", number))
-        self.rep.flush()
+        self.replica.commit(event=event(number=number, registry=self.registry), then=("ack", number))
+        self.replica.flush()
 
     def read(self) -> None:
-        self.rep.barrier(then=("answer", list(self.numbers())))
-        self.rep.flush()
+        self.replica.barrier(then=("answer", list(self.numbers())))
+        self.replica.flush()
 
-    def take(self, *, uid: str, kind: str, body: dict[str, Any]) -> None:
+    def take(self, *, node_id: str, kind: str, body: dict[str, Any]) -> None:
         """A message arrives."""
         if kind == "NEWS":
-            self.rep.learn(body["e"])
+            self.replica.learn(body["e"])
         else:
-            self.rep.on(uid=uid, kind=Kind[kind], m=body)
-        self.rep.flush()
+            self.replica.on(node_id=node_id, kind=Kind[kind], m=body)
+        self.replica.flush()
 
     def done(self, *, effects: list[tuple[Any, ...]]) -> None:
         for effect in effects:
             self.effect(effect=effect)
-        self.rep.flush()
+        self.replica.flush()
 
     def tick(self) -> None:
-        self.rep.tick()
-        self.rep.flush()
+        self.replica.tick()
+        self.replica.flush()
 
     def thaw(self, *, slept: float) -> None:
-        self.rep.thawed()
-        for uid, when in self.last_heard.items():
-            self.last_heard[uid] = min(when + slept, self.now)
+        self.replica.thawed()
+        for node_id, when in self.last_heard.items():
+            self.last_heard[node_id] = min(when + slept, self.now)
 
     def leave(self) -> None:
-        self.rep.hand_over()
+        self.replica.hand_over()
 
     def may_end(self) -> bool:
-        return may_end(environment=self.environment, epoch=self.epoch, asked_s=self.rep.relief.asked_s())
+        return may_end(environment=self.environment, epoch=self.epoch, asked_s=self.replica.relief.asked_s())
 
     def deadlines(self) -> list[float]:
         """By the own clock: when something is decided by time alone."""
-        rep = self.rep
-        if rep.role is Role.PRIMARY:
-            flight = rep.in_flight.begun_at if rep.in_flight is not None else 0.0
-            answers = [at + DOUBT_S for at in rep.lease._answers.values()]
-            return [rep.lease.until, rep.lease.contact.until, flight + SUSPECT_S, flight + DOUBT_S, *answers]
-        return [rep.heard + SILENCE_S + rep._turn()] if rep.role is Role.BACKUP else []
+        replica = self.replica
+        if replica.role is Role.PRIMARY:
+            flight = replica.in_flight.begun_at if replica.in_flight is not None else 0.0
+            answers = [at + DOUBT_S for at in replica.lease._answers.values()]
+            return [replica.lease.until, replica.lease.contact.until, flight + SUSPECT_S, flight + DOUBT_S, *answers]
+        return [replica.heard + SILENCE_S + replica._turn()] if replica.role is Role.BACKUP else []
 
     def on_disk(self, *, kind: Kind, body: dict[str, Any]) -> bool:
         """Whether what an answer says is synced."""
--- a/tests/support/replication_explorer.py
+++ b/tests/support/replication_explorer.py
@@ -200,7 +200,7 @@
             line.incarnation,
             line.dst,
             line.copy,
-            [[place[r.serial], r.uid, r.kind, flat(r.body, w.now, set())] for r in rows],
+            [[place[r.serial], r.node_id, r.kind, flat(r.body, w.now, set())] for r in rows],
         ]
         for line, rows in w.lines.items()
     )
@@ -208,7 +208,7 @@
     for m in w.members:
         own = {k: v for k, v in vars(m).items() if k not in LINKS | {"pending", "synced"}}
         waiting = [[place[n], rec, list(done)] for n, rec, done in m.pending]
-        members.append([m.synced, flat([own, m.rep, waiting], m.now, set())])
+        members.append([m.synced, flat([own, m.replica, waiting], m.now, set())])
     doc = [
         lines,
         members,
@@ -219,7 +219,9 @@
         w.count,
         sorted([*way, round(c.until - w.now, 4), c.loses] for way, c in w.cuts.items()),
         [round(max(0.0, w.script[w.next_op].at - (w.now - w.began)), 4) if w.next_op < len(w.script) else 0],
-        sorted([n, bal, value, sorted(uids)] for (n, bal, value), uids in w.votes.items() if n >= max(w.decided)),
+        sorted(
+            [n, bal, value, sorted(node_ids)] for (n, bal, value), node_ids in w.votes.items() if n >= max(w.decided)
+        ),
     ]
     names: dict[bytes, bytes] = {}
     raw = _TAG.sub(
--- a/tests/support/replication_model.py
+++ b/tests/support/replication_model.py
@@ -27,7 +27,7 @@
 @dataclass(slots=True, kw_only=True)
 class Message:
     serial: int
-    uid: str
+    node_id: str
     kind: str
     body: dict[str, Any]
 
@@ -83,15 +83,27 @@
         self.cuts: dict[tuple[str, str], Cut] = {}
         self.members: list[Member] = []
         addrs = [f"10.0.0.{i + 1}:7000" for i in range(size)]
-        uids = [f"{a}#0" for a in addrs]
-        order = uids[primary:] + uids[:primary]
-        first: Epoch = {"n": 0, "p": order[0], "b": order[1 : losses + 1], "w": uids[: size - 1 + size % 2], "t": ""}
+        node_ids = [f"{a}#0" for a in addrs]
+        order = node_ids[primary:] + node_ids[:primary]
+        first: Epoch = {
+            "n": 0,
+            "p": order[0],
+            "b": order[1 : losses + 1],
+            "w": node_ids[: size - 1 + size % 2],
+            "t": "",
+        }
         self.decided[0] = first
-        for i, (addr, uid) in enumerate(zip(addrs, uids, strict=True)):
+        for i, (addr, node_id) in enumerate(zip(addrs, node_ids, strict=True)):
             member = Member(
-                w=self, index=i, addr=addr, uid=uid, rate=rates[i] if rates else 1.0, registry=registry, view=list(uids)
+                w=self,
+                index=i,
+                addr=addr,
+                node_id=node_id,
+                rate=rates[i] if rates else 1.0,
+                registry=registry,
+                view=list(node_ids),
             )
-            member.last_heard = dict.fromkeys(uids, START_S)
+            member.last_heard = dict.fromkeys(node_ids, START_S)
             member.begin(epoch=copy_of(first))
             self.members.append(member)
 
@@ -108,7 +120,7 @@
             return
         line = Line(src=src.addr, incarnation=src.incarnation, dst=dst, copy=copy)
         self.lines.setdefault(line, []).append(
-            Message(serial=self.next_serial(), uid=src.uid, kind=kind, body=copy_of(body))
+            Message(serial=self.next_serial(), node_id=src.node_id, kind=kind, body=copy_of(body))
         )
 
     def at(self, *, addr: str) -> Member | None:
@@ -130,7 +142,7 @@
             x for x in self.lines if (x.src, x.dst) == (line.src, line.dst) and x.incarnation < line.incarnation
         ]:
             del self.lines[old]  # as `transport/peer_connections.py`: nothing of an earlier process counts any more
-        there.take(uid=message.uid, kind=message.kind, body=copy_of(message.body))
+        there.take(node_id=message.node_id, kind=message.kind, body=copy_of(message.body))
 
     def drop(self, *, line: Line) -> None:
         self.lines[line].pop(0)
@@ -169,7 +181,7 @@
 
     def lose_disk(self, *, member: Member, new_addr: bool) -> None:
         """Process and disk are lost; an empty member comes, there or at another address."""
-        self.lost_disks.add(member.uid)
+        self.lost_disks.add(member.node_id)
         self.crash(member=member, kept=0, down_s=0.5)
         if new_addr:
             member.gone = True
@@ -177,7 +189,7 @@
                 w=self,
                 index=len(self.members),
                 addr=f"10.0.0.{len(self.members) + 1}:7000",
-                uid="",
+                node_id="",
                 rate=member.rate,
                 registry=member.registry,
                 down_until=member.down_until,
@@ -186,18 +198,18 @@
             member = fresh
         member.synced = []
         member.left = member.asked_votes = -1
-        member.uid = f"{member.addr}#{member.incarnation + 1}"
+        member.node_id = f"{member.addr}#{member.incarnation + 1}"
         member.begin(epoch=None)
         member.synced = []
 
     def current(self) -> list[str]:
-        return [m.uid for m in self.members if not m.gone]
+        return [m.node_id for m in self.members if not m.gone]
 
     def tick_member(self, member: Member) -> None:
         """Time goes on for one process; hearts and the epochs that they carry are simplified."""
         for other in self.members:
             if other is not member and other.awake and (other.addr, member.addr) not in self.cuts:
-                member.last_heard[other.uid] = member.now
+                member.last_heard[other.node_id] = member.now
                 member.view = self.current()
         member.tick()
         mine = member.epoch
@@ -236,7 +248,7 @@
             need(
                 set(self.acked) <= set(member.numbers()),
                 "STALE",
-                member.uid,
+                member.node_id,
                 "reads",
                 member.numbers(),
                 "acknowledged were",
@@ -247,39 +259,39 @@
     def acked_by(self, *, member: Member, numbers: list[int]) -> None:
         """An acknowledgement or an answer with these events leaves."""
         for number in numbers:
-            self.acked.setdefault(number, member.rep.base)
+            self.acked.setdefault(number, member.replica.base)
 
     # -- invariants
 
     def check_send(self, *, member: Member, kind: Kind, body: dict[str, Any]) -> None:
         """What a member says must be on its disk, and must not belong to an epoch that it has begun to replace."""
         if kind in ANSWERS and body.get("ok", True):
-            need(member.on_disk(kind=kind, body=body), "UNSYNCED", member.uid, kind.name, body)
+            need(member.on_disk(kind=kind, body=body), "UNSYNCED", member.node_id, kind.name, body)
         if kind is Kind.PREP:
             member.asked_votes = max(member.asked_votes, body["n"] - 1)
         if kind is Kind.PONG:
             self.check_left(member=member, n=body["n"])
         if kind is Kind.PROMISE and body["ok"] or kind is Kind.ACCEPTED and body["ok"]:
             before = self.decided[body["n"] - 1]
-            need(member.uid in before["w"], "ABSTAIN", member.uid, "is no witness of", before)
+            need(member.node_id in before["w"], "ABSTAIN", member.node_id, "is no witness of", before)
         if kind is Kind.ACCEPT and "BALLOT" not in self.unasked:
             known = self.proposals.setdefault((body["n"], str(body["bal"])), copy_of(body["val"]))
             need(known == body["val"], "BALLOT", "two values in one ballot", known, body["val"])
         if kind is Kind.ACCEPTED and body["ok"]:
             vote = member.vote_on_disk(n=body["n"])
             if vote is not None and vote[0] == body["bal"]:
-                self.vote(uid=member.uid, n=body["n"], ballot=str(body["bal"]), value=vote[1])
+                self.vote(node_id=member.node_id, n=body["n"], ballot=str(body["bal"]), value=vote[1])
 
     def check_left(self, *, member: Member, n: int) -> None:
         """Asked when a lease is renewed, and when a batch is taken: one that was taken before the election is in the
         copy that the member proposes, so its acknowledgement may leave later."""
-        if member.uid in self.decided[n]["b"]:
-            need(n > member.left, "LEFT", member.uid, "acknowledges epoch", n, "after its election to replace it")
+        if member.node_id in self.decided[n]["b"]:
+            need(n > member.left, "LEFT", member.node_id, "acknowledges epoch", n, "after its election to replace it")
 
-    def vote(self, *, uid: str, n: int, ballot: str, value: Epoch) -> None:
+    def vote(self, *, node_id: str, n: int, ballot: str, value: Epoch) -> None:
         """A vote is on disk: a majority of them for one value in one ballot decides."""
         votes = self.votes.setdefault((n, ballot, dump(body=value).decode()), set())
-        votes.add(uid)
+        votes.add(node_id)
         if majority(votes=votes, among=self.decided[n - 1]["w"]):
             need(self.decided.setdefault(n, value) == value, "EPOCH", n, "was", self.decided[n], "and is", value)
 
@@ -287,7 +299,7 @@
         need(
             self.decided.get(epoch["n"]) == epoch,
             "EPOCH",
-            member.uid,
+            member.node_id,
             "takes",
             epoch,
             "decided is",
@@ -297,27 +309,27 @@
     def check_replay(self, *, member: Member) -> None:
         """What a restart would make of the disk."""
         if member.synced:
-            rep = member.replay(records=member.synced)
-            now, member.rep = member.rep, rep
+            replica = member.replay(records=member.synced)
+            now, member.replica = member.replica, replica
             self.check_state(member=member)
-            member.rep = now
+            member.replica = now
             member.pending.clear()
 
     def check_state(self, *, member: Member) -> None:
         numbers, n = member.numbers(), member.held_epoch()
-        need(all(a < b for a, b in pairwise(numbers)), "ORDER", member.uid, "holds", numbers)
+        need(all(a < b for a, b in pairwise(numbers)), "ORDER", member.node_id, "holds", numbers)
         missing = [i for i, at in self.acked.items() if at <= n and i not in numbers]
-        need(not missing, "LOST", missing, "are acknowledged;", member.uid, "in epoch", n, "holds", numbers)
+        need(not missing, "LOST", missing, "are acknowledged;", member.node_id, "in epoch", n, "holds", numbers)
 
     def judge(self) -> None:
         """The invariants of every state."""
         for member in self.members:
             if member.running:
                 self.check_state(member=member)
-        serving = [m.uid for m in self.members if m.serving()]
+        serving = [m.node_id for m in self.members if m.serving()]
         need(len(serving) <= 1, "SERVING", *serving)
         if serving:
-            member = next(m for m in self.members if m.uid == serving[0])
+            member = next(m for m in self.members if m.node_id == serving[0])
             missing = set(self.acked) - set(member.numbers())
             need(not missing, "LOST", missing, "are acknowledged; serving is", serving[0], member.numbers())
         if self.lost_disks and self.whole():
@@ -330,7 +342,7 @@
             return False
         epoch = server.epoch
         assert epoch is not None
-        by_uid = {m.uid: m for m in self.members if not m.gone}
+        by_uid = {m.node_id: m for m in self.members if not m.gone}
         return (
             len(epoch["b"]) >= self.losses
             and set(epoch["w"]) <= set(by_uid)
@@ -344,8 +356,10 @@
         """What is still to come."""
         out = [f"{len(self.script) - self.next_op} calls"] if self.next_op < len(self.script) else []
         out += [f"{i} not acknowledged" for i in self.last_acks if i not in self.acked]
-        out += [] if self.whole() else [f"not whole: {[(m.uid, m.rep.role.value, m.epoch) for m in self.members]}"]
-        out += [f"{m.uid} writes" for m in self.members if m.pending]
+        out += (
+            [] if self.whole() else [f"not whole: {[(m.node_id, m.replica.role.value, m.epoch) for m in self.members]}"]
+        )
+        out += [f"{m.node_id} writes" for m in self.members if m.pending]
         return out + [
             f"{row.kind} to {line.dst}"
             for line, rows in self.lines.items()
--- a/tests/support/two_operators.py
+++ b/tests/support/two_operators.py
@@ -96,7 +96,7 @@
             operator.close()
         lead = self.primary()
         assert lead is not None
-        final = {zone: zone in sim.core(lead).reg.evac for zone in sim.sites}
+        final = {zone: zone in sim.core(lead).registry.evac for zone in sim.sites}
         return check_configuration(history=self.recorder.history) or check_evacuations(
             history=self.recorder.history, final=final, at_s=sim.now
         )
--- a/tests/testbed/test_simulated_minion.py
+++ b/tests/testbed/test_simulated_minion.py
@@ -88,7 +88,7 @@
             m=Hollow(
                 yard=yard,
                 minion_id=f"i-{i}",
-                svc="svc",
+                service="svc",
                 site=f"z{i % len(sim.sites)}",
                 cap=(4000, 8000, 0),
                 labels=("a", f"r{i % len(sim.sites)}"),
@@ -146,7 +146,7 @@
     judge.sent(job_id=JID, doc={"task-spec": write(stages=stages, ms=[500, 500, 9000, 500]), "stages": stages}, tries=3)
     yard = Yard(seed=1, bounds=Bounds(drift=0.0, **bounds), watcher=judge)
     return Hollow(
-        yard=yard, minion_id="i-1", svc="svc", site="z", cap=(4000, 8000, 0), labels=("a", "r1"), guards=guards
+        yard=yard, minion_id="i-1", service="svc", site="z", cap=(4000, 8000, 0), labels=("a", "r1"), guards=guards
     )
 
 
--- a/tests/transport/test_codec.py
+++ b/tests/transport/test_codec.py
@@ -55,7 +55,7 @@
         Frame(
             lane=rng.randint(1, 3),
             src=f"a{i}",
-            uid="u#1",
+            node_id="u#1",
             incarnation=rng.getrandbits(50),
             seq=i + 1,
             body=rng.randbytes(rng.randint(0, 2000)),
@@ -83,11 +83,11 @@
     cut, num = Splitter(), 0
     for _ in range(6):
         lane, src, incarnation = rng.choice(list(Lane)), rng.choice(["a", "", "b:1"]), rng.choice([0, 7, 1 << 50])
-        sealer = Sealer(lane=lane, src=src, uid=src + "#0", incarnation=incarnation)
+        sealer = Sealer(lane=lane, src=src, node_id=src + "#0", incarnation=incarnation)
         for _ in range(rng.randint(1, 4)):
             num += rng.choice([1, 1, 200, 1 << 40])
             body = rng.randbytes(rng.choice([1, 126, 127, 128, 20000]))
-            want = Frame(lane=int(lane), src=src, uid=src + "#0", incarnation=incarnation, seq=num, body=body)
+            want = Frame(lane=int(lane), src=src, node_id=src + "#0", incarnation=incarnation, seq=num, body=body)
             raw = sealer.seal(seq=num, body=body)
             assert raw == pack(frame=want) and cut.feed(raw) == [want]
     torn = bytearray(raw)
@@ -145,16 +145,16 @@
 
 
 def test_registry_races_repeats_and_rising_versions() -> None:
-    reg = Registry()
+    registry = Registry()
 
     def put(*, base: str, doc: Any, method: str = "PUT") -> str:
         try:
-            event = reg.judge(method=method, base=base, body=orjson.dumps(doc))
+            event = registry.judge(method=method, base=base, body=orjson.dumps(doc))
         except (InvalidError, StampError) as err:
             return err.code
         if event is None:
             return "again"
-        reg.apply(event)
+        registry.apply(event)
         return "ok"
 
     assert put(base="x", doc=CONF) == "invalid"
@@ -164,26 +164,26 @@
     assert put(base="0", doc={**CONF, "config-version": 9}) == "stale-base"
     assert put(base="4", doc=CONF) == "invalid"
     assert put(base="4", doc={"config-version": 6, "removals": {"route-table": ["b"]}}, method="PATCH") == "ok"
-    assert reg.conf is not None and [r["name"] for r in reg.conf["route-table"]] == ["a"]
+    assert registry.conf is not None and [r["name"] for r in registry.conf["route-table"]] == ["a"]
     assert put(base="4", doc={"config-version": 7, "removals": {"route-table": ["a"]}}, method="PATCH") == "stale-base"
     assert put(base="0", doc=CONF) == "again"
     twin = Registry()
-    twin.load(reg.dump())
-    assert twin.dump() == reg.dump()
+    twin.load(registry.dump())
+    assert twin.dump() == registry.dump()
 
 
 def test_fences_only_rise_and_a_late_loss_does_not_touch_a_new_owner() -> None:
-    reg = Registry()
+    registry = Registry()
     seen = 0
     for owner in ("a", "b", "a"):
-        reg.apply({"t": "own", "ms": [["m", owner, {"site": "z"}]]})
-        assert reg.minions["m"]["f"] > seen
-        seen = reg.minions["m"]["f"]
-    reg.apply({"t": "gone", "m": "m", "f": seen - 1})
-    assert "m" in reg.minions
-    reg.apply({"t": "gone", "m": "m", "f": seen})
-    reg.apply({"t": "own", "ms": [["m", "c", {}]]})
-    assert reg.minions["m"]["f"] > seen
+        registry.apply({"t": "own", "ms": [["m", owner, {"site": "z"}]]})
+        assert registry.minions["m"]["f"] > seen
+        seen = registry.minions["m"]["f"]
+    registry.apply({"t": "gone", "m": "m", "f": seen - 1})
+    assert "m" in registry.minions
+    registry.apply({"t": "gone", "m": "m", "f": seen})
+    registry.apply({"t": "own", "ms": [["m", "c", {}]]})
+    assert registry.minions["m"]["f"] > seen
 
 
 @pytest.mark.parametrize("seed", range(100))
--- a/tests/transport/test_incarnations_wire.py
+++ b/tests/transport/test_incarnations_wire.py
@@ -24,27 +24,29 @@
 
 
 def take(
-    seen: Seen, *, uid: str = "#0", incarnation: int = 1, seq: int = 1, connection: int = 1, lane: int = 2
+    seen: Seen, *, node_id: str = "#0", incarnation: int = 1, seq: int = 1, connection: int = 1, lane: int = 2
 ) -> bool:
-    return seen.take(src=SRC, lane=lane, uid=SRC + uid, incarnation=incarnation, seq=seq, connection=connection)[0]
+    return seen.take(
+        src=SRC, lane=lane, node_id=SRC + node_id, incarnation=incarnation, seq=seq, connection=connection
+    )[0]
 
 
 def test_frames_of_an_earlier_life_on_a_connection_that_a_cut_held_up_are_dropped() -> None:
     seen = Seen()
-    assert take(seen, uid="#a", seq=5, connection=1)
-    assert take(seen, uid="#b", seq=1, connection=2)
-    assert not take(seen, uid="#a", seq=6, connection=1)
-    assert not take(seen, uid="#a", seq=1, connection=1, lane=1)
-    assert take(seen, uid="#b", seq=2, connection=2)
+    assert take(seen, node_id="#a", seq=5, connection=1)
+    assert take(seen, node_id="#b", seq=1, connection=2)
+    assert not take(seen, node_id="#a", seq=6, connection=1)
+    assert not take(seen, node_id="#a", seq=1, connection=1, lane=1)
+    assert take(seen, node_id="#b", seq=2, connection=2)
 
 
 def test_a_retired_life_does_not_count_again_whatever_its_connection() -> None:
     seen = Seen()
-    assert take(seen, uid="#a", connection=1) and take(seen, uid="#b", connection=2)
-    assert not take(seen, uid="#a", seq=9, connection=3)
+    assert take(seen, node_id="#a", connection=1) and take(seen, node_id="#b", connection=2)
+    assert not take(seen, node_id="#a", seq=9, connection=3)
     for life in range(3, 3 * RETIRED_MOST):  # the set is bounded; the numbers of connections hold beyond it
-        assert take(seen, uid=f"#{life}", connection=life)
-    assert not take(seen, uid="#a", seq=9, connection=1)
+        assert take(seen, node_id=f"#{life}", connection=life)
+    assert not take(seen, node_id="#a", seq=9, connection=1)
     sender = seen._senders[SRC]
     assert len(sender.retired) == RETIRED_MOST
 
@@ -72,7 +74,7 @@
 def test_a_core_that_lost_its_disk_begins_at_one_and_is_heard() -> None:
     seen = Seen()
     assert take(seen, incarnation=40, seq=9, connection=1)
-    assert take(seen, uid="#77", incarnation=1, seq=1, connection=2)
+    assert take(seen, node_id="#77", incarnation=1, seq=1, connection=2)
     assert not take(seen, incarnation=40, seq=10, connection=1)
 
 
@@ -80,9 +82,9 @@
     """Both lives' connections were accepted and numbered; their tasks then run in any order."""
     for order in ([1, 2], [2, 1]):
         seen = Seen()
-        took = [take(seen, uid=f"#{life}", seq=1, connection=life) for life in order]
+        took = [take(seen, node_id=f"#{life}", seq=1, connection=life) for life in order]
         assert took == ([True, True] if order == [1, 2] else [True, False])
-        assert take(seen, uid="#2", seq=2, connection=2) and not take(seen, uid="#1", seq=2, connection=1)
+        assert take(seen, node_id="#2", seq=2, connection=2) and not take(seen, node_id="#1", seq=2, connection=1)
 
 
 @pytest.mark.parametrize("seed", range(60))
@@ -103,8 +105,8 @@
     seen, last, heads = Seen(), 0, dict[tuple[int, int], int]()
     while any(queues):
         life, connection, lane, seq = rng.choice([rows for rows in queues if rows]).pop(0)
-        uid, incarnation = lives[life]
-        if take(seen, uid=uid, incarnation=incarnation, seq=seq, connection=connection, lane=lane):
+        node_id, incarnation = lives[life]
+        if take(seen, node_id=node_id, incarnation=incarnation, seq=seq, connection=connection, lane=lane):
             assert life >= last and seq > heads.get((life, lane), 0)
             last, heads[life, lane] = life, seq
         else:
@@ -116,11 +118,11 @@
 
     def __init__(self, nursery: trio.Nursery) -> None:
         self.got: list[tuple[str, Any]] = []
-        self.peers = Peers(addr="10.0.0.9:7000", uid="10.0.0.9:7000#0", incarnation=1, sink=self.sink, log=LOG)
+        self.peers = Peers(addr="10.0.0.9:7000", node_id="10.0.0.9:7000#0", incarnation=1, sink=self.sink, log=LOG)
         self.nursery = nursery
 
-    def sink(self, uid: str, lane: Lane, rows: list[tuple[Kind, Any]], lost: bool) -> None:
-        self.got += [(uid, m) for _, m in rows]
+    def sink(self, node_id: str, lane: Lane, rows: list[tuple[Kind, Any]], lost: bool) -> None:
+        self.got += [(node_id, m) for _, m in rows]
 
     async def connect(self) -> trio.StapledStream[Any, Any]:
         ours, theirs = trio.testing.memory_stream_pair()
@@ -129,9 +131,9 @@
         return ours
 
 
-def frame(*, uid: str, seq: int, m: int, incarnation: int = 1) -> bytes:
+def frame(*, node_id: str, seq: int, m: int, incarnation: int = 1) -> bytes:
     body = bundle(rows=[(int(Kind.ORDER), b"%d" % m)])
-    return pack(frame=Frame(lane=2, src=SRC, uid=SRC + uid, incarnation=incarnation, seq=seq, body=body))
+    return pack(frame=Frame(lane=2, src=SRC, node_id=SRC + node_id, incarnation=incarnation, seq=seq, body=body))
 
 
 def test_a_dead_life_s_frames_come_late_on_the_connection_it_had() -> None:
@@ -140,16 +142,16 @@
             to = Receiver(nursery)
             old = await to.connect()
             await old.send_all(
-                await Peers._challenge(stream=cast(trio.SocketStream, old)) + frame(uid="#a", seq=1, m=1)
+                await Peers._challenge(stream=cast(trio.SocketStream, old)) + frame(node_id="#a", seq=1, m=1)
             )
             new = await to.connect()
             await new.send_all(
-                await Peers._challenge(stream=cast(trio.SocketStream, new)) + frame(uid="#b", seq=1, m=2)
+                await Peers._challenge(stream=cast(trio.SocketStream, new)) + frame(node_id="#b", seq=1, m=2)
             )
             await trio.testing.wait_all_tasks_blocked()
-            await old.send_all(frame(uid="#a", seq=2, m=3))
+            await old.send_all(frame(node_id="#a", seq=2, m=3))
             await trio.testing.wait_all_tasks_blocked()
-            await new.send_all(frame(uid="#b", seq=2, m=4))
+            await new.send_all(frame(node_id="#b", seq=2, m=4))
             await trio.testing.wait_all_tasks_blocked()
             assert to.got == [(SRC + "#a", 1), (SRC + "#b", 2), (SRC + "#b", 4)]
             nursery.cancel_scope.cancel()
@@ -165,7 +167,7 @@
         async with trio.open_nursery() as nursery:
             to = Receiver(nursery)
             ghost = await to.connect()
-            await ghost.send_all(opening + frame(uid="#a", seq=1, m=1))
+            await ghost.send_all(opening + frame(node_id="#a", seq=1, m=1))
             await trio.testing.wait_all_tasks_blocked()
             assert to.got == [] and await ghost.receive_some(CHALLENGE_BYTES)
             assert await ghost.receive_some(1) == b""
@@ -179,7 +181,7 @@
         async with trio.open_nursery() as nursery:
             to = Receiver(nursery)
             ours = await to.connect()
-            raw = await Peers._challenge(stream=cast(trio.SocketStream, ours)) + frame(uid="#a", seq=1, m=1)
+            raw = await Peers._challenge(stream=cast(trio.SocketStream, ours)) + frame(node_id="#a", seq=1, m=1)
             for at in range(0, len(raw), 3):
                 await ours.send_all(raw[at : at + 3])
                 await trio.testing.wait_all_tasks_blocked()
@@ -197,29 +199,29 @@
         shell = open_core(startup=check(doc=doc), log=LOG)
         assert shell.node.incarnation == life and shell.peers.incarnation == life
         known = last_life(records=Ring(folder=str(tmp_path / "d"), size=2 << 20).load())
-        assert known is not None and (known.uid, known.incarnation) == (shell.node.uid, life)
+        assert known is not None and (known.node_id, known.incarnation) == (shell.node.node_id, life)
         assert shell.ring is not None
         shell.ring.close()
 
 
 def test_a_journal_from_before_lives_were_counted_goes_on_with_the_first(tmp_path: pathlib.Path) -> None:
     known = last_life(records=[orjson.dumps({"k": "id", "uid": "a:1#0"}), b'{"k":"none","end":true}'])
-    assert known is not None and (known.uid, known.next) == ("a:1#0", 1)
+    assert known is not None and (known.node_id, known.next) == ("a:1#0", 1)
 
 
 def test_no_two_lives_of_an_edge_share_a_uid() -> None:
     doc = settings(binds={"front": f"{HOST}:1"}, inner=7000, seed=f"{HOST}:2", data=None)
     shells = [open_edge(startup=check(doc={**doc, "role": "edge"}), log=LOG) for _ in range(20)]
-    assert len({shell.node.uid for shell in shells}) == 20 and {shell.node.incarnation for shell in shells} == {1}
+    assert len({shell.node.node_id for shell in shells}) == 20 and {shell.node.incarnation for shell in shells} == {1}
 
 
 def test_two_lives_at_one_address_over_real_sockets() -> None:
     """Each life listens at the address of the one before as soon as that has ended, and is heard at once."""
     arrived, arrivals = trio.open_memory_channel[tuple[str, Any]](math.inf)
 
-    def sink(uid: str, lane: Lane, rows: list[tuple[Kind, Any]], lost: bool) -> None:
+    def sink(node_id: str, lane: Lane, rows: list[tuple[Kind, Any]], lost: bool) -> None:
         for _, message in rows:
-            arrived.send_nowait((uid, message))
+            arrived.send_nowait((node_id, message))
 
     async def live(*, peers: Peers, to: str, messages: range) -> list[tuple[str, Any]]:
         """Send all and wait until they have arrived; the nursery is left once all tasks of this life have ended."""
@@ -234,13 +236,13 @@
     async def main() -> None:
         with reserved_ports(2) as ports, trio.fail_after(20):
             here, there = (f"{HOST}:{port}" for port in ports)
-            receiver = Peers(addr=there, uid=f"{there}#0", incarnation=1, sink=sink, log=LOG)
+            receiver = Peers(addr=there, node_id=f"{there}#0", incarnation=1, sink=sink, log=LOG)
             async with trio.open_nursery() as receiving:
                 await receiving.start(receiver.run)
-                for number, uid in enumerate((f"{here}#a", f"{here}#b", f"{here}#c")):
+                for number, node_id in enumerate((f"{here}#a", f"{here}#b", f"{here}#c")):
                     messages = range(100 * number, 100 * number + 20)
-                    peers = Peers(addr=here, uid=uid, incarnation=1, sink=lambda *_: None, log=LOG)
-                    assert await live(peers=peers, to=there, messages=messages) == [(uid, m) for m in messages]
+                    peers = Peers(addr=here, node_id=node_id, incarnation=1, sink=lambda *_: None, log=LOG)
+                    assert await live(peers=peers, to=there, messages=messages) == [(node_id, m) for m in messages]
                 receiving.cancel_scope.cancel()
 
     trio.run(main)
--- a/tests/transport/test_lanes.py
+++ b/tests/transport/test_lanes.py
@@ -18,7 +18,7 @@
 
 
 def take(seen: Seen, *, incarnation: int, seq: int) -> tuple[bool, bool]:
-    return seen.take(src="a", lane=2, uid="a#0", incarnation=incarnation, seq=seq, connection=1)
+    return seen.take(src="a", lane=2, node_id="a#0", incarnation=incarnation, seq=seq, connection=1)
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -94,7 +94,7 @@
     lost: list[Lane] = []
     all_arrived, all_gaps = trio.Event(), trio.Event()
 
-    def sink(uid: str, lane: Lane, rows: list[tuple[Kind, Any]], gap: bool) -> None:
+    def sink(node_id: str, lane: Lane, rows: list[tuple[Kind, Any]], gap: bool) -> None:
         if gap:
             lost.append(lane)
         got.extend((lane, kind, m) for kind, m in rows)
@@ -107,8 +107,8 @@
         log = Log(name="t", level="error")
         with reserved_ports(2) as ports, trio.fail_after(20):
             here, there = (f"{HOST}:{port}" for port in ports)
-            a = Peers(addr=here, uid=here + "#0", incarnation=1, sink=lambda *_: None, log=log)
-            b = Peers(addr=there, uid=there + "#0", incarnation=1, sink=sink, log=log)
+            a = Peers(addr=here, node_id=here + "#0", incarnation=1, sink=lambda *_: None, log=log)
+            b = Peers(addr=there, node_id=there + "#0", incarnation=1, sink=sink, log=log)
             async with trio.open_nursery() as nursery:
                 await nursery.start(a.run)
                 await nursery.start(b.run)
@@ -117,8 +117,12 @@
                     a.send(addr=there, kind=Kind.PING, body=b"%d" % i)
                 a.send(addr=there, kind=Kind.CKPT, body=b'"st"')
                 await all_arrived.wait()
-                b._deliver(Frame(lane=2, src=here, uid=here + "#0", incarnation=1, seq=999, body=b"[[46"), connection=9)
-                b._deliver(Frame(lane=1, src=here, uid=here + "#0", incarnation=1, seq=999, body=b"[]"), connection=9)
+                b._deliver(
+                    Frame(lane=2, src=here, node_id=here + "#0", incarnation=1, seq=999, body=b"[[46"), connection=9
+                )
+                b._deliver(
+                    Frame(lane=1, src=here, node_id=here + "#0", incarnation=1, seq=999, body=b"[]"), connection=9
+                )
                 await all_gaps.wait()
                 nursery.cancel_scope.cancel()
 
@@ -139,7 +143,7 @@
 
     async def main() -> None:
         node = Peers(
-            addr="10.0.0.1:7000", uid="10.0.0.1:7000#0", incarnation=1, sink=sink, log=Log(name="t", level="error")
+            addr="10.0.0.1:7000", node_id="10.0.0.1:7000#0", incarnation=1, sink=sink, log=Log(name="t", level="error")
         )
         ours, theirs = trio.testing.memory_stream_pair()
         with pytest.raises(ExceptionGroup) as raised:
@@ -147,7 +151,7 @@
                 nursery.start_soon(node._take, cast(trio.SocketStream, theirs))
                 await ours.send_all(await Peers._challenge(stream=cast(trio.SocketStream, ours)))
                 await ours.send_all(
-                    pack(frame=Frame(lane=1, src="b", uid="b#0", incarnation=1, seq=1, body=b"[[20,{}]]"))
+                    pack(frame=Frame(lane=1, src="b", node_id="b#0", incarnation=1, seq=1, body=b"[[20,{}]]"))
                 )
         assert [repr(err) for err in raised.value.exceptions] == ["ValueError('fault')"]
         ours, theirs = trio.testing.memory_stream_pair()
@@ -164,7 +168,7 @@
         line.put(kind=Kind.ENDS, body=b"%d" % i)
     seq, body = line.take()
     assert seq == 1 and not line.rows
-    raw = pack(frame=Frame(lane=2, src="a", uid="a#0", incarnation=1, seq=seq, body=body))
+    raw = pack(frame=Frame(lane=2, src="a", node_id="a#0", incarnation=1, seq=seq, body=body))
     assert len(raw) < 1000 and body == bundle(rows=[(48, b"%d" % i) for i in range(100)])
 
 
@@ -206,7 +210,7 @@
 class Node:
     """What calls need of their node."""
 
-    uid = "me"
+    node_id = "me"
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -214,8 +218,8 @@
         self.sent: list[tuple[float, str]] = []
         self.ended: list[int] = []
 
-    def send(self, *, uid: str, kind: Kind, body: dict[str, Any]) -> None:
-        self.sent.append((round(self.now, 2), uid))
+    def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
+        self.sent.append((round(self.now, 2), node_id))
 
     def primary(self, *, group_id: int) -> tuple[str, int] | None:
         return self.at
@@ -240,13 +244,13 @@
     node.at = ("p2", 2)
     calls.tick()
     assert node.sent[before:] == [(round(node.now, 2), "p2")]
-    calls.lost(uid="p1")
+    calls.lost(node_id="p1")
     assert len(node.sent) == before + 1
-    calls.lost(uid="p2")
+    calls.lost(node_id="p2")
     assert len(node.sent) == before + 2
-    calls.reply(uid="p2", m={"rid": 1, "to": "me", "s": 421, "d": [("p3", 3)]})
+    calls.reply(node_id="p2", m={"rid": 1, "to": "me", "s": 421, "d": [("p3", 3)]})
     assert node.sent[-1][1] == "p3" and node.ended == []
-    calls.reply(uid="p3", m={"rid": 1, "to": "me", "s": 200, "d": {}})
+    calls.reply(node_id="p3", m={"rid": 1, "to": "me", "s": 200, "d": {}})
     assert node.ended == [200]
 
 
@@ -258,18 +262,18 @@
     placer = node.placers[1]
     real = placer.call
 
-    def call(*, uid: str, request_id: int, op: str, b: dict[str, Any]) -> None:
+    def call(*, node_id: str, request_id: int, op: str, b: dict[str, Any]) -> None:
         taken.append(request_id)
-        real(uid=uid, request_id=request_id, op=op, b=b)
+        real(node_id=node_id, request_id=request_id, op=op, b=b)
 
     placer.call = call  # type: ignore[method-assign]
     m = {"rid": 7, "g": 1, "op": "count", "b": {"q": "fast"}}
-    node.reps[1].commit(event={"t": "forget", "ids": []})  # an answer must wait for this event
+    node.replicas[1].commit(event={"t": "forget", "ids": []})  # an answer must wait for this event
     for _ in range(5):
-        node.on(uid="10.0.1.1:7001#ff", kind=Kind.CALL, m=orjson.loads(orjson.dumps(m)))
+        node.on(node_id="10.0.1.1:7001#ff", kind=Kind.CALL, m=orjson.loads(orjson.dumps(m)))
     assert taken == [7]
     sim.run(seconds=1.0)
-    node.on(uid="10.0.1.1:7001#ff", kind=Kind.CALL, m=m)
+    node.on(node_id="10.0.1.1:7001#ff", kind=Kind.CALL, m=m)
     assert taken == [7, 7]
 
 
@@ -277,8 +281,8 @@
     sim, _, _, _ = cluster(seed=82)
     ip = sim.serving(group_id=1)[0]
     node = sim.core(ip)
-    node.reps[1].commit(event={"t": "forget", "ids": []})
-    node.on(uid="10.0.1.1:7001#ff", kind=Kind.CALL, m={"rid": 7, "g": 1, "op": "count", "b": {"q": "fast"}})
+    node.replicas[1].commit(event={"t": "forget", "ids": []})
+    node.on(node_id="10.0.1.1:7001#ff", kind=Kind.CALL, m={"rid": 7, "g": 1, "op": "count", "b": {"q": "fast"}})
     node.out.sends.clear()
     node.leave()
     rows = [orjson.loads(body) for _, kind, body in node.out.sends if kind is Kind.REPLY]
@@ -326,27 +330,29 @@
 
 
 def test_a_backlog_does_not_grow_by_repeats() -> None:
-    rep = Repeats()
+    replica = Repeats()
     ends = {"g": 1, "m": "i", "f": 3, "x": [[1, "a"], [2, "b"]]}
     claim = {"g": 1, "x": [["i", 3, "svc"], ["j", 4, "svc"]]}
     lost = {"g": 1, "m": "i", "f": 3, "v": {}}
     for kind, m in ((Kind.ENDS, ends), (Kind.CLAIM, claim), (Kind.LOST, lost)):
-        assert rep.screen(uid="a", kind=kind, m=m) is m
-        assert rep.screen(uid="a", kind=kind, m=dict(m)) is None
-        assert rep.screen(uid="b", kind=kind, m=m) is m
-        assert rep.taken(uid="a", kind=kind, m=m) is m and rep.screen(uid="a", kind=kind, m=m) is m
-    assert rep.screen(uid="a", kind=Kind.ENDS, m={**ends, "f": 4}) is not None  # under a newer fence it is news
-    assert rep.screen(uid="a", kind=Kind.ORDER, m={}) == rep.screen(uid="a", kind=Kind.ORDER, m={}) == {}
-    assert rep.screen(uid="a", kind=Kind.ENDS, m={"x": 3}) == {"x": 3}  # whoever handles it says why not
-    assert rep.screen(uid="a", kind=Kind.ROOM, m={"v": 1}) == {"v": 1}
-    assert rep.screen(uid="a", kind=Kind.ROOM, m={"v": 2}) is None
-    assert rep.taken(uid="a", kind=Kind.ROOM, m={"v": 1}) == {"v": 2}
-    assert rep.screen(uid="a", kind=Kind.ROOM, m={"v": 3}) == {"v": 3}
+        assert replica.screen(node_id="a", kind=kind, m=m) is m
+        assert replica.screen(node_id="a", kind=kind, m=dict(m)) is None
+        assert replica.screen(node_id="b", kind=kind, m=m) is m
+        assert replica.taken(node_id="a", kind=kind, m=m) is m and replica.screen(node_id="a", kind=kind, m=m) is m
+    assert replica.screen(node_id="a", kind=Kind.ENDS, m={**ends, "f": 4}) is not None  # under a newer fence it is news
+    assert (
+        replica.screen(node_id="a", kind=Kind.ORDER, m={}) == replica.screen(node_id="a", kind=Kind.ORDER, m={}) == {}
+    )
+    assert replica.screen(node_id="a", kind=Kind.ENDS, m={"x": 3}) == {"x": 3}  # whoever handles it says why not
+    assert replica.screen(node_id="a", kind=Kind.ROOM, m={"v": 1}) == {"v": 1}
+    assert replica.screen(node_id="a", kind=Kind.ROOM, m={"v": 2}) is None
+    assert replica.taken(node_id="a", kind=Kind.ROOM, m={"v": 1}) == {"v": 2}
+    assert replica.screen(node_id="a", kind=Kind.ROOM, m={"v": 3}) == {"v": 3}
 
 
 @pytest.mark.parametrize("kind", list(Kind))
 def test_malformed_messages_reach_whoever_says_so(kind: Kind) -> None:
-    rep = Repeats()
+    replica = Repeats()
     odd: list[Any] = [
         None,
         3,
@@ -361,5 +367,5 @@
     ]
     for m in odd:
         rank_of(kind=kind, m=m)
-        assert rep.screen(uid="a", kind=kind, m=m) == m
-        assert rep.taken(uid="a", kind=kind, m=m) == m
+        assert replica.screen(node_id="a", kind=kind, m=m) == m
+        assert replica.taken(node_id="a", kind=kind, m=m) == m
--- a/tests/transport/test_malformed_frames.py
+++ b/tests/transport/test_malformed_frames.py
@@ -41,7 +41,7 @@
 
 
 def envelope(**changed: Any) -> bytes:
-    good: dict[str, Any] = {"lane": 2, "src": SRC, "uid": SRC + "#0", "incarnation": 1, "seq": 1, "body": BODY}
+    good: dict[str, Any] = {"lane": 2, "src": SRC, "node_id": SRC + "#0", "incarnation": 1, "seq": 1, "body": BODY}
     return pack(frame=Frame(**{**good, **changed}))
 
 
@@ -52,8 +52,8 @@
     "lane 9": envelope(lane=9),
     "lane huge": envelope(lane=(1 << 32) - 1),
     "no source": envelope(src=""),
-    "uid of another address": envelope(uid="10.0.0.2:7000#0"),
-    "uid without a life": envelope(uid=SRC),
+    "uid of another address": envelope(node_id="10.0.0.2:7000#0"),
+    "uid without a life": envelope(node_id=SRC),
     "incarnation 0": envelope(incarnation=0),
     "sequence 0": envelope(seq=0),
     "uid a number": framed(HEAD + field(num=3, wire=0, data=b"\x07")),
@@ -84,10 +84,10 @@
     def __init__(self, nursery: trio.Nursery) -> None:
         self.got: list[Any] = []
         self.log = Lines()
-        self.peers = Peers(addr="10.0.0.9:7000", uid="10.0.0.9:7000#0", incarnation=1, sink=self.sink, log=self.log)
+        self.peers = Peers(addr="10.0.0.9:7000", node_id="10.0.0.9:7000#0", incarnation=1, sink=self.sink, log=self.log)
         self.nursery = nursery
 
-    def sink(self, uid: str, lane: Lane, rows: list[tuple[Kind, Any]], lost: bool) -> None:
+    def sink(self, node_id: str, lane: Lane, rows: list[tuple[Kind, Any]], lost: bool) -> None:
         self.got += [m for _, m in rows]
 
     async def bring(self, *, data: bytes, pieces: random.Random | None = None) -> None:
@@ -236,7 +236,7 @@
         kind = rng.choice(list(Kind))
         m = {key: rng.choice(ODD) for key in rng.sample(KEYS, rng.randint(3, 30))}
         m["g"] = rng.choice([0, 1])
-        shell._frames(rng.choice(sorted(sim.uids.values())), Lane.WORK, [(kind, m)], False)
+        shell._frames(rng.choice(sorted(sim.node_ids.values())), Lane.WORK, [(kind, m)], False)
         shell.node.out.sends.clear()
         shell.step(shell.node.tick)
 
@@ -261,6 +261,6 @@
                 ),
                 "b": rng.choice([*ODD, {"id": 7}, {"m": []}]),
             }
-        shell._frames(rng.choice(sorted(sim.uids.values())), Lane.WORK, [(kind, m)], False)
+        shell._frames(rng.choice(sorted(sim.node_ids.values())), Lane.WORK, [(kind, m)], False)
     assert request_id in node.calls.open
     assert any(event == "frame-malformed" for event, _ in cast(Lines, shell.log).rows)
--- a/yarrowloom/agent/agent.py
+++ b/yarrowloom/agent/agent.py
@@ -62,7 +62,7 @@
             minion_id=minion_id,
             fence=fence,
             heard=self.environment.now,
-            svc=info.get("svc", ""),
+            service=info.get("svc", ""),
             site=info.get("site", ""),
             labels=info.get("labels", []),
         )
@@ -152,7 +152,7 @@
             prim = self.environment.primary(group_id=group_id)
             if prim is not None:
                 self.environment.send(
-                    uid=prim[0], kind=Kind.ENDS, body={"g": group_id, "m": m.minion_id, "f": m.fence, "x": rows}
+                    node_id=prim[0], kind=Kind.ENDS, body={"g": group_id, "m": m.minion_id, "f": m.fence, "x": rows}
                 )
         m.note()
 
@@ -182,7 +182,7 @@
 
     # -- groups
 
-    def attach(self, *, uid: str, b: dict[str, Any]) -> None:
+    def attach(self, *, node_id: str, b: dict[str, Any]) -> None:
         """A group tells what it has on a minion; answer what of it never started."""
         m, group_id = self.minions.get(b["m"]), b["g"]
         prim = self.environment.primary(group_id=group_id)
@@ -232,7 +232,7 @@
             elif not m.ended(task=task, run=run):
                 void.append([task, run])
         self.environment.send(
-            uid=uid,
+            node_id=node_id,
             kind=Kind.VERDICT,
             body={"g": group_id, "n": b["n"], "seq": b["seq"], "m": m.minion_id, "f": m.fence, "x": void},
         )
@@ -275,7 +275,7 @@
             and self.attached(m=m)
         )
 
-    def lease(self, *, uid: str, b: dict[str, Any]) -> None:
+    def lease(self, *, node_id: str, b: dict[str, Any]) -> None:
         """Grant room by a task's metadata, on the minions that a cycle chose or (`on` empty) where it fits best; or
         name another agent that seems to have it. What is left on the minions asked for goes back with the answer."""
         grants: list[Any] = []
@@ -289,7 +289,7 @@
         if len(grants) < b["n"]:
             for other, (at, view) in sorted(self.share.views.items()):
                 if (
-                    other != self.environment.uid
+                    other != self.environment.node_id
                     and other not in b["been"]
                     and self.environment.now - at < 1.5
                     and any(fits(row=row, b=b) for row in view.get(b["svc"], []))
@@ -302,7 +302,7 @@
             if minion_id in self.share.shown and minion_id in self.minions
         ]
         self.environment.send(
-            uid=uid,
+            node_id=node_id,
             kind=Kind.GRANT,
             body={
                 "g": b["g"],
@@ -329,7 +329,7 @@
                 if run is not None:
                     run.lease_id = 0
 
-    def order(self, *, uid: str, b: dict[str, Any]) -> None:
+    def order(self, *, node_id: str, b: dict[str, Any]) -> None:
         """Orders on leases; what cannot be carried out is sent back as never started."""
         nak = []
         touched = set()
@@ -354,7 +354,7 @@
             )
             touched.add(minion_id)
         if nak:
-            self.environment.send(uid=uid, kind=Kind.NAK, body={"g": b["g"], "n": b["n"], "x": nak})
+            self.environment.send(node_id=node_id, kind=Kind.NAK, body={"g": b["g"], "n": b["n"], "x": nak})
         for minion_id in sorted(touched):
             m = self.minions[minion_id]
             if m.call is not None:
@@ -366,7 +366,7 @@
         prim = self.environment.primary(group_id=r.group_id)
         if prim is not None:
             self.environment.send(
-                uid=prim[0],
+                node_id=prim[0],
                 kind=Kind.NAK,
                 body={
                     "g": r.group_id,
@@ -395,11 +395,11 @@
         if m is not None and m.phase is Phase.LOST and m.fence == b["f"]:
             m.lostok.add(b["g"])
 
-    def gap(self, *, uid: str) -> None:
+    def gap(self, *, node_id: str) -> None:
         """Frames from a node were lost: what its groups said last is not known."""
         for group_id in self.groups:
             prim = self.environment.primary(group_id=group_id)
-            if prim is not None and prim[0] == uid:
+            if prim is not None and prim[0] == node_id:
                 for m in self.minions.values():
                     m.att.pop(group_id, None)
 
--- a/yarrowloom/agent/capacity_reports.py
+++ b/yarrowloom/agent/capacity_reports.py
@@ -58,31 +58,35 @@
         for group_id, prim in fresh.items():
             if self.told.get(group_id) == prim:
                 environment.send(
-                    uid=prim[0], kind=Kind.ROOM, body={"u": environment.uid, "g": group_id, "x": rows, "shut": shut}
+                    node_id=prim[0],
+                    kind=Kind.ROOM,
+                    body={"u": environment.node_id, "g": group_id, "x": rows, "shut": shut},
                 )
             else:
-                self._all(group_id=group_id, uid=prim[0])
+                self._all(group_id=group_id, node_id=prim[0])
         self.told = fresh
         if now - self.summed > ROOM_IDLE_S:
             self.summed = now
-            body = {"u": environment.uid, "v": self.summary()}
-            for uid in environment.cores():
-                if uid != environment.uid:
-                    environment.send(uid=uid, kind=Kind.ROOM, body=body)
+            body = {"u": environment.node_id, "v": self.summary()}
+            for node_id in environment.cores():
+                if node_id != environment.node_id:
+                    environment.send(node_id=node_id, kind=Kind.ROOM, body=body)
 
-    def _all(self, *, group_id: int, uid: str) -> None:
+    def _all(self, *, group_id: int, node_id: str) -> None:
         rows = [
             [minion_id, *self.agent.minions[minion_id].free()]
             for minion_id in sorted(self.shown)
             if minion_id in self.agent.minions
         ]
         self.agent.environment.send(
-            uid=uid, kind=Kind.ROOM, body={"u": self.agent.environment.uid, "g": group_id, "x": rows, "shut": []}
+            node_id=node_id,
+            kind=Kind.ROOM,
+            body={"u": self.agent.environment.node_id, "g": group_id, "x": rows, "shut": []},
         )
 
-    def roomget(self, *, uid: str, group_id: int) -> None:
+    def roomget(self, *, node_id: str, group_id: int) -> None:
         """A placing node lost count: tell it all."""
-        self._all(group_id=group_id, uid=uid)
+        self._all(group_id=group_id, node_id=node_id)
 
     def summary(self) -> dict[str, list[Any]]:
         """By service, the open minions with the most room: enough for a redirect, which may be stale."""
@@ -90,5 +94,5 @@
         for minion_id in self.shown:
             m = self.agent.minions.get(minion_id)
             if m is not None:
-                view.setdefault(m.svc, []).append([*m.free(), m.labels, list(m.cap), m.minion_id])
-        return {svc: sorted(rows, key=lambda r: (-r[2], -r[0], r[5]))[:BEST] for svc, rows in view.items()}
+                view.setdefault(m.service, []).append([*m.free(), m.labels, list(m.cap), m.minion_id])
+        return {service: sorted(rows, key=lambda r: (-r[2], -r[0], r[5]))[:BEST] for service, rows in view.items()}
--- a/yarrowloom/agent/environment.py
+++ b/yarrowloom/agent/environment.py
@@ -10,9 +10,9 @@
     """What an agent needs of its node."""
 
     now: float
-    uid: str
+    node_id: str
 
-    def send(self, *, uid: str, kind: Kind, body: dict[str, Any]) -> None:
+    def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
         """To another node, or to itself."""
 
     def respond(self, *, call: Any, res: Response) -> None:
--- a/yarrowloom/agent/failure_detector.py
+++ b/yarrowloom/agent/failure_detector.py
@@ -60,7 +60,7 @@
         elif m.phase is Phase.KNOWN:
             _keep(agent=agent, m=m, claims=claims, primaries=primaries)
     for group_id, rows in claims.items():
-        environment.send(uid=primaries[group_id][0], kind=Kind.CLAIM, body={"g": group_id, "x": rows})
+        environment.send(node_id=primaries[group_id][0], kind=Kind.CLAIM, body={"g": group_id, "x": rows})
     agent.share.tell()
 
 
@@ -73,7 +73,7 @@
         if group_id not in m.att and now - m.claimed.get(group_id, -9.0) > CLAIM_S * (1 + m.asked):
             m.claimed[group_id] = now
             m.asked = min(m.asked + 1, 4)
-            claims.setdefault(group_id, []).append([m.minion_id, m.fence, m.svc, m.site, m.labels, list(m.cap)])
+            claims.setdefault(group_id, []).append([m.minion_id, m.fence, m.service, m.site, m.labels, list(m.cap)])
     for lease_id, les in list(m.leases.items()):
         if les.until and not les.task and now > les.until:
             m.reclaim(lease_id=lease_id)
@@ -105,5 +105,5 @@
             prim = agent.environment.primary(group_id=group_id)
             if prim is not None:
                 agent.environment.send(
-                    uid=prim[0], kind=Kind.LOST, body={"g": group_id, "m": m.minion_id, "f": m.fence, "v": saved}
+                    node_id=prim[0], kind=Kind.LOST, body={"g": group_id, "m": m.minion_id, "f": m.fence, "v": saved}
                 )
--- a/yarrowloom/agent/heartbeat_response.py
+++ b/yarrowloom/agent/heartbeat_response.py
@@ -55,11 +55,12 @@
     """No progress for several times as long as a percent took so far; the wait grows with each run of the task, so
     that work whose percents take long is not moved for ever.
 
-    >>> stands_still(r=Run(task="t", run=1, g=1, lid=1, since=1.0, pct=50.0, moved=2.0), now=3.0)
+    >>> stands_still(r=Run(task="t", run=1, group_id=1, lease_id=1, since=1.0, pct=50.0, moved=2.0), now=3.0)
     False
-    >>> stands_still(r=Run(task="t", run=1, g=1, lid=1, since=1.0, pct=50.0, moved=2.0), now=4.0)
+    >>> stands_still(r=Run(task="t", run=1, group_id=1, lease_id=1, since=1.0, pct=50.0, moved=2.0), now=4.0)
     True
-    >>> stands_still(r=Run(task="t", run=1, g=1, lid=1, since=1.0, pct=50.0, first=50.0, est=200000), now=4.0)
+    >>> slow = Run(task="t", run=1, group_id=1, lease_id=1, since=1.0, pct=50.0, first=50.0, est=200000)
+    >>> stands_still(r=slow, now=4.0)
     False
     """
     if not 0 < r.pct < 100 or r.est < 0:
--- a/yarrowloom/agent/lease_selection.py
+++ b/yarrowloom/agent/lease_selection.py
@@ -39,7 +39,7 @@
         m = agent.minions.get(minion_id)
         if (
             m is None
-            or m.svc != b["svc"]
+            or m.service != b["svc"]
             or (b["req"] and b["req"] not in m.labels)
             or b["g"] not in m.att
             or (not agent.open(m=m))
@@ -59,7 +59,7 @@
     free: dict[str, list[int]] = {}
     rows: list[Minion] = []
     for m in agent.minions.values():
-        if m.svc == b["svc"] and (not b["req"] or b["req"] in m.labels) and b["g"] in m.att and agent.open(m=m):
+        if m.service == b["svc"] and (not b["req"] or b["req"] in m.labels) and b["g"] in m.att and agent.open(m=m):
             cpu, mem, gpu = m.free()
             if cpu >= b["cpu"] and mem >= b["mem"] and gpu >= b["gpu"]:
                 free[m.minion_id] = [cpu, mem, gpu]
--- a/yarrowloom/agent/minion.py
+++ b/yarrowloom/agent/minion.py
@@ -81,7 +81,7 @@
     minion_id: str
     fence: int
     heard: float
-    svc: str = ""
+    service: str = ""
     site: str = ""
     labels: list[str] = field(default_factory=list)
     cap: tuple[int, int, int] = (0, 0, 0)
@@ -139,7 +139,7 @@
         """Take note of a beat's account; lists of the wrong shape count as empty."""
         self.heard, self.pause = now, 0.0
         self.seq = int(doc.get("call-seq", self.seq + 1))
-        self.svc = str(doc.get("backend", self.svc))
+        self.service = str(doc.get("backend", self.service))
         self.site = str(doc.get("zone", self.site))
         self.labels = [str(x) for x in doc.get("labels", self.labels)]
         cap = doc.get("capacity", {})
--- a/yarrowloom/cli.py
+++ b/yarrowloom/cli.py
@@ -145,12 +145,12 @@
             )
         )
 
-    def slopes(self, *runs: str, reps: int = 5, out: str = "") -> None:
+    def slopes(self, *runs: str, replicas: int = 5, out: str = "") -> None:
         """Measure on this machine what a beat, a start, a change, a checkpoint and a job cost; all runs, or some."""
         from .testbed.local import lines
         from .testbed.slopes import slopes
 
-        print("\n".join(lines(out=slopes(reps=reps, out=str(out), only=tuple(map(str, runs))))))
+        print("\n".join(lines(out=slopes(replicas=replicas, out=str(out), only=tuple(map(str, runs))))))
 
 
 def _show(doc: Any) -> str:
--- a/yarrowloom/cluster_state/minion_ownership.py
+++ b/yarrowloom/cluster_state/minion_ownership.py
@@ -50,31 +50,31 @@
         """A minion has a new row; `old`: the one it had."""
         if old is not None:
             self.drop(minion_id=minion_id, row=old)
-        uid = row["o"]
-        self.by.setdefault(uid, {})[minion_id] = None
-        self.sums[uid] = self.sums.get(uid, 0) + mark(minion_id=minion_id, fence=row["f"])
-        self.spots.setdefault(place(row=row), {}).setdefault(uid, {})[minion_id] = None
+        node_id = row["o"]
+        self.by.setdefault(node_id, {})[minion_id] = None
+        self.sums[node_id] = self.sums.get(node_id, 0) + mark(minion_id=minion_id, fence=row["f"])
+        self.spots.setdefault(place(row=row), {}).setdefault(node_id, {})[minion_id] = None
 
     def drop(self, *, minion_id: str, row: Row) -> None:
         """A minion's row is no more."""
-        uid, spot = row["o"], place(row=row)
-        held, there = self.by[uid], self.spots[spot]
-        del held[minion_id], there[uid][minion_id]
-        self.sums[uid] -= mark(minion_id=minion_id, fence=row["f"])
+        node_id, spot = row["o"], place(row=row)
+        held, there = self.by[node_id], self.spots[spot]
+        del held[minion_id], there[node_id][minion_id]
+        self.sums[node_id] -= mark(minion_id=minion_id, fence=row["f"])
         if not held:
-            del self.by[uid], self.sums[uid]
-        if not there[uid]:
-            del there[uid]
+            del self.by[node_id], self.sums[node_id]
+        if not there[node_id]:
+            del there[node_id]
         if not there:
             del self.spots[spot]
 
-    def load(self, *, uid: str) -> int:
+    def load(self, *, node_id: str) -> int:
         """How many minions an agent has."""
-        return len(self.by.get(uid, ()))
+        return len(self.by.get(node_id, ()))
 
-    def digest(self, *, uid: str) -> list[int]:
+    def digest(self, *, node_id: str) -> list[int]:
         """What `total` gives for an agent's minions."""
-        return [self.load(uid=uid), self.sums.get(uid, 0)]
+        return [self.load(node_id=node_id), self.sums.get(node_id, 0)]
 
 
 class Picker:
@@ -85,10 +85,10 @@
     def __init__(self, *, owners: Owners, sites: dict[str, str]) -> None:
         self.owners = owners
         self.sites = sites
-        self.load = {u: owners.load(uid=u) for u in sites}
+        self.load = {u: owners.load(node_id=u) for u in sites}
         self.near: dict[str, list[str]] = {}
-        for uid, site in sites.items():
-            self.near.setdefault(site, []).append(uid)
+        for node_id, site in sites.items():
+            self.near.setdefault(site, []).append(node_id)
         self.picked: dict[Place, str] = {}
 
     def pick(self, *, spot: Place) -> str:
@@ -109,19 +109,19 @@
         out: list[tuple[str, str]] = []
         for spot, there in self.owners.spots.items():
             home = self.near.get(spot.site, [])
-            parts = sorted((len(minion_ids), uid) for uid, minion_ids in there.items() if uid in self.sites)
+            parts = sorted((len(minion_ids), node_id) for node_id, minion_ids in there.items() if node_id in self.sites)
             best = max((p for p in parts if p[1] in home), default=None)
-            for size, uid in parts if home else ():
-                stray = uid not in home or (spot.rack and best is not None and uid != best[1])
+            for size, node_id in parts if home else ():
+                stray = node_id not in home or (spot.rack and best is not None and node_id != best[1])
                 if stray and (not out or len(out) + size <= most):
                     out += [
                         (minion_id, self.pick(spot=spot) if best is None else best[1])
-                        for minion_id in list(there[uid])[: most - len(out)]
+                        for minion_id in list(there[node_id])[: most - len(out)]
                     ]
         if out:
             return out
-        for site, uids in self.near.items():
-            full, bare = max(uids, key=lambda u: self.load[u]), min(uids, key=lambda u: self.load[u])
+        for site, node_ids in self.near.items():
+            full, bare = max(node_ids, key=lambda u: self.load[u]), min(node_ids, key=lambda u: self.load[u])
             gap = self.load[full] - self.load[bare]
             half = gap // 2 if gap >= GAP and 4 * gap >= self.load[full] else 0
             for spot, there in self.owners.spots.items() if half > 0 else ():
--- a/yarrowloom/cluster_state/registry.py
+++ b/yarrowloom/cluster_state/registry.py
@@ -7,6 +7,7 @@
 import orjson
 
 from ..common.errors import Finding, InvalidError, StampError, UnclearError
+from . import config
 from . import config_delta as delta
 from .minion_ownership import Owners
 from .operator_requests import AcceptedChanges, ZoneVersions
--- a/yarrowloom/jobs/state_machine.py
+++ b/yarrowloom/jobs/state_machine.py
@@ -32,7 +32,7 @@
 def task_name(*, job_id: str, unit: str, idx: int) -> str:
     """ID.K.STEP.INDEX.
 
-    >>> task_name(jid="ab", unit="0.1", idx=3)
+    >>> task_name(job_id="ab", unit="0.1", idx=3)
     'ab.0.1.3'
     """
     return f"{job_id}.{unit}.{idx}"
@@ -184,7 +184,7 @@
                 at=job["at"],
                 job_id=job_id,
                 q=job["q"],
-                svc=job["svc"],
+                service=job["svc"],
                 steps=job["steps"],
                 first=job["first"],
                 period=job["period"],
--- a/yarrowloom/jobs/submission.py
+++ b/yarrowloom/jobs/submission.py
@@ -46,8 +46,8 @@
 def is_job_id(*, text: str) -> bool:
     """16 hex digits.
 
-    >>> job_id(text="5c0e7a21d94b36f8"), job_id(text="5c0e"), job_id(text="5c0e7a21d94b36fX")
-    (True, False, False)
+    >>> [is_job_id(text=text) for text in ("5c0e7a21d94b36f8", "5c0e", "5c0e7a21d94b36fX")]
+    [True, False, False]
     """
     return len(text) == 16 and _ID.issuperset(text)
 
@@ -55,7 +55,7 @@
 def group_of(*, job_id: str, groups: int) -> int:
     """The job group that keeps a job; groups are numbered from 1.
 
-    >>> 1 <= group_of(jid="5c0e7a21d94b36f8", groups=3) <= 3
+    >>> 1 <= group_of(job_id="5c0e7a21d94b36f8", groups=3) <= 3
     True
     """
     return 1 + int(job_id[:8], 16) % groups
