--- a/yarrowloom/node/controller.py
+++ b/yarrowloom/node/controller.py
@@ -7,7 +7,7 @@
 from ..transport.envelope import Kind
 
 if TYPE_CHECKING:
-    pass
+    from .core_environment import CoreEnvironment
 
 LEASE_S = 1.5  # how long one word of the chief lets an agent act
 DEAD_S = LEASE_S * 1.05 + 0.3  # silence after which its minions go to others
@@ -32,7 +32,7 @@
     def __init__(self, *, node: "CoreEnvironment", late: str) -> None:
         self.node = node
         now = node.now
-        self.last: dict[str, float] = {u: now for u in {*node.reg.members, *node.reg.owners.by}}
+        self.last: dict[str, float] = {u: now for u in {*node.registry.members, *node.registry.owners.by}}
         if late in self.last:
             # The primary before this one: its agent acted on that duty's promise alone, which has run out.
             self.last[late] = now - DEAD_S + LATE_S
@@ -44,105 +44,112 @@
         self.shed: dict[str, tuple[str, str]] = {}  # minions that should change hands: from whom, to whom
         self.asked: set[str] = set()  # of these, those that their agent held when it was asked
         self.eased = self.served = now
-        self.stirred = now if node.reg.minions else now - CALM_S + FRESH_S
+        self.stirred = now if node.registry.minions else now - CALM_S + FRESH_S
 
-    def live(self, *, uid: str) -> bool:
+    def live(self, *, node_id: str) -> bool:
         """Counted in and heard of lately."""
-        return uid == self.node.uid or self.node.now - self.last.get(uid, -9.0) < LEASE_S * 0.6
+        return node_id == self.node.node_id or self.node.now - self.last.get(node_id, -9.0) < LEASE_S * 0.6
 
     def deaf(self, *, b: dict[str, Any]) -> bool:
         """Whether the sender of a heart is heard but hears nothing: each answer tells the chief's time, which the next
         heart gives back. Such an agent can't act, so nothing is renewed for it, and its minions go to others."""
-        node, uid, echo = self.node, b["u"], b.get("echo", ())
-        epoch = node.reps[0].epoch
-        self.echoed.setdefault(uid, node.now)
+        node, node_id, echo = self.node, b["u"], b.get("echo", ())
+        epoch = node.replicas[0].epoch
+        self.echoed.setdefault(node_id, node.now)
         if echo and epoch is not None and echo[0] == epoch["n"]:
-            self.echoed[uid] = max(self.echoed[uid], echo[1])
-        return uid != node.uid and "echo" in b and node.now - self.echoed[uid] > DEAF_S
+            self.echoed[node_id] = max(self.echoed[node_id], echo[1])
+        return node_id != node.node_id and "echo" in b and node.now - self.echoed[node_id] > DEAF_S
 
-    def dead(self, *, uid: str) -> bool:
+    def dead(self, *, node_id: str) -> bool:
         """Its word has run out."""
-        return uid != self.node.uid and self.node.now - self.last.get(uid, -99.0) > DEAD_S
+        return node_id != self.node.node_id and self.node.now - self.last.get(node_id, -99.0) > DEAD_S
 
     def heart(self, *, b: dict[str, Any]) -> dict[str, Any]:
         """A core's heart: enrol it, renew its word, tell it what it owns.
 
         `dig`: the digest of what it holds; `own`: all of that, if it was asked for (`list` in the answer)."""
         self._resumed()
-        node, uid = self.node, b["u"]
+        node, node_id = self.node, b["u"]
         if b["kind"] != "core":
             return {}
-        if uid not in node.reg.members:
+        if node_id not in node.registry.members:
             self._enrol(b=b)
         if self.deaf(b=b):
             return {}
-        if uid != node.uid and (uid not in self.last or self.dead(uid=uid)) and self._move(owner=uid):
+        if (
+            node_id != node.node_id
+            and (node_id not in self.last or self.dead(node_id=node_id))
+            and self._move(owner=node_id)
+        ):
             return {}
-        self.last[uid] = node.now
-        if self.incarnations.get(uid) not in (None, b["incarnation"]):
-            self.stale[uid] = list(node.reg.owners.by.get(uid, ()))
-            self._renew(uid=uid)
-        self.incarnations[uid] = b["incarnation"]
-        leave = [minion_id for minion_id, (was, _) in self.shed.items() if was == uid]
+        self.last[node_id] = node.now
+        if self.incarnations.get(node_id) not in (None, b["incarnation"]):
+            self.stale[node_id] = list(node.registry.owners.by.get(node_id, ()))
+            self._renew(node_id=node_id)
+        self.incarnations[node_id] = b["incarnation"]
+        leave = [minion_id for minion_id, (was, _) in self.shed.items() if was == node_id]
         if "own" not in b:
-            if b["dig"] != node.reg.owners.digest(uid=uid):
+            if b["dig"] != node.registry.owners.digest(node_id=node_id):
                 return {"list": True}
             self.asked.update(leave)
             return {"lease": True, **({"shed": leave} if leave else {})}
         have = dict(b["own"])
         self._let_go(
-            uid=uid, minion_ids=[minion_id for minion_id in leave if minion_id in self.asked and minion_id not in have]
+            node_id=node_id,
+            minion_ids=[minion_id for minion_id in leave if minion_id in self.asked and minion_id not in have],
         )
-        mine = node.reg.owners.by.get(uid, {})
-        old = {*self.stale.get(uid, ())}
+        mine = node.registry.owners.by.get(node_id, {})
+        old = {*self.stale.get(node_id, ())}
         give = [
             self._row(minion_id)
             for minion_id in mine
-            if have.get(minion_id, 0) < node.reg.minions[minion_id]["f"]
+            if have.get(minion_id, 0) < node.registry.minions[minion_id]["f"]
             and minion_id not in old
             and minion_id not in self.shed
         ]
         return {"lease": True, "own": give, "dis": [minion_id for minion_id in have if minion_id not in mine]}
 
     def _row(self, minion_id: str) -> list[Any]:
-        row = self.node.reg.minions[minion_id]
+        row = self.node.registry.minions[minion_id]
         return [minion_id, row["f"], row]
 
     def _enrol(self, *, b: dict[str, Any]) -> None:
-        node, uid = self.node, b["u"]
-        old = [u for u in node.reg.members if addr_of(uid=u) == addr_of(uid=uid)]
+        node, node_id = self.node, b["u"]
+        old = [u for u in node.registry.members if addr_of(node_id=u) == addr_of(node_id=node_id)]
         for gone in old:
             node.commit0(event={"t": "drop", "uid": gone})
-        node.commit0(event={"t": "enrol", "uid": uid, "info": {k: b[k] for k in ("site", "name", "ctl")}}, news=True)
-        node.note(event="core-enrolled", uid=uid, replaces=",".join(old))
+        node.commit0(
+            event={"t": "enrol", "uid": node_id, "info": {k: b[k] for k in ("site", "name", "ctl")}}, news=True
+        )
+        node.note(event="core-enrolled", node_id=node_id, replaces=",".join(old))
         self.stirred = max(self.stirred, node.now - CALM_S + FRESH_S)
 
     def _picker(self) -> Picker:
-        members = self.node.reg.members
-        live = {u: str(row.get("site", "")) for u, row in members.items() if self.live(uid=u)}
-        return Picker(owners=self.node.reg.owners, sites=live or {self.node.uid: self.node.startup.site})
+        members = self.node.registry.members
+        live = {u: str(row.get("site", "")) for u, row in members.items() if self.live(node_id=u)}
+        return Picker(owners=self.node.registry.owners, sites=live or {self.node.node_id: self.node.startup.site})
 
     def _give(self, *, rows: list[list[Any]]) -> None:
         """Commit new owners, (minion, owner, what is new of its row); they are told once it is durable."""
         self.node.commit0(event={"t": "own", "ms": rows}, then=("owned", [row[0] for row in rows]))
 
-    def _renew(self, *, uid: str) -> None:
+    def _renew(self, *, node_id: str) -> None:
         """A core's process began anew: its minions get new fences."""
-        minion_ids = self.stale.pop(uid)
-        self.stale.update({uid: minion_ids[BATCH:]} if minion_ids[BATCH:] else {})
-        mine = self.node.reg.owners.by.get(uid, {})
-        rows: list[list[Any]] = [[minion_id, uid, {}] for minion_id in minion_ids[:BATCH] if minion_id in mine]
+        minion_ids = self.stale.pop(node_id)
+        self.stale.update({node_id: minion_ids[BATCH:]} if minion_ids[BATCH:] else {})
+        mine = self.node.registry.owners.by.get(node_id, {})
+        rows: list[list[Any]] = [[minion_id, node_id, {}] for minion_id in minion_ids[:BATCH] if minion_id in mine]
         if rows:
             self._give(rows=rows)
         self.stirred = self.node.now
 
-    def who(self, *, uid: str, request_id: int, b: dict[str, Any]) -> None:
+    def who(self, *, node_id: str, request_id: int, b: dict[str, Any]) -> None:
         """Which agent holds a minion; a new one gets an owner, together with others that come at the time."""
-        row = self.node.reg.minions.get(b["m"])
+        row = self.node.registry.minions.get(b["m"])
         if row is not None:
-            self.node.reps[0].barrier(then=("reply", uid, request_id, 200, {"o": row["o"]}))
+            self.node.replicas[0].barrier(then=("reply", node_id, request_id, 200, {"o": row["o"]}))
             return
-        self.asks.append((uid, request_id, b))
+        self.asks.append((node_id, request_id, b))
         if len(self.asks) >= BATCH or self.node.now - self.admitted >= ADMIT_S:
             self._admit()
 
@@ -151,47 +158,51 @@
         self.asks, self.admitted = [], node.now
         pick, rows = self._picker(), dict[str, list[Any]]()
         for _, _, b in asks:
-            if b["m"] not in node.reg.minions and b["m"] not in rows:
+            if b["m"] not in node.registry.minions and b["m"] not in rows:
                 info = {k: b[k] for k in ("site", "svc", "labels")}
                 rows[b["m"]] = [b["m"], pick.pick(spot=place(row=info)), info]
         if rows:
             self._give(rows=list(rows.values()))
-        for uid, request_id, b in asks:
-            node.reps[0].barrier(then=("reply", uid, request_id, 200, {"o": node.reg.minions[b["m"]]["o"]}))
+        for node_id, request_id, b in asks:
+            node.replicas[0].barrier(
+                then=("reply", node_id, request_id, 200, {"o": node.registry.minions[b["m"]]["o"]})
+            )
 
     def owned(self, *, minion_ids: list[str]) -> None:
         """Ownerships are durable: tell the owners."""
         by: dict[str, list[Any]] = {}
         for minion_id in minion_ids:
-            row = self.node.reg.minions.get(minion_id)
+            row = self.node.registry.minions.get(minion_id)
             if row is not None:
                 by.setdefault(row["o"], []).append(self._row(minion_id))
-        for uid, rows in by.items():
-            self.node.send(uid=uid, kind=Kind.HEARTOK, body={"own": rows})
+        for node_id, rows in by.items():
+            self.node.send(node_id=node_id, kind=Kind.HEARTOK, body={"own": rows})
 
     def _move(self, *, owner: str) -> bool:
         """Give some of a dead agent's minions to live ones; whether there were any."""
         node = self.node
-        minion_ids = list(node.reg.owners.by.get(owner, ()))[:BATCH]
+        minion_ids = list(node.registry.owners.by.get(owner, ()))[:BATCH]
         if not minion_ids:
             return False
         pick = self._picker()
         node.note(event="minions-moved", owner=owner, count=len(minion_ids))
         self._give(
-            rows=[[minion_id, pick.pick(spot=place(row=node.reg.minions[minion_id])), {}] for minion_id in minion_ids]
+            rows=[
+                [minion_id, pick.pick(spot=place(row=node.registry.minions[minion_id])), {}] for minion_id in minion_ids
+            ]
         )
         self.stirred = node.now
         return True
 
-    def _let_go(self, *, uid: str, minion_ids: list[str]) -> None:
+    def _let_go(self, *, node_id: str, minion_ids: list[str]) -> None:
         """An agent holds these no longer, as it was asked to."""
         to = {minion_id: self.shed.pop(minion_id)[1] for minion_id in minion_ids}
-        mine = self.node.reg.owners.by.get(uid, {})
+        mine = self.node.registry.owners.by.get(node_id, {})
         rows: list[list[Any]] = [
-            [minion_id, new, {}] for minion_id, new in to.items() if minion_id in mine and self.live(uid=new)
+            [minion_id, new, {}] for minion_id, new in to.items() if minion_id in mine and self.live(node_id=new)
         ]
         if rows:
-            self.node.note(event="minions-evened", owner=uid, count=len(rows))
+            self.node.note(event="minions-evened", owner=node_id, count=len(rows))
             self._give(rows=rows)
 
     def _ease(self) -> None:
@@ -201,12 +212,12 @@
             return
         self.shed.clear()
         self.asked.clear()
-        agents = {*node.reg.members, *node.reg.owners.by}
-        if now - self.stirred < CALM_S or not all(self.live(uid=u) for u in agents):
+        agents = {*node.registry.members, *node.registry.owners.by}
+        if now - self.stirred < CALM_S or not all(self.live(node_id=u) for u in agents):
             return
         rows = self._picker().uneven(most=EASE)
         self.eased = now
-        self.shed = {minion_id: (node.reg.minions[minion_id]["o"], new) for minion_id, new in rows}
+        self.shed = {minion_id: (node.registry.minions[minion_id]["o"], new) for minion_id, new in rows}
 
     def _resumed(self) -> None:
         """This primary serves. Hearts that came while it did not, without a lease or contact, were not counted: that
@@ -214,7 +225,7 @@
         paused = self.node.now - self.served
         self.served = self.node.now
         if paused > PAUSE_S:
-            self.last = {uid: min(at + paused, self.node.now) for uid, at in self.last.items()}
+            self.last = {node_id: min(at + paused, self.node.now) for node_id, at in self.last.items()}
 
     def tick(self) -> None:
         """Look for agents whose word has run out; one batch of each kind of work."""
@@ -222,13 +233,13 @@
         node = self.node
         if self.asks and node.now - self.admitted >= ADMIT_S:
             self._admit()
-        for uid in sorted(node.reg.owners.by):
-            if self.dead(uid=uid) and self._move(owner=uid):
+        for node_id in sorted(node.registry.owners.by):
+            if self.dead(node_id=node_id) and self._move(owner=node_id):
                 break
         if self.stale:
-            self._renew(uid=next(iter(self.stale)))
+            self._renew(node_id=next(iter(self.stale)))
         self._ease()
-        for uid in list(node.reg.members):
-            if uid != node.uid and node.now - self.last.get(uid, node.now) > DROP_S:
-                node.commit0(event={"t": "drop", "uid": uid}, news=True)
-                node.note(event="core-dropped", uid=uid)
+        for node_id in list(node.registry.members):
+            if node_id != node.node_id and node.now - self.last.get(node_id, node.now) > DROP_S:
+                node.commit0(event={"t": "drop", "uid": node_id}, news=True)
+                node.note(event="core-dropped", node_id=node_id)
--- a/yarrowloom/node/core.py
+++ b/yarrowloom/node/core.py
@@ -32,7 +32,7 @@
         self,
         *,
         startup: Startup,
-        uid: str,
+        node_id: str,
         incarnation: int,
         log: Log,
         first: bool,
@@ -42,7 +42,7 @@
     ) -> None:
         super().__init__(
             startup=startup,
-            uid=uid,
+            node_id=node_id,
             incarnation=incarnation,
             log=log,
             first=first,
@@ -76,18 +76,18 @@
         pass
 
     def _near(self, group_id: int, n: int, last: int) -> None:
-        self.reps[group_id].near(n=n, last=last)
+        self.replicas[group_id].near(n=n, last=last)
 
     def _copied(self, group_id: int, tag: str) -> None:
-        camp = self.reps[group_id].camp
-        if camp is not None:
-            camp.copied(tag=tag, uid="")
+        election = self.replicas[group_id].election
+        if election is not None:
+            election.copied(tag=tag, node_id="")
 
-    def _sendeff(self, uid: str, kind: int, body: dict[str, Any]) -> None:
-        self.send(uid=uid, kind=Kind(kind), body=body)
+    def _sendeff(self, node_id: str, kind: int, body: dict[str, Any]) -> None:
+        self.send(node_id=node_id, kind=Kind(kind), body=body)
 
-    def _reply(self, uid: str, request_id: int, status: int, doc: Any) -> None:
-        self.reply(uid=uid, request_id=request_id, status=status, doc=doc)
+    def _reply(self, node_id: str, request_id: int, status: int, doc: Any) -> None:
+        self.reply(node_id=node_id, request_id=request_id, status=status, doc=doc)
 
     def _news(self, doc: dict[str, Any]) -> None:
         self.take_news(doc=doc)
@@ -97,18 +97,18 @@
             self.chief.owned(minion_ids=minion_ids)
 
     def _selfown(self, doc: dict[str, Any]) -> None:
-        self._heartok(uid=self.uid, m=doc)
+        self._heartok(node_id=self.node_id, m=doc)
 
     def _stops(self, group_id: int, rows: list[Any]) -> None:
         if group_id in self.placers:
             self.placers[group_id].stops(rows)
 
     def _orders(self, group_id: int, rows: list[Any]) -> None:
-        if group_id in self.placers and self.reps[group_id].serving():
+        if group_id in self.placers and self.replicas[group_id].serving():
             self.placers[group_id].orders(rows)
 
-    def _endsok(self, group_id: int, uid: str, minion_id: str, fence: int, rows: list[Any]) -> None:
-        self.send(uid=uid, kind=Kind.ENDSOK, body={"g": group_id, "m": minion_id, "f": fence, "x": rows})
+    def _endsok(self, group_id: int, node_id: str, minion_id: str, fence: int, rows: list[Any]) -> None:
+        self.send(node_id=node_id, kind=Kind.ENDSOK, body={"g": group_id, "m": minion_id, "f": fence, "x": rows})
 
     # -- inputs
 
@@ -124,8 +124,8 @@
         self._flush()
 
     def _flush(self) -> None:
-        for rep in self.reps.values():
-            rep.flush()
+        for replica in self.replicas.values():
+            replica.flush()
 
     def heart(self) -> dict[str, Any]:
         """A core's heart tells what its agent owns: a digest, and all of it if the chief asked."""
@@ -135,24 +135,24 @@
             body["own"] = own
         return body
 
-    def on(self, *, uid: str, kind: Kind, m: Any) -> None:
+    def on(self, *, node_id: str, kind: Kind, m: Any) -> None:
         """One message from `uid`, parsed; it is the node's from now on."""
         if kind in RECORD_KINDS:
-            self.reps[m["g"]].on(uid=uid, kind=kind, m=m)
+            self.replicas[m["g"]].on(node_id=node_id, kind=kind, m=m)
         elif kind is Kind.HEART:
             self._heart(b=m)
         elif kind is Kind.HEARTOK:
-            self._heartok(uid=uid, m=m)
+            self._heartok(node_id=node_id, m=m)
         elif kind is Kind.NEWS:
             self.take_news(doc=m)
         elif kind is Kind.CALL:
-            self._call(uid=uid, m=m)
+            self._call(node_id=node_id, m=m)
         elif kind is Kind.REPLY:
-            self.calls.reply(uid=uid, m=m)
+            self.calls.reply(node_id=node_id, m=m)
         elif kind is Kind.ROOM:
             self._room(m=m)
         else:
-            self._jobs(uid=uid, kind=kind, m=m)
+            self._jobs(node_id=node_id, kind=kind, m=m)
         self._flush()
 
     def _room(self, *, m: dict[str, Any]) -> None:
@@ -160,102 +160,110 @@
             self.agent.share.views[m["u"]] = (self.now, m["v"])
         elif m["g"] in self.placers:
             placer = self.placers[m["g"]]
-            placer.room.report(uid=m["u"], rows=m["x"], shut=m["shut"], now=self.now)
+            placer.room.report(node_id=m["u"], rows=m["x"], shut=m["shut"], now=self.now)
             placer.pump()
 
-    def _call(self, *, uid: str, m: dict[str, Any]) -> None:
+    def _call(self, *, node_id: str, m: dict[str, Any]) -> None:
         group_id, request_id, op, b = m["g"], m["rid"], m["op"], m["b"]
-        refusal = self.hand.refusal(uid=uid, request_id=request_id)
+        refusal = self.hand.refusal(node_id=node_id, request_id=request_id)
         if refusal is not None:
-            super().reply(uid=uid, request_id=request_id, status=refusal.status, doc=refusal.doc)
+            super().reply(node_id=node_id, request_id=request_id, status=refusal.status, doc=refusal.doc)
             return
-        if not self.hand.take(uid=uid, request_id=request_id, group_id=group_id, now=self.now):
+        if not self.hand.take(node_id=node_id, request_id=request_id, group_id=group_id, now=self.now):
             return
-        if group_id < 0 and m["to"] != self.uid:  # for the agent of a node that is no more; groups know who serves them
-            self.reply(uid=uid, request_id=request_id, status=503, doc={})
+        if (
+            group_id < 0 and m["to"] != self.node_id
+        ):  # for the agent of a node that is no more; groups know who serves them
+            self.reply(node_id=node_id, request_id=request_id, status=503, doc={})
         elif group_id < 0:
-            self._handed(uid=uid, request_id=request_id, op=op, b=b)
-        elif not self.reps[group_id].serving():
-            self.reply(uid=uid, request_id=request_id, status=NOT_PRIMARY, doc=[[k, e] for k, e in self.eps.items()])
+            self._handed(node_id=node_id, request_id=request_id, op=op, b=b)
+        elif not self.replicas[group_id].serving():
+            self.reply(
+                node_id=node_id, request_id=request_id, status=NOT_PRIMARY, doc=[[k, e] for k, e in self.eps.items()]
+            )
         elif group_id == 0:
-            self._serve0(uid=uid, request_id=request_id, op=op, b=b)
+            self._serve0(node_id=node_id, request_id=request_id, op=op, b=b)
         else:
-            self.placers[group_id].call(uid=uid, request_id=request_id, op=op, b=b)
+            self.placers[group_id].call(node_id=node_id, request_id=request_id, op=op, b=b)
 
-    def too_late(self, *, uid: str, m: dict[str, Any]) -> None:
+    def too_late(self, *, node_id: str, m: dict[str, Any]) -> None:
         """A call about jobs waited until its caller is about to give up: it is not taken and never will be, unless a
         copy of it was, whose answer may have got lost. Told so, the caller may try again; told nothing, it could not
         know."""
         request_id = m["rid"]
-        if self.hand.holds(uid=uid, request_id=request_id):
+        if self.hand.holds(node_id=node_id, request_id=request_id):
             return
         if m["op"] == "put" and m["b"]["id"] in self.jobs[m["g"]].jobs:
-            self._call(uid=uid, m=m)
+            self._call(node_id=node_id, m=m)
             return
-        self.hand.refuse(uid=uid, request_id=request_id, status=503, doc=OVERLOADED, now=self.now)
-        super().reply(uid=uid, request_id=request_id, status=503, doc=OVERLOADED)
+        self.hand.refuse(node_id=node_id, request_id=request_id, status=503, doc=OVERLOADED, now=self.now)
+        super().reply(node_id=node_id, request_id=request_id, status=503, doc=OVERLOADED)
 
-    def reply(self, *, uid: str, request_id: int, status: int, doc: Any) -> None:
+    def reply(self, *, node_id: str, request_id: int, status: int, doc: Any) -> None:
         """Answer a call of another node."""
-        group_id = self.hand.drop(uid=uid, request_id=request_id)
+        group_id = self.hand.drop(node_id=node_id, request_id=request_id)
         if group_id > 0 and status in REFUSALS:
-            self.hand.refuse(uid=uid, request_id=request_id, status=status, doc=doc, now=self.now)
-        super().reply(uid=uid, request_id=request_id, status=status, doc=doc)
+            self.hand.refuse(node_id=node_id, request_id=request_id, status=status, doc=doc, now=self.now)
+        super().reply(node_id=node_id, request_id=request_id, status=status, doc=doc)
 
     def deposed(self, *, group_id: int) -> None:
         """Calls in hand are not answered here any more: their callers look for the next primary at once."""
         super().deposed(group_id=group_id)
-        for uid, request_id in self.hand.leave(group_id=group_id):
-            self.reply(uid=uid, request_id=request_id, status=NOT_PRIMARY, doc=[[k, e] for k, e in self.eps.items()])
+        for node_id, request_id in self.hand.leave(group_id=group_id):
+            self.reply(
+                node_id=node_id, request_id=request_id, status=NOT_PRIMARY, doc=[[k, e] for k, e in self.eps.items()]
+            )
 
-    def _jobs(self, *, uid: str, kind: Kind, m: dict[str, Any]) -> None:
+    def _jobs(self, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
         if kind is Kind.ATTACH:
-            self.agent.attach(uid=uid, b=m)
+            self.agent.attach(node_id=node_id, b=m)
         elif kind is Kind.LEASE:
-            self.agent.lease(uid=uid, b=m)
+            self.agent.lease(node_id=node_id, b=m)
         elif kind is Kind.RETURN:
             self.agent.giveback(b=m)
         elif kind is Kind.ORDER:
-            self.agent.order(uid=uid, b=m)
+            self.agent.order(node_id=node_id, b=m)
         elif kind is Kind.STOP:
             self.agent.stop(b=m)
         elif kind is Kind.ROOMGET:
-            self.agent.share.roomget(uid=uid, group_id=m["g"])
+            self.agent.share.roomget(node_id=node_id, group_id=m["g"])
         elif kind is Kind.ENDSOK:
             self.agent.endsok(body=m)
         elif kind is Kind.LOSTOK:
             self.agent.lostok(b=m)
-        elif m["g"] in self.placers and self.reps[m["g"]].serving():
+        elif m["g"] in self.placers and self.replicas[m["g"]].serving():
             p = self.placers[m["g"]]
             if kind is Kind.CLAIM:
-                p.claim(uid=uid, b=m)
+                p.claim(node_id=node_id, b=m)
             elif kind is Kind.ENDS:
-                p.ends(uid=uid, b=m)
+                p.ends(node_id=node_id, b=m)
             elif kind is Kind.GRANT:
-                p.grant(uid=uid, b=m)
+                p.grant(node_id=node_id, b=m)
             elif kind is Kind.LOST:
-                p.lost(uid=uid, b=m)
-            elif kind is Kind.NAK and m["n"] == self.reps[m["g"]].base:
+                p.lost(node_id=node_id, b=m)
+            elif kind is Kind.NAK and m["n"] == self.replicas[m["g"]].base:
                 p.void(rows=m["x"])
-            elif kind is Kind.VERDICT and m["n"] == self.reps[m["g"]].base:
+            elif kind is Kind.VERDICT and m["n"] == self.replicas[m["g"]].base:
                 p.void(rows=[[m["m"], m["seq"], t, r] for t, r in m["x"]])
 
     def _heart(self, *, b: dict[str, Any]) -> None:
         self.hear(b=b)
         body = self.answer(b=b)
         if b["kind"] == "edge":
-            via = self.relays.for_edge(uid=b["u"], now=self.now, nodes=self.info, alive=lambda uid: self.alive(uid=uid))
+            via = self.relays.for_edge(
+                node_id=b["u"], now=self.now, nodes=self.info, alive=lambda node_id: self.alive(node_id=node_id)
+            )
             if via:
                 body["via"] = via
-        if self.chief is not None and self.reps[0].serving():
+        if self.chief is not None and self.replicas[0].serving():
             body.update(self.chief.heart(b=b), at=self.now)
-            body["up"] = [u for u in self.members if self.alive(uid=u)]
+            body["up"] = [u for u in self.members if self.alive(node_id=u)]
             if body.get("own") or body.get("dis"):
-                self.reps[0].barrier(then=("send", b["u"], int(Kind.HEARTOK), body))
+                self.replicas[0].barrier(then=("send", b["u"], int(Kind.HEARTOK), body))
                 return
-        self.send(uid=b["u"], kind=Kind.HEARTOK, body=body)
+        self.send(node_id=b["u"], kind=Kind.HEARTOK, body=body)
 
-    def _heartok(self, *, uid: str, m: dict[str, Any]) -> None:
+    def _heartok(self, *, node_id: str, m: dict[str, Any]) -> None:
         if "t" in m:
             self.contact = self.now
         for u in m.get("up", []):
@@ -263,7 +271,7 @@
         if "news" in m:
             self.take_news(doc=m["news"])
         if "t" in m:
-            self.told(uid=uid, m=m)
+            self.told(node_id=node_id, m=m)
             if "at" in m:
                 self.echo = [m.get("by"), m["at"]]
             if m.get("lease") and m.get("mods", -1) <= self.mods:  # with all evacuations that the primary knew of
@@ -276,22 +284,22 @@
             self.let_go(minion_ids=m.get("shed", []))
             self.listing, self.hearted = True, -9.0
 
-    def gap(self, *, uid: str) -> None:
+    def gap(self, *, node_id: str) -> None:
         """Frames from a node were lost."""
-        self.gap_agent(uid=uid)
-        self.gap_place(uid=uid)
+        self.gap_agent(node_id=node_id)
+        self.gap_place(node_id=node_id)
 
-    def gap_agent(self, *, uid: str) -> None:
+    def gap_agent(self, *, node_id: str) -> None:
         """Perhaps what a placing node wanted, or answers."""
-        self.calls.lost(uid=uid)
-        self.lost_from(uid=uid)
-        self.agent.gap(uid=uid)
+        self.calls.lost(node_id=node_id)
+        self.lost_from(node_id=node_id)
+        self.agent.gap(node_id=node_id)
 
-    def gap_place(self, *, uid: str) -> None:
+    def gap_place(self, *, node_id: str) -> None:
         """Perhaps what an agent told."""
         for group_id, p in self.placers.items():
-            if self.reps[group_id].serving():
-                p.gap(uid=uid)
+            if self.replicas[group_id].serving():
+                p.gap(node_id=node_id)
 
     def tick(self) -> None:
         """About twenty times a second: all that goes by time."""
@@ -311,7 +319,7 @@
     def place_chores(self) -> None:
         """Placing: may take long, so a busy process does it less often."""
         for group_id, p in list(self.placers.items()):
-            if self.reps[group_id].serving():
+            if self.replicas[group_id].serving():
                 p.tick()
         self._flush()
 
@@ -323,7 +331,7 @@
         self.ticked = self.now
         self.prove_own()
         self.beat_hearts()
-        if self.chief is not None and self.reps[0].serving():
+        if self.chief is not None and self.replicas[0].serving():
             if self.hearted == self.now:
                 self._self_heart()
             self.chief.tick()
@@ -331,43 +339,46 @@
             self.listing = False
         self.calls.tick()
         self.hand.sweep(now=self.now)
-        for rep in self.reps.values():
-            rep.tick()
+        for replica in self.replicas.values():
+            replica.tick()
         self._flush()
 
     def _thawed(self, *, slept: float) -> None:
         """The process stood still: what others may have said meanwhile is not silence of theirs."""
-        for rep in self.reps.values():
-            rep.thawed()
+        for replica in self.replicas.values():
+            replica.thawed()
         chief = (self.chief.last, self.chief.echoed) if self.chief is not None else ()
         for at in (self.heard, self.roster, *chief):
-            for uid, when in at.items():
-                at[uid] = min(when + slept, self.now)
+            for node_id, when in at.items():
+                at[node_id] = min(when + slept, self.now)
 
     def _self_heart(self) -> None:
         """The chief's word to the agent of its own node."""
         assert self.chief is not None
         own = self.chief.heart(b=self.heart())
         if "own" not in own:
-            self._heartok(uid=self.uid, m=own)
+            self._heartok(node_id=self.node_id, m=own)
         elif own["own"] or own["dis"]:
-            self.reps[0].barrier(then=("selfown", {k: own[k] for k in ("own", "dis")}))
+            self.replicas[0].barrier(then=("selfown", {k: own[k] for k in ("own", "dis")}))
 
     def leave(self) -> None:
         """The process is to end: hand what it holds to others, and the groups served here to their backups."""
-        for rep in self.reps.values():
-            rep.hand_over()
+        for replica in self.replicas.values():
+            replica.hand_over()
 
     def may_end(self) -> bool:
         """Others hold all that this process holds, as far as there are others."""
         return all(
-            may_end(environment=self, epoch=rep.epoch, asked_s=rep.relief.asked_s()) for rep in self.reps.values()
+            may_end(environment=self, epoch=replica.epoch, asked_s=replica.relief.asked_s())
+            for replica in self.replicas.values()
         )
 
     def only_copies(self) -> list[int]:
         """Groups of which this node knows no other live holder."""
         return [
-            group_id for group_id, rep in self.reps.items() if not copied_elsewhere(environment=self, epoch=rep.epoch)
+            group_id
+            for group_id, replica in self.replicas.items()
+            if not copied_elsewhere(environment=self, epoch=replica.epoch)
         ]
 
     # -- disk
@@ -379,18 +390,18 @@
                 self._replay(rec=self.load(body=raw))
             except Exception as err:  # a reducer may raise anything
                 raise ReplayError(text=f"{type(err).__name__}: {err}", number=number) from err
-        for group_id, rep in self.reps.items():
-            rep.settle()
-            if rep.epoch is not None:
-                NodeBase.learn(self, eps=[[group_id, rep.epoch]])
+        for group_id, replica in self.replicas.items():
+            replica.settle()
+            if replica.epoch is not None:
+                NodeBase.learn(self, eps=[[group_id, replica.epoch]])
 
     def _replay(self, *, rec: dict[str, Any]) -> None:
         if rec["k"] not in NODE_RECORDS:
-            self.reps[rec["g"]].restore(rec)
+            self.replicas[rec["g"]].restore(rec)
 
     def checkpoint(self) -> list[bytes]:
         """Records that stand for all that this node keeps."""
-        out = [dump(body={"k": "id", "uid": self.uid, "inc": self.incarnation})]
-        for rep in self.reps.values():
-            out += [dump(body=rec) for rec in rep.checkpoint()]
+        out = [dump(body={"k": "id", "uid": self.node_id, "inc": self.incarnation})]
+        for replica in self.replicas.values():
+            out += [dump(body=rec) for rec in replica.checkpoint()]
         return out
--- a/yarrowloom/node/core_environment.py
+++ b/yarrowloom/node/core_environment.py
@@ -31,7 +31,7 @@
         self,
         *,
         startup: Startup,
-        uid: str,
+        node_id: str,
         incarnation: int,
         log: Log,
         first: bool,
@@ -39,17 +39,17 @@
         rand: float = 0.5,
         defaults: Defaults | None = None,
     ) -> None:
-        super().__init__(startup=startup, uid=uid, incarnation=incarnation, log=log, now=now, rand=rand)
-        self.reg = Registry()
+        super().__init__(startup=startup, node_id=node_id, incarnation=incarnation, log=log, now=now, rand=rand)
+        self.registry = Registry()
         self.defaults = defaults or SHIPPED
         self.jobs = {group_id: Jobs(learn=self.defaults["learn"]["on"]) for group_id in self.groups()}
-        self.reps: dict[int, Replica] = {}
+        self.replicas: dict[int, Replica] = {}
         for group_id in range(JOB_GROUPS + 1):
-            state = self.reg if group_id == 0 else self.jobs[group_id]
+            state = self.registry if group_id == 0 else self.jobs[group_id]
             first_epoch = self._genesis(group_id=group_id) if first else None
             if first_epoch is not None:
                 self.eps[group_id] = first_epoch
-            self.reps[group_id] = Replica(group_id=group_id, environment=self, state=state, epoch=first_epoch)
+            self.replicas[group_id] = Replica(group_id=group_id, environment=self, state=state, epoch=first_epoch)
         self.placers: dict[int, Placer] = {}
         self.chief: Chief | None = None
         hold = min(startup.bound(name="max-hold-ms", default=6000), max(3.0 * startup.beat_ms, 4000.0))
@@ -91,20 +91,20 @@
 
     def elected(self, *, group_id: int) -> None:
         """This node now serves the group."""
-        e = self.reps[group_id].epoch
+        e = self.replicas[group_id].epoch
         assert e is not None
         was = self.before.get(group_id, "")
         self.note(event="primary", group=group_id, epoch=e["n"], backups=",".join(e["b"]))
         self._spread(group_id=group_id)
         if group_id == 0:
-            self.chief = Chief(node=self, late=was if was != self.uid else "")
+            self.chief = Chief(node=self, late=was if was != self.node_id else "")
             self._publish()
         else:
             self.placers[group_id] = Placer(
                 defaults=self.defaults,
                 group_id=group_id,
                 environment=self,
-                rep=self.reps[group_id],
+                replica=self.replicas[group_id],
                 jobs=self.jobs[group_id],
                 far=self.startup.bound(name="spread-factor", default=2),
                 status_s=self.startup.bound(name="status_s", default=120),
@@ -117,19 +117,19 @@
             self.chief = None
 
     def _spread(self, *, group_id: int) -> None:
-        e = self.reps[group_id].epoch
-        for uid in self.cores():
-            if uid != self.uid:
-                self.send(uid=uid, kind=Kind.NEWS, body={"eps": [[group_id, e]]})
+        e = self.replicas[group_id].epoch
+        for node_id in self.cores():
+            if node_id != self.node_id:
+                self.send(node_id=node_id, kind=Kind.NEWS, body={"eps": [[group_id, e]]})
 
     def trusted(self) -> bool:
         """The agent may act: group 0's primary gave its word lately, or is this node."""
-        return self.now < self.lease or (self.chief is not None and self.reps[0].serving())
+        return self.now < self.lease or (self.chief is not None and self.replicas[0].serving())
 
     def prove_own(self) -> None:
         """While this node serves group 0, it is itself the proof."""
-        epoch = self.reps[0].epoch
-        if self.chief is not None and epoch is not None and self.reps[0].serving():
+        epoch = self.replicas[0].epoch
+        if self.chief is not None and epoch is not None and self.replicas[0].serving():
             self.freshness.prove(at=self.now, epoch=epoch["n"])
 
     def proof(self) -> dict[str, Any]:
@@ -162,16 +162,18 @@
         self.agent.disown(minion_id=minion_id)
         self.calls.start(group_id=0, op="gone", b={"m": minion_id, "f": fence}, done=("none",), ttl=30.0)
 
-    def reply(self, *, uid: str, request_id: int, status: int, doc: Any) -> None:
+    def reply(self, *, node_id: str, request_id: int, status: int, doc: Any) -> None:
         """Answer a call of another node."""
         self.send(
-            uid=uid, kind=Kind.REPLY, body={"rid": request_id, "to": uid, "s": status, "d": doc} | self.proofs(uid=uid)
+            node_id=node_id,
+            kind=Kind.REPLY,
+            body={"rid": request_id, "to": node_id, "s": status, "d": doc} | self.proofs(node_id=node_id),
         )
 
     def learn(self, *, eps: list[Any]) -> None:
         """Epochs go to the replicas first, which report what is news."""
         for group_id, e in eps:
-            self.reps[group_id].learn(e)
+            self.replicas[group_id].learn(e)
 
     def configured(self) -> None:
         """A newer configuration is in force here."""
@@ -190,52 +192,60 @@
 
     def commit0(self, *, event: dict[str, Any], then: tuple[Any, ...] | None = None, news: bool = False) -> None:
         """Commit to group 0; what changes news goes out once durable."""
-        self.reps[0].commit(event=event, then=then)
+        self.replicas[0].commit(event=event, then=then)
         if news:
-            self.reps[0].barrier(then=("news", self._registry()))
+            self.replicas[0].barrier(then=("news", self._registry()))
 
     def _registry(self) -> dict[str, Any]:
-        return {"reg": {"mods": self.reg.mods, "evac": list(self.reg.evac), "members": dict(self.reg.members)}}
+        return {
+            "reg": {
+                "mods": self.registry.mods,
+                "evac": list(self.registry.evac),
+                "members": dict(self.registry.members),
+            }
+        }
 
     def _publish(self) -> None:
         doc = self._registry()
-        if self.reg.conf is not None:
-            doc["conf"] = self.reg.conf
+        if self.registry.conf is not None:
+            doc["conf"] = self.registry.conf
         self.take_news(doc=doc)
 
-    def _serve0(self, *, uid: str, request_id: int, op: str, b: dict[str, Any]) -> None:
-        rep, chief = self.reps[0], self.chief
+    def _serve0(self, *, node_id: str, request_id: int, op: str, b: dict[str, Any]) -> None:
+        replica, chief = self.replicas[0], self.chief
         assert chief is not None
         if op == "conf":
             try:
-                event = self.reg.judge(method=b["m"], base=b["base"], body=b["body"].encode())
+                event = self.registry.judge(method=b["m"], base=b["base"], body=b["body"].encode())
             except YarrowError as err:
                 status, doc = refusal(err=err)
-                rep.barrier(then=("reply", uid, request_id, status, doc))
+                replica.barrier(then=("reply", node_id, request_id, status, doc))
                 return
             if event is not None:
-                rep.commit(event=event)
-                rep.barrier(then=("news", {"conf": self.reg.conf}))
-                self.note(event="config-accepted", stamp=self.reg.stamp)
-            rep.barrier(then=("reply", uid, request_id, 200, {}))
+                replica.commit(event=event)
+                replica.barrier(then=("news", {"conf": self.registry.conf}))
+                self.note(event="config-accepted", stamp=self.registry.stamp)
+            replica.barrier(then=("reply", node_id, request_id, 200, {}))
         elif op == "getconf":
-            rep.barrier(then=("reply", uid, request_id, 200 if self.reg.conf else 404, self.reg.conf or {}))
+            replica.barrier(
+                then=("reply", node_id, request_id, 200 if self.registry.conf else 404, self.registry.conf or {})
+            )
         elif op == "evac":
             try:
-                event = self.reg.judge_evacuation(zone=b["site"], on=b["on"], known=b["mods"])
+                event = self.registry.judge_evacuation(zone=b["site"], on=b["on"], known=b["mods"])
             except YarrowError as err:
                 status, doc = refusal(err=err)
-                rep.barrier(then=("reply", uid, request_id, status, doc))
+                replica.barrier(then=("reply", node_id, request_id, status, doc))
                 return
             self.commit0(event=event, news=True)
-            rep.barrier(then=("reply", uid, request_id, 200, {}))
+            replica.barrier(then=("reply", node_id, request_id, 200, {}))
         elif op == "who":
-            chief.who(uid=uid, request_id=request_id, b=b)
+            chief.who(node_id=node_id, request_id=request_id, b=b)
         elif op == "gone":
-            rep.commit(event={"t": "gone", "m": b["m"], "f": b["f"]}, then=("reply", uid, request_id, 200, {}))
+            replica.commit(event={"t": "gone", "m": b["m"], "f": b["f"]}, then=("reply", node_id, request_id, 200, {}))
         elif op == "leave":
-            row = self.reg.minions.get(b["m"])
-            rep.barrier(then=("reply", uid, request_id, 200, {} if row is None else {"o": row["o"]}))
+            row = self.registry.minions.get(b["m"])
+            replica.barrier(then=("reply", node_id, request_id, 200, {} if row is None else {"o": row["o"]}))
 
     # -- beats
 
@@ -250,7 +260,7 @@
     def beat_elsewhere(self, *, minion_id: str, doc: dict[str, Any], call: Any) -> None:
         """Hand a beat to the minion's agent."""
         owner, at = self.owner.get(minion_id, ("", -9.0))
-        if owner and owner != self.uid and self.now - at < OWNER_S:
+        if owner and owner != self.node_id and self.now - at < OWNER_S:
             self.calls.start(
                 group_id=-1,
                 to=owner,
@@ -282,7 +292,7 @@
             _, call, minion_id, beat = done
             if status != 200:
                 self.respond(call=call, res=Response(status=503))
-            elif doc["o"] == self.uid:
+            elif doc["o"] == self.node_id:
                 if minion_id in self.agent.minions:
                     self.agent_beat(minion_id=minion_id, doc=beat, call=call)
                 else:
@@ -315,9 +325,9 @@
         owner = doc.get("o") if status == 200 else ""
         if status == 200 and owner is None:
             self.respond(call=call, res=Response.of(200, {}))
-        elif owner == self.uid and minion_id in self.agent.minions and self.trusted():
+        elif owner == self.node_id and minion_id in self.agent.minions and self.trusted():
             self.agent.leave(minion_id=minion_id, call=call)
-        elif owner and owner != self.uid and until > self.now:
+        elif owner and owner != self.node_id and until > self.now:
             self.calls.start(
                 group_id=-1, to=owner, op="leave", b={"m": minion_id}, done=("http", call), ttl=until - self.now
             )
@@ -328,18 +338,18 @@
         """Answer a call: over HTTP, or to the node that handed the beat over."""
         if isinstance(call, tuple) and call[0] == "far":
             self.reply(
-                uid=call[1], request_id=call[2], status=res.status, doc=self.load(body=res.body) if res.body else {}
+                node_id=call[1], request_id=call[2], status=res.status, doc=self.load(body=res.body) if res.body else {}
             )
         else:
             super().respond(call=call, res=res)
 
-    def _handed(self, *, uid: str, request_id: int, op: str, b: dict[str, Any]) -> None:
+    def _handed(self, *, node_id: str, request_id: int, op: str, b: dict[str, Any]) -> None:
         if b["m"] not in self.agent.minions or not self.trusted():
-            self.reply(uid=uid, request_id=request_id, status=503, doc={})
+            self.reply(node_id=node_id, request_id=request_id, status=503, doc={})
         elif op == "leave":
-            self.agent.leave(minion_id=b["m"], call=("far", uid, request_id))
+            self.agent.leave(minion_id=b["m"], call=("far", node_id, request_id))
         else:
-            self.agent_beat(minion_id=b["m"], doc=b["d"], call=("far", uid, request_id))
+            self.agent_beat(minion_id=b["m"], doc=b["d"], call=("far", node_id, request_id))
 
     def effect(self, *, effect: tuple[Any, ...]) -> None:
         """Carry out an effect that is now durable."""
@@ -348,7 +358,7 @@
     def describe(self) -> dict[str, Any]:
         """A summary for the operator."""
         return {
-            "uid": self.uid,
+            "uid": self.node_id,
             "site": self.startup.site,
             "config": self.stamp(),
             "proof-age-ms": self.proof_age_ms(),
@@ -356,7 +366,7 @@
             "members": self.members,
             "groups": {
                 str(group_id): {"role": r.role.value, "epoch": r.epoch, "serving": r.serving()}
-                for group_id, r in self.reps.items()
+                for group_id, r in self.replicas.items()
             },
             "minions": {
                 m.minion_id: {"phase": m.phase.value, "free": m.free(), "runs": len(m.runs)}
--- a/yarrowloom/node/edge.py
+++ b/yarrowloom/node/edge.py
@@ -42,8 +42,8 @@
     """Invariants: a request is answered 503 or 429 only if nothing of it was sent on; `hand` counts the bytes of the
     bodies of the calls in hand, which are at most `hand_most` calls and about a sixteenth of the memory."""
 
-    def __init__(self, *, startup: Startup, uid: str, incarnation: int, log: Log) -> None:
-        super().__init__(startup=startup, uid=uid, incarnation=incarnation, kind="edge", log=log)
+    def __init__(self, *, startup: Startup, node_id: str, incarnation: int, log: Log) -> None:
+        super().__init__(startup=startup, node_id=node_id, incarnation=incarnation, kind="edge", log=log)
         self.limits = Limits()
         self.closing = False
         self.via: list[str] = []
@@ -209,33 +209,33 @@
 
     # -- frames and time
 
-    def on(self, *, uid: str, kind: Kind, m: Any) -> None:
+    def on(self, *, node_id: str, kind: Kind, m: Any) -> None:
         """One message."""
         if kind is Kind.HEARTOK:
-            self._heartok(uid=uid, m=m)
+            self._heartok(node_id=node_id, m=m)
         elif kind is Kind.HEART:
             self._relay(b=m)
         elif kind is Kind.NEWS:
             self.take_news(doc=m)
         elif kind is Kind.REPLY:
             pend = self.calls.open.get(m["rid"])
-            if pend is not None and uid in pend.nodes and "age" in m:
+            if pend is not None and node_id in pend.nodes and "age" in m:
                 self.confirm(sent=pend.began, m=m)
-            self.calls.reply(uid=uid, m=m)
+            self.calls.reply(node_id=node_id, m=m)
 
-    def _heartok(self, *, uid: str, m: dict[str, Any]) -> None:
+    def _heartok(self, *, node_id: str, m: dict[str, Any]) -> None:
         """A core or a relay answered a heart. A relay that is not in touch is left as soon as another node is."""
         self.contact = self.now
         self.take_news(doc=m.get("news", {}))
-        in_touch = self.told(uid=uid, m=m)
+        in_touch = self.told(node_id=node_id, m=m)
         if m.get("full"):
-            self.shun[uid] = self.now + FULL_S
-            self.via = [u for u in self.via if u != uid]
+            self.shun[node_id] = self.now + FULL_S
+            self.via = [u for u in self.via if u != node_id]
         elif m.get("via") and in_touch:
             via = [u for u in m["via"] if self.shun.get(u, -9.0) < self.now]
             if via:
                 self.via, self.via_at = via, self.now
-        elif uid in self.via and (in_touch or not self.sure()):
+        elif node_id in self.via and (in_touch or not self.sure()):
             self.via_at = self.now
 
     def children(self) -> int:
@@ -246,10 +246,10 @@
         """Feed news to another edge; or turn it away."""
         fed = sum(self.now - at < ALIVE_S for u, at in self.heard.items() if u != b["u"])
         if fed >= self.children():
-            self.send(uid=b["u"], kind=Kind.HEARTOK, body={"t": b["t"], **self.proof(), "full": True})
+            self.send(node_id=b["u"], kind=Kind.HEARTOK, body={"t": b["t"], **self.proof(), "full": True})
             return
         self.hear(b=b)
-        self.send(uid=b["u"], kind=Kind.HEARTOK, body=self.answer(b=b))
+        self.send(node_id=b["u"], kind=Kind.HEARTOK, body=self.answer(b=b))
 
     def targets(self) -> list[str]:
         """Relays named by a core that feeds enough edges, as long as they are in contact; else the ring. The whole
@@ -258,10 +258,10 @@
             return self.via + self.probes(known=self.via)
         return super().targets()
 
-    def gap(self, *, uid: str) -> None:
+    def gap(self, *, node_id: str) -> None:
         """Frames were lost, perhaps answers: ask again at once; news at once if told."""
-        self.calls.lost(uid=uid)
-        self.lost_from(uid=uid)
+        self.calls.lost(node_id=node_id)
+        self.lost_from(node_id=node_id)
 
     def tick(self) -> None:
         """Several times a second."""
--- a/yarrowloom/node/edge_relays.py
+++ b/yarrowloom/node/edge_relays.py
@@ -19,13 +19,13 @@
         self._looked = -LOOK_S
 
     def for_edge(
-        self, *, uid: str, now: float, nodes: Mapping[str, Mapping[str, Any]], alive: Callable[[str], bool]
+        self, *, node_id: str, now: float, nodes: Mapping[str, Mapping[str, Any]], alive: Callable[[str], bool]
     ) -> list[str]:
         """The relays of an edge; none: it is fed by the cores themselves. `nodes` are all nodes heard of."""
         if now - self._looked >= LOOK_S:
             self._looked = now
             edges = sorted(node for node, row in nodes.items() if row["kind"] == "edge" and alive(node))
             self.names = edges[:FANOUT] if len(edges) > FANOUT else []
-        if not self.names or uid in self.names:
+        if not self.names or node_id in self.names:
             return []
-        return ring(uid=uid, among=self.names, n=RELAYS_EACH)
+        return ring(node_id=node_id, among=self.names, n=RELAYS_EACH)
--- a/yarrowloom/node/group_calls.py
+++ b/yarrowloom/node/group_calls.py
@@ -25,9 +25,9 @@
     """What calls need of their node."""
 
     now: float
-    uid: str
+    node_id: str
 
-    def send(self, *, uid: str, kind: Kind, body: dict[str, Any]) -> None:
+    def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
         """To another node."""
 
     def primary(self, *, group_id: int) -> tuple[str, int] | None:
@@ -97,19 +97,19 @@
 
     def _send(self, pend: Pending) -> None:
         prim = self.environment.primary(group_id=pend.group_id)
-        uid = pend.to or (prim[0] if prim is not None else "")
-        pend.again = self.environment.now + (pend.wait if uid else RETRY_S)
+        node_id = pend.to or (prim[0] if prim is not None else "")
+        pend.again = self.environment.now + (pend.wait if node_id else RETRY_S)
         pend.asked = prim
-        if uid:
+        if node_id:
             pend.sent = True
             pend.wait = min(2 * pend.wait, RESEND_MOST_S)
-            pend.nodes[uid] = pend.nodes.get(uid, 0) + 1
+            pend.nodes[node_id] = pend.nodes.get(node_id, 0) + 1
             self.environment.send(
-                uid=uid,
+                node_id=node_id,
                 kind=Kind.CALL,
                 body={
                     "rid": pend.request_id,
-                    "to": uid,
+                    "to": node_id,
                     "g": pend.group_id,
                     "op": pend.op,
                     "b": pend.b,
@@ -121,19 +121,19 @@
         pend.wait = RESEND_S
         self._send(pend)
 
-    def lost(self, *, uid: str) -> None:
+    def lost(self, *, node_id: str) -> None:
         """Frames of a node were lost, perhaps answers."""
         for pend in self.open.values():
-            if uid == (pend.to or (pend.asked[0] if pend.asked else "")):
+            if node_id == (pend.to or (pend.asked[0] if pend.asked else "")):
                 self._anew(pend)
 
-    def reply(self, *, uid: str, m: dict[str, Any]) -> None:
+    def reply(self, *, node_id: str, m: dict[str, Any]) -> None:
         """An answer came from a node; what fits no open call of this life is dropped."""
         pend = self.open.get(m["rid"])
-        if pend is None or m["to"] != self.environment.uid or uid not in pend.nodes:
+        if pend is None or m["to"] != self.environment.node_id or node_id not in pend.nodes:
             return
         if m["s"] == NOT_PRIMARY and not pend.to:
-            pend.nodes[uid] = max(pend.nodes[uid] - 1, 0)
+            pend.nodes[node_id] = max(pend.nodes[node_id] - 1, 0)
             before = self.environment.primary(group_id=pend.group_id)
             self.environment.learn(eps=m["d"])
             if self.environment.primary(group_id=pend.group_id) != before:
@@ -142,7 +142,7 @@
                 pend.again = self.environment.now + RETRY_S
             return
         del self.open[pend.request_id]
-        if m["s"] in REFUSALS and any(copies for node, copies in pend.nodes.items() if node != uid):
+        if m["s"] in REFUSALS and any(copies for node, copies in pend.nodes.items() if node != node_id):
             self.environment.called(done=pend.done, status=0, doc=None, sent=True)  # another node may have taken it
         else:
             self.environment.called(done=pend.done, status=m["s"], doc=m["d"], sent=True)
@@ -179,37 +179,39 @@
         self._refused: dict[tuple[str, int], Refusal] = {}
         self._swept = 0.0
 
-    def take(self, *, uid: str, request_id: int, group_id: int, now: float) -> bool:
+    def take(self, *, node_id: str, request_id: int, group_id: int, now: float) -> bool:
         """Whether a call is new.
 
         >>> hand = InHand()
-        >>> hand.take(uid="a", rid=1, g=1, now=0.0), hand.take(uid="a", rid=1, g=1, now=0.4)
-        (True, False)
-        >>> hand.drop(uid="a", rid=1)
+        >>> hand.take(node_id="a", request_id=1, group_id=1, now=0.0)
+        True
+        >>> hand.take(node_id="a", request_id=1, group_id=1, now=0.4)
+        False
+        >>> hand.drop(node_id="a", request_id=1)
         1
-        >>> hand.take(uid="a", rid=1, g=1, now=0.8), hand.leave(g=1)
+        >>> hand.take(node_id="a", request_id=1, group_id=1, now=0.8), hand.leave(group_id=1)
         (True, [('a', 1)])
         """
-        if (uid, request_id) in self._at:
+        if (node_id, request_id) in self._at:
             return False
-        self._at[uid, request_id] = (group_id, now)
+        self._at[node_id, request_id] = (group_id, now)
         return True
 
-    def holds(self, *, uid: str, request_id: int) -> bool:
+    def holds(self, *, node_id: str, request_id: int) -> bool:
         """Whether a call was taken and is not answered yet."""
-        return (uid, request_id) in self._at
+        return (node_id, request_id) in self._at
 
-    def drop(self, *, uid: str, request_id: int) -> int:
+    def drop(self, *, node_id: str, request_id: int) -> int:
         """It is answered; the group that it was for, -1 if it was for none or is not known."""
-        return self._at.pop((uid, request_id), (-1, 0.0))[0]
+        return self._at.pop((node_id, request_id), (-1, 0.0))[0]
 
-    def refuse(self, *, uid: str, request_id: int, status: int, doc: Any, now: float) -> None:
+    def refuse(self, *, node_id: str, request_id: int, status: int, doc: Any, now: float) -> None:
         """It is refused for good."""
-        self._refused[uid, request_id] = Refusal(status=status, doc=doc, until=now + REFUSED_S)
+        self._refused[node_id, request_id] = Refusal(status=status, doc=doc, until=now + REFUSED_S)
 
-    def refusal(self, *, uid: str, request_id: int) -> Refusal | None:
+    def refusal(self, *, node_id: str, request_id: int) -> Refusal | None:
         """How a call was refused before."""
-        return self._refused.get((uid, request_id))
+        return self._refused.get((node_id, request_id))
 
     def leave(self, *, group_id: int) -> list[tuple[str, int]]:
         """Let go of all of a group."""
--- a/yarrowloom/node/http_routes.py
+++ b/yarrowloom/node/http_routes.py
@@ -12,7 +12,7 @@
 from .node_base import JOB_GROUPS
 
 if TYPE_CHECKING:
-    pass
+    from .core_environment import CoreEnvironment
 
 Handler = Callable[["CoreEnvironment", Any, Request, str], None]
 CALLS: list[tuple[str, re.Pattern[str], Handler]] = []
@@ -147,7 +147,7 @@
         node.respond(call=call, res=Response.of(400, {"error": "not a job id"}))
         return
     group_id = group_of(job_id=job_id, groups=JOB_GROUPS)
-    if group_id in node.placers and node.reps[group_id].serving():
+    if group_id in node.placers and node.replicas[group_id].serving():
         job = node.jobs[group_id].jobs.get(job_id)
         node.respond(
             call=call,
--- a/yarrowloom/node/identity.py
+++ b/yarrowloom/node/identity.py
@@ -12,7 +12,7 @@
 class LastLife:
     """The life that wrote a journal last."""
 
-    uid: str
+    node_id: str
     incarnation: int
 
     @property
@@ -26,7 +26,7 @@
     """What the journal's `id` records say; None: there is no life before.
 
     >>> last_life(records=[b'{"k":"id","uid":"a#0","inc":3}', b'{"k":"none"}', b'{"k":"id","uid":"a#0","inc":4}'])
-    LastLife(uid='a#0', incarnation=4)
+    LastLife(node_id='a#0', incarnation=4)
     >>> last_life(records=[b'{"k":"id","uid":"a#0"}']).next
     1
     >>> last_life(records=[]) is None
@@ -36,6 +36,6 @@
     for raw in records:
         record = orjson.loads(raw)
         if record.get("k") == "id":
-            known = found.incarnation if found is not None and found.uid == record["uid"] else 0
-            found = LastLife(uid=record["uid"], incarnation=max(known, int(record.get("inc", 0))))
+            known = found.incarnation if found is not None and found.node_id == record["uid"] else 0
+            found = LastLife(node_id=record["uid"], incarnation=max(known, int(record.get("inc", 0))))
     return found
--- a/yarrowloom/node/input_scheduler.py
+++ b/yarrowloom/node/input_scheduler.py
@@ -60,26 +60,28 @@
         self._rows: set[tuple[Any, ...]] = set()
         self._room: dict[str, Any] = {}
 
-    def screen(self, *, uid: str, kind: Kind, m: Any) -> Any:
+    def screen(self, *, node_id: str, kind: Kind, m: Any) -> Any:
         """The message with what is new of it; None: nothing.
 
-        >>> rep = Repeats()
+        >>> repeats = Repeats()
         >>> one = {"g": 1, "m": "i", "f": 3, "x": [[1, "t"]]}
-        >>> rep.screen(uid="a", kind=Kind.ENDS, m=one) is one
+        >>> repeats.screen(node_id="a", kind=Kind.ENDS, m=one) is one
         True
-        >>> rep.screen(uid="a", kind=Kind.ENDS, m=one) is None
+        >>> repeats.screen(node_id="a", kind=Kind.ENDS, m=one) is None
         True
-        >>> rep.screen(uid="a", kind=Kind.ENDS, m={**one, "x": [[1, "t"], [2, "u"]]})["x"]
+        >>> repeats.screen(node_id="a", kind=Kind.ENDS, m={**one, "x": [[1, "t"], [2, "u"]]})["x"]
         [[2, 'u']]
-        >>> rep.taken(uid="a", kind=Kind.ENDS, m=one) is one and rep.screen(uid="a", kind=Kind.ENDS, m=one) is one
+        >>> repeats.taken(node_id="a", kind=Kind.ENDS, m=one) is one
+        True
+        >>> repeats.screen(node_id="a", kind=Kind.ENDS, m=one) is one
         True
         """
         if kind is Kind.ROOM and isinstance(m, dict) and "v" in m:
-            known = uid in self._room
-            self._room[uid] = m
+            known = node_id in self._room
+            self._room[node_id] = m
             return None if known else m
         try:
-            keys = self._keys(uid=uid, kind=kind, m=m)
+            keys = self._keys(node_id=node_id, kind=kind, m=m)
             fresh = [k not in self._rows for k in keys]
         except (KeyError, TypeError, IndexError):
             return m  # malformed: whoever handles it says so
@@ -92,24 +94,24 @@
             return None
         return {**m, "x": [row for row, new in zip(m["x"], fresh, strict=True) if new]}
 
-    def taken(self, *, uid: str, kind: Kind, m: Any) -> Any:
+    def taken(self, *, node_id: str, kind: Kind, m: Any) -> Any:
         """A message leaves the queue; what it says by now."""
         if kind is Kind.ROOM and isinstance(m, dict) and "v" in m:
-            return self._room.pop(uid, m)
+            return self._room.pop(node_id, m)
         try:
-            self._rows.difference_update(self._keys(uid=uid, kind=kind, m=m))
+            self._rows.difference_update(self._keys(node_id=node_id, kind=kind, m=m))
         except (KeyError, TypeError, IndexError):
             pass
         return m
 
     @staticmethod
-    def _keys(*, uid: str, kind: Kind, m: Any) -> list[tuple[Any, ...]]:
+    def _keys(*, node_id: str, kind: Kind, m: Any) -> list[tuple[Any, ...]]:
         if kind is Kind.ENDS:
-            return [(uid, kind, m["g"], m["m"], m["f"], row[0]) for row in m["x"]]
+            return [(node_id, kind, m["g"], m["m"], m["f"], row[0]) for row in m["x"]]
         if kind is Kind.CLAIM:
-            return [(uid, kind, m["g"], row[0], row[1]) for row in m["x"]]
+            return [(node_id, kind, m["g"], row[0], row[1]) for row in m["x"]]
         if kind is Kind.LOST:
-            return [(uid, kind, m["g"], m["m"], m["f"])]
+            return [(node_id, kind, m["g"], m["m"], m["f"])]
         return []
 
 
--- a/yarrowloom/node/membership.py
+++ b/yarrowloom/node/membership.py
@@ -20,10 +20,10 @@
     """
     taken: dict[str, int] = {}
     found: list[str] = []
-    for uid in order:
-        if len(found) < size and taken.get(zones[uid], 0) < most:
-            taken[zones[uid]] = taken.get(zones[uid], 0) + 1
-            found.append(uid)
+    for node_id in order:
+        if len(found) < size and taken.get(zones[node_id], 0) < most:
+            taken[zones[node_id]] = taken.get(zones[node_id], 0) + 1
+            found.append(node_id)
     return sorted(found) if len(found) == size else []
 
 
@@ -31,8 +31,8 @@
     """Invariant: what it tells of members follows from heartbeats, the registry's members and the epochs known; it
     changes none of them."""
 
-    def __init__(self, *, startup: Startup, uid: str, incarnation: int, log: Log, now: float, rand: float) -> None:
-        super().__init__(startup=startup, uid=uid, incarnation=incarnation, kind="core", log=log)
+    def __init__(self, *, startup: Startup, node_id: str, incarnation: int, log: Log, now: float, rand: float) -> None:
+        super().__init__(startup=startup, node_id=node_id, incarnation=incarnation, kind="core", log=log)
         self.now = now
         self._rand = rand
         self.roster: dict[str, float] = {}  # when the controller last told that a member is live
@@ -50,7 +50,7 @@
             for holder in (e["p"], *e["b"]):
                 load[holder] = load.get(holder, 0) + 1
         zones = self.peers()
-        rank = {u: (not self.up(uid=u), u not in first, load.get(u, 0), u) for u in zones if u != self.uid}
+        rank = {u: (not self.up(node_id=u), u not in first, load.get(u, 0), u) for u in zones if u != self.node_id}
         taken = {self.startup.site: 1, "": 1}
         order: list[str] = []
         while rank:
@@ -66,17 +66,17 @@
         held = {zones.get(u, "") for u in holders}
         if len(held) != 1 or "" in held:
             return []
-        return [u for u, zone in zones.items() if zone and zone not in held and self.up(uid=u)]
+        return [u for u, zone in zones.items() if zone and zone not in held and self.up(node_id=u)]
 
     def peers(self) -> dict[str, str]:
         """Core nodes and their sites as far as known. After a restart of all there are no members yet, only what
         epochs name and whose hearts are heard; a uid that gave way to another at its address does not count."""
         named = {u for e in self.eps.values() for u in (*e["w"], e["p"], *e["b"]) if u}
-        heard = {u for u, i in self.info.items() if i["kind"] == "core" and self.alive(uid=u)} | {self.uid}
-        new = {addr_of(uid=u): u for u in heard}
+        heard = {u for u, i in self.info.items() if i["kind"] == "core" and self.alive(node_id=u)} | {self.node_id}
+        new = {addr_of(node_id=u): u for u in heard}
         out = {}
         for u in sorted(named | heard | set(self.members)):
-            if new.get(addr_of(uid=u), u) == u:
+            if new.get(addr_of(node_id=u), u) == u:
                 row = self.members.get(u) or self.info.get(u) or {}
                 out[u] = str(row.get("site", ""))
         return out
@@ -85,14 +85,14 @@
         """How many disks may be lost at once."""
         return self.startup.losses
 
-    def up(self, *, uid: str) -> bool:
+    def up(self, *, node_id: str) -> bool:
         """Heard of lately."""
-        return self.alive(uid=uid) or self.now - self.roster.get(uid, -9.0) < ROSTER_S
+        return self.alive(node_id=node_id) or self.now - self.roster.get(node_id, -9.0) < ROSTER_S
 
     def witnesses(self, *, have: list[str]) -> list[str]:
         """Widen to all core nodes, replace the absent by the present; an odd number of them, and never fewer, but for
         a set of which one zone holds the majority while a smaller one, still enough for the budget, would not."""
-        zones = {u: str(row.get("site", "")) for u, row in self.members.items() if self.up(uid=u)}
+        zones = {u: str(row.get("site", "")) for u, row in self.members.items() if self.up(node_id=u)}
         order = [u for u in have if u in zones] + [u for u in sorted(zones) if u not in have]
         size = min(len(order) - 1 + len(order) % 2, WITNESSES)
         least = max(2 * self.losses() + 1, 3)
--- a/yarrowloom/node/node_base.py
+++ b/yarrowloom/node/node_base.py
@@ -31,9 +31,9 @@
     nodes said in their last hearts, `sent` what left for them since. `incarnation` numbers this life: with `uid` it
     tells the life from all others; nothing but its equality means anything outside `wire`."""
 
-    def __init__(self, *, startup: Startup, uid: str, incarnation: int, kind: str, log: Log) -> None:
+    def __init__(self, *, startup: Startup, node_id: str, incarnation: int, kind: str, log: Log) -> None:
         self.startup = startup
-        self.uid = uid
+        self.node_id = node_id
         self.incarnation = incarnation
         self.kind = kind
         self.log = log
@@ -64,9 +64,9 @@
 
     # -- outputs
 
-    def send(self, *, uid: str, kind: Kind, body: dict[str, Any]) -> None:
+    def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
         """To another node, or to itself."""
-        self.out.sends.append((addr_of(uid=uid), kind, dump(body=body)))
+        self.out.sends.append((addr_of(node_id=node_id), kind, dump(body=body)))
 
     def respond(self, *, call: Any, res: Response) -> None:
         """Answer an HTTP call."""
@@ -102,10 +102,10 @@
             "ep": {str(group_id): e["n"] for group_id, e in self.eps.items()},
         }
 
-    def newer(self, *, uid: str) -> dict[str, Any]:
+    def newer(self, *, node_id: str) -> dict[str, Any]:
         """News that a node lacks by its last heart and that are not on their way to it: of the configuration the
         change, or the whole to who asks for it and has nothing that the change could be made to."""
-        have, way = self.have[uid], self.sent.setdefault(uid, Sent())
+        have, way = self.have[node_id], self.sent.setdefault(node_id, Sent())
         out: dict[str, Any] = {}
         if (
             self.table is not None
@@ -147,9 +147,9 @@
             fresh = True
         if "delta" in doc:
             fresh = self._change(delta=doc["delta"]) or fresh
-        reg = doc.get("reg")
-        if reg is not None and reg["mods"] > self.mods:
-            self.mods, self.evac, self.members = reg["mods"], set(reg["evac"]), dict(reg["members"])
+        registry = doc.get("reg")
+        if registry is not None and registry["mods"] > self.mods:
+            self.mods, self.evac, self.members = registry["mods"], set(registry["evac"]), dict(registry["members"])
             fresh = True
         if doc.get("eps"):
             before = {group_id: e["n"] for group_id, e in self.eps.items()}
@@ -177,11 +177,11 @@
 
     def push(self) -> None:
         """Send news to the nodes whose hearts this one watches."""
-        for uid, at in self.heard.items():
+        for node_id, at in self.heard.items():
             if self.now - at < ALIVE_S:
-                doc = self.newer(uid=uid)
+                doc = self.newer(node_id=node_id)
                 if doc:
-                    self.send(uid=uid, kind=Kind.NEWS, body=doc)
+                    self.send(node_id=node_id, kind=Kind.NEWS, body=doc)
 
     def configured(self) -> None:
         """A newer configuration is in force here."""
@@ -226,17 +226,17 @@
             }
         )
 
-    def alive(self, *, uid: str) -> bool:
+    def alive(self, *, node_id: str) -> bool:
         """Heard of lately."""
-        return uid == self.uid or self.now - self.heard.get(uid, -9.0) < ALIVE_S
+        return node_id == self.node_id or self.now - self.heard.get(node_id, -9.0) < ALIVE_S
 
     def targets(self) -> list[str]:
         """Who gets this node's hearts: its watchers on the ring, group 0's primary; seeds and all that epochs name
         while nobody answers or no members are known (the address of a primary may answer that lost its disk); some
         of these in turn while those that answer can't prove contact with a primary."""
-        out = ring(uid=self.uid, among=list(self.members), n=WATCHERS if self.kind == "core" else 2)
+        out = ring(node_id=self.node_id, among=list(self.members), n=WATCHERS if self.kind == "core" else 2)
         prim = self.primary(group_id=0)
-        if self.kind == "core" and prim is not None and prim[0] != self.uid:
+        if self.kind == "core" and prim is not None and prim[0] != self.node_id:
             out.append(prim[0])
         if self.now - self.contact > 1.0 or not self.members:
             out += self._others(known=out)
@@ -246,10 +246,10 @@
 
     def _others(self, *, known: list[str]) -> list[str]:
         """Whoever else may know of the primary: seeds, members, all that epochs name."""
-        addresses = {addr_of(uid=u) for u in known} | {addr_of(uid=self.uid)}
-        out = [s for s in self.seeds() if addr_of(uid=s) not in addresses]
-        out += [u for u in self.members if u != self.uid]
-        return out + [u for e in self.eps.values() for u in (*e["w"], e["p"], *e["b"]) if u and u != self.uid]
+        addresses = {addr_of(node_id=u) for u in known} | {addr_of(node_id=self.node_id)}
+        out = [s for s in self.seeds() if addr_of(node_id=s) not in addresses]
+        out += [u for u in self.members if u != self.node_id]
+        return out + [u for e in self.eps.values() for u in (*e["w"], e["p"], *e["b"]) if u and u != self.node_id]
 
     def probes(self, *, known: list[str]) -> list[str]:
         """A few of the others, in turn, while the proof is old: a change of primary ages all proofs at once, and must
@@ -267,13 +267,13 @@
         fields = {} if self.torn else self.freshness.told(now=self.now)
         return {**fields, "conf": self.mine()["conf"]} if fields else {}
 
-    def proofs(self, *, uid: str) -> dict[str, Any]:
+    def proofs(self, *, node_id: str) -> dict[str, Any]:
         """The same for an answer to a node's call: a few times a second is enough."""
-        if self.now - self.proved.get(uid, -9.0) <= HEART_S:
+        if self.now - self.proved.get(node_id, -9.0) <= HEART_S:
             return {}
         if len(self.proved) > 4096:
             self.proved.clear()
-        self.proved[uid] = self.now
+        self.proved[node_id] = self.now
         return self.proof()
 
     def confirm(self, *, sent: float, m: dict[str, Any]) -> bool:
@@ -292,7 +292,7 @@
     def heart(self) -> dict[str, Any]:
         """A heart's body."""
         return {
-            "u": self.uid,
+            "u": self.node_id,
             "site": self.startup.site,
             "kind": self.kind,
             "name": self.startup.name,
@@ -311,39 +311,39 @@
         self.hearted = self.now
         body = self.heart()
         to = self.targets()
-        known = [u for u in to if self.now - self.spoke.get(addr_of(uid=u), -9.0) < ASK_S] or to
+        known = [u for u in to if self.now - self.spoke.get(addr_of(node_id=u), -9.0) < ASK_S] or to
         late = self.behind >= 0 and self.now - self.behind > ASK_S
         if known and (self.asked not in known or late):
             self.asked = known[(known.index(self.asked) + 1) % len(known) if self.asked in known else 0]
             self.behind = self.now if late else self.behind
-        for uid in to:
-            more = {"whole": uid == self.asked, "lost": addr_of(uid=uid) in self.missed}
-            self.send(uid=uid, kind=Kind.HEART, body={**body, "have": {**body["have"], **more}})
+        for node_id in to:
+            more = {"whole": node_id == self.asked, "lost": addr_of(node_id=node_id) in self.missed}
+            self.send(node_id=node_id, kind=Kind.HEART, body={**body, "have": {**body["have"], **more}})
         self.missed.clear()
 
-    def told(self, *, uid: str, m: dict[str, Any]) -> bool:
+    def told(self, *, node_id: str, m: dict[str, Any]) -> bool:
         """A watcher answered a heart and tells of its versions; its news came before on the same way, or got lost:
         the next heart says so, and soon. Whether it is in touch: only such a one is asked for a whole
         configuration."""
         in_touch = self.confirm(sent=m["t"], m=m)
         if in_touch:
-            self.spoke[addr_of(uid=uid)] = self.now
+            self.spoke[addr_of(node_id=node_id)] = self.now
         mine = self.mine()
         late = m.get("conf", 0) > mine["conf"]
         if late and self.behind < 0:
             self.behind = self.now
         if late or m.get("mods", -1) > mine["mods"]:
-            self.missed.add(addr_of(uid=uid))
+            self.missed.add(addr_of(node_id=node_id))
         return in_touch
 
-    def lost_from(self, *, uid: str) -> None:
+    def lost_from(self, *, node_id: str) -> None:
         """Frames of another node got lost, perhaps news: the next heart tells it."""
-        self.missed.add(addr_of(uid=uid))
+        self.missed.add(addr_of(node_id=node_id))
 
     def answer(self, *, b: dict[str, Any]) -> dict[str, Any]:
         """What a heart is answered at least: its time, the versions held here, how new they are, news."""
         mine = self.mine()
-        news = self.newer(uid=b["u"])
+        news = self.newer(node_id=b["u"])
         return {
             "t": b["t"],
             "conf": mine["conf"],
@@ -354,18 +354,18 @@
 
     def hear(self, *, b: dict[str, Any]) -> None:
         """Another node's heart."""
-        uid, have = b["u"], b["have"]
-        was = self.have.get(uid)
+        node_id, have = b["u"], b["have"]
+        was = self.have.get(node_id)
         if was is not None and (
             have.get("lost")
             or have["conf"] < was["conf"]
             or have["mods"] < was["mods"]
-            or self.info[uid]["incarnation"] != b["incarnation"]
+            or self.info[node_id]["incarnation"] != b["incarnation"]
         ):
-            self.sent.pop(uid, None)  # what was on its way is lost, or was refused
-        self.heard[uid] = self.now
-        self.info[uid] = {k: b[k] for k in ("site", "kind", "name", "ctl", "incarnation")}
-        self.have[uid] = have
+            self.sent.pop(node_id, None)  # what was on its way is lost, or was refused
+        self.heard[node_id] = self.now
+        self.info[node_id] = {k: b[k] for k in ("site", "kind", "name", "ctl", "incarnation")}
+        self.have[node_id] = have
         if len(self.heard) > 4096:
             for old in [u for u, at in self.heard.items() if self.now - at > 60]:
                 for table in (self.heard, self.info, self.have, self.sent):
--- a/yarrowloom/node/outputs.py
+++ b/yarrowloom/node/outputs.py
@@ -30,20 +30,20 @@
 
 
 @lru_cache(maxsize=4096)
-def _place(uid: str) -> str:
+def _place(node_id: str) -> str:
     """A node's place on the ring."""
-    return hashlib.sha256(uid.encode()).hexdigest()
+    return hashlib.sha256(node_id.encode()).hexdigest()
 
 
-def ring(*, uid: str, among: list[str], n: int) -> list[str]:
+def ring(*, node_id: str, among: list[str], n: int) -> list[str]:
     """The `n` successors of a node's place on the ring of `among`.
 
-    >>> len(ring(uid="a", among=["a", "b", "c"], n=2))
+    >>> len(ring(node_id="a", among=["a", "b", "c"], n=2))
     2
-    >>> "a" in ring(uid="a", among=["a", "b", "c"], n=5)
+    >>> "a" in ring(node_id="a", among=["a", "b", "c"], n=5)
     False
     """
-    rows = sorted((_place(x), x) for x in set(among) - {uid})
-    here = _place(uid)
+    rows = sorted((_place(x), x) for x in set(among) - {node_id})
+    here = _place(node_id)
     after = [x for p, x in rows if p > here] + [x for p, x in rows if p <= here]
     return after[:n]
--- a/yarrowloom/node/recovery.py
+++ b/yarrowloom/node/recovery.py
@@ -56,10 +56,10 @@
     """A core node with what its journal tells. `blank`: nothing was ever confirmed from this disk, else a node without
     records does not start as one of the first. `token` is random: it makes a new identity unlike all before it."""
 
-    def build(*, uid: str, first: bool, incarnation: int = FIRST) -> CoreNode:
+    def build(*, node_id: str, first: bool, incarnation: int = FIRST) -> CoreNode:
         return CoreNode(
             startup=startup,
-            uid=uid,
+            node_id=node_id,
             incarnation=incarnation,
             log=log,
             first=first,
@@ -74,14 +74,14 @@
         begin = last_snapshot(records=records)
         if begin >= 0:
             life = last_life(records=[raw for raw in records if raw.startswith(_IDENTITY)])
-            if life is None or "#" not in life.uid:
+            if life is None or "#" not in life.node_id:
                 raise ReplayError(text="not the identity of a node", number=0)
-            node = build(uid=life.uid, first=False, incarnation=life.next)
+            node = build(node_id=life.node_id, first=False, incarnation=life.next)
             node.restore(recs=counted(records=records, begin=begin))
             return node
     except (ReplayError, ValueError, KeyError, TypeError) as err:
         number = begin + err.number if isinstance(err, ReplayError) else begin
         log.warn("journal-unusable", cause=str(err), record=number, records=len(records))
-        return build(uid=f"{address}#{token}", first=False)
+        return build(node_id=f"{address}#{token}", first=False)
     first = blank and startup.bootstrap
-    return build(uid=f"{address}#0" if first else f"{address}#{token}", first=first)
+    return build(node_id=f"{address}#0" if first else f"{address}#{token}", first=first)
--- a/yarrowloom/node/runtime.py
+++ b/yarrowloom/node/runtime.py
@@ -49,7 +49,11 @@
         self.log = log
         self.ring = ring
         self.peers = Peers(
-            addr=f"{node.startup.ip}:{port}", uid=node.uid, incarnation=node.incarnation, sink=self._frames, log=log
+            addr=f"{node.startup.ip}:{port}",
+            node_id=node.node_id,
+            incarnation=node.incarnation,
+            sink=self._frames,
+            log=log,
         )
         if isinstance(node, CoreNode):
             self.turns = Turns(tick=self._tick, gap=TICK_CORE_S, chores=node.chores())
@@ -115,37 +119,37 @@
         if len(turns):
             self.wake.set()
 
-    def _frames(self, uid: str, lane: Lane, rows: Rows, lost: bool) -> None:
+    def _frames(self, node_id: str, lane: Lane, rows: Rows, lost: bool) -> None:
         node = self.node
         if lost and lane is Lane.URGENT:
-            self.post(fn=partial(node.lost_from, uid=uid), rank=Rank.URGENT)
+            self.post(fn=partial(node.lost_from, node_id=node_id), rank=Rank.URGENT)
         elif lost and lane is Lane.WORK and isinstance(node, CoreNode):  # in each class before what came after
-            self.post(fn=partial(node.gap_agent, uid=uid), rank=Rank.AGENT)
-            self.post(fn=partial(node.gap_place, uid=uid), rank=Rank.PLACE)
+            self.post(fn=partial(node.gap_agent, node_id=node_id), rank=Rank.AGENT)
+            self.post(fn=partial(node.gap_place, node_id=node_id), rank=Rank.PLACE)
         elif lost and lane is Lane.WORK:
-            self.post(fn=partial(node.gap, uid=uid), rank=Rank.AGENT)
+            self.post(fn=partial(node.gap, node_id=node_id), rank=Rank.AGENT)
         for kind, doc in rows:
             self.tally.gets(kind=kind)
-            m = self.repeats.screen(uid=uid, kind=kind, m=doc)
+            m = self.repeats.screen(node_id=node_id, kind=kind, m=doc)
             if m is None:
                 continue
             rank = rank_of(kind=kind, m=m)
             until, expired = math.inf, None
             if rank is Rank.LATE and isinstance(node, CoreNode):
                 until = time.monotonic() + patience_s(ttl=m.get("ttl"), default=WAIT_S)
-                expired = partial(self._guard, uid, kind, partial(node.too_late, uid=uid, m=m))
-            self.post(fn=partial(self._on, uid, kind, m), rank=rank, until=until, expired=expired)
+                expired = partial(self._guard, node_id, kind, partial(node.too_late, node_id=node_id, m=m))
+            self.post(fn=partial(self._on, node_id, kind, m), rank=rank, until=until, expired=expired)
 
-    def _on(self, uid: str, kind: Kind, m: Any) -> None:
-        m = self.repeats.taken(uid=uid, kind=kind, m=m)
-        self._guard(uid, kind, partial(self.node.on, uid=uid, kind=kind, m=m))
+    def _on(self, node_id: str, kind: Kind, m: Any) -> None:
+        m = self.repeats.taken(node_id=node_id, kind=kind, m=m)
+        self._guard(node_id, kind, partial(self.node.on, node_id=node_id, kind=kind, m=m))
 
-    def _guard(self, uid: str, kind: Kind, fn: Input) -> None:
+    def _guard(self, node_id: str, kind: Kind, fn: Input) -> None:
         """Handle a message that may be malformed."""
         try:
             fn()
         except (KeyError, IndexError, AttributeError, TypeError, ValueError) as err:
-            self.log.warn("frame-malformed", kind=kind.name, peer=uid, why=repr(err))
+            self.log.warn("frame-malformed", kind=kind.name, peer=node_id, why=repr(err))
 
     def _tick(self) -> None:
         now = self.node.now
@@ -326,7 +330,7 @@
             nursery.start_soon(self.work)
             nursery.start_soon(self.watch_settings)
             nursery.start_soon(self.stop_on_term, nursery.cancel_scope)
-            self.log.info("started", role=node.kind, uid=node.uid)
+            self.log.info("started", role=node.kind, node_id=node.node_id)
             task_status.started()
 
 
@@ -359,8 +363,8 @@
 def open_edge(*, startup: Startup, log: Log) -> Shell:
     """An edge process."""
     port = startup.ports[0] + 1
-    uid = f"{startup.ip}:{port}#{secrets.token_hex(4)}"
-    node = EdgeNode(startup=startup, uid=uid, incarnation=FIRST, log=log)  # the uid is of this life alone
+    node_id = f"{startup.ip}:{port}#{secrets.token_hex(4)}"
+    node = EdgeNode(startup=startup, node_id=node_id, incarnation=FIRST, log=log)  # the uid is of this life alone
     return Shell(node=node, log=log, ring=None, port=port)
 
 
--- a/yarrowloom/prediction/backfill.py
+++ b/yarrowloom/prediction/backfill.py
@@ -140,7 +140,7 @@
     reservation there it must end by its time less the slack, or leave the room of all reservations there untouched.
 
     >>> one = Form(1000, 0, 0, "")
-    >>> m = Minion(mid="m", rack="r", labels=frozenset(), free=(1000, 0, 0), runs=[Run("t", 500.0, one)])
+    >>> m = Minion(minion_id="m", rack="r", labels=frozenset(), free=(1000, 0, 0), runs=[Run("t", 500.0, one)])
     >>> r = reserve(now=0.0, minions=[m], form=Form(2000, 0, 0, ""), n=1)
     >>> [may_fill(now=0.0, minion=m, form=one, upper_ms=ms, held=[r]) for ms in (500, 501)]
     [True, False]
--- a/yarrowloom/prediction/history.py
+++ b/yarrowloom/prediction/history.py
@@ -23,20 +23,20 @@
 class Kind:
     """What is known of one kind. All but `calls` is fixed by the kind's key, or is the newest seen."""
 
-    __slots__ = ("calls", "gang", "queue", "req", "svc", "tight")
+    __slots__ = ("calls", "gang", "queue", "req", "service", "tight")
 
-    def __init__(self, *, queue: str, svc: str, req: str, gang: bool, tight: bool, calls: Calls) -> None:
-        self.queue, self.svc, self.req, self.gang, self.tight, self.calls = queue, svc, req, gang, tight, calls
+    def __init__(self, *, queue: str, service: str, req: str, gang: bool, tight: bool, calls: Calls) -> None:
+        self.queue, self.service, self.req, self.gang, self.tight, self.calls = queue, service, req, gang, tight, calls
 
     def dump(self) -> Any:
         """As plain data."""
-        return [self.queue, self.svc, self.req, self.gang, self.tight, self.calls.dump()]
+        return [self.queue, self.service, self.req, self.gang, self.tight, self.calls.dump()]
 
     @classmethod
     def load(cls, doc: Any) -> "Kind":
         """Undo `dump`."""
-        queue, svc, req, gang, tight, calls = doc
-        return cls(queue=queue, svc=svc, req=req, gang=gang, tight=tight, calls=Calls.load(calls))
+        queue, service, req, gang, tight, calls = doc
+        return cls(queue=queue, service=service, req=req, gang=gang, tight=tight, calls=Calls.load(calls))
 
 
 class History:
@@ -52,7 +52,7 @@
     ...         "tight": False, "req": "", "near": "", "apart": 0, "dup": False, "last": False}
     >>> h = History()
     >>> for i in range(12):
-    ...     h.note_job(at=60_000 * i, jid=f"{i:016x}", q="rebuild", svc="s", steps=[step])
+    ...     h.note_job(at=60_000 * i, job_id=f"{i:016x}", q="rebuild", service="s", steps=[step])
     >>> [(p.why.value, p.likely) for p in h.predict(now_ms=715_000, horizon_ms=10_000)]
     [('period', 720000)]
     >>> round(h.times(q="rebuild", step=step).p50)
@@ -88,7 +88,7 @@
         at: int,
         job_id: str,
         q: str,
-        svc: str,
+        service: str,
         steps: "Sequence[Step]",
         first: int = 0,
         period: int = 0,
@@ -106,7 +106,7 @@
             self.timers[job_id] = [
                 key,
                 q,
-                svc,
+                service,
                 list(form),
                 first_step["gang"],
                 first_step["tight"],
@@ -119,20 +119,22 @@
             return
         t, quiet = self._inner(at)
         for name in (key, queue_key(q=q)):
-            self._call(key=name, t=t, quiet=quiet, q=q, svc=svc, step=first_step, form=form)
+            self._call(key=name, t=t, quiet=quiet, q=q, service=service, step=first_step, form=form)
 
-    def _call(self, *, key: str, t: int, quiet: int, q: str, svc: str, step: "Step", form: Form) -> None:
+    def _call(self, *, key: str, t: int, quiet: int, q: str, service: str, step: "Step", form: Form) -> None:
         kind = self.kinds.pop(key, None)
         if kind is not None:
             self.kinds[key] = kind
         else:
             kind = self.fresh.pop(key, None)
             if kind is None:
-                kind = Kind(queue=q, svc=svc, req=form.req, gang=step["gang"], tight=step["tight"], calls=Calls())
+                kind = Kind(
+                    queue=q, service=service, req=form.req, gang=step["gang"], tight=step["tight"], calls=Calls()
+                )
                 if len(self.fresh) >= FRESH:
                     del self.fresh[next(iter(self.fresh))]
             self.fresh[key] = kind
-        kind.svc, kind.req, kind.gang, kind.tight = svc, form.req, step["gang"], step["tight"]
+        kind.service, kind.req, kind.gang, kind.tight = service, form.req, step["gang"], step["tight"]
         began = kind.calls.put(t=t, form=form, n=step["n"], near=step["near"], quiet=quiet)
         if key in self.fresh:
             if kind.calls.n < PROVEN:
@@ -209,7 +211,7 @@
                 likely=int(max(likely, now)) - off,
                 late=int(max(late, now)) - off,
                 queue=kind.queue,
-                svc=kind.svc,
+                service=kind.service,
                 form=form,
                 gang=kind.gang,
                 tight=kind.tight,
@@ -282,7 +284,7 @@
     def _timed(self, *, now_ms: int, horizon_ms: int) -> list[Prediction]:
         """Known times, which are wall times and need no learning."""
         out = []
-        for key, q, svc, form, gang, tight, n, near, first, period, times in self.timers.values():
+        for key, q, service, form, gang, tight, n, near, first, period, times in self.timers.values():
             self.looked += 1
             k = max(0, -((first - now_ms) // period)) if period else 0
             due = first + k * period
@@ -297,7 +299,7 @@
                     likely=due,
                     late=due,
                     queue=q,
-                    svc=svc,
+                    service=service,
                     form=Form(*form),
                     gang=gang,
                     tight=tight,
--- a/yarrowloom/prediction/job_kind.py
+++ b/yarrowloom/prediction/job_kind.py
@@ -53,7 +53,7 @@
     likely: int
     late: int
     queue: str
-    svc: str
+    service: str
     form: Form
     gang: bool
     tight: bool
--- a/yarrowloom/prediction/slow_minions.py
+++ b/yarrowloom/prediction/slow_minions.py
@@ -42,7 +42,7 @@
     def log(self, *, minion_id: str) -> int:
         """How much longer runs take there, as a log; 0 for all that is not clearly slow.
 
-        >>> Slow().log(mid="m")
+        >>> Slow().log(minion_id="m")
         0
         """
         row = self.rows.get(minion_id)
--- a/yarrowloom/prediction/warm_plan.py
+++ b/yarrowloom/prediction/warm_plan.py
@@ -33,7 +33,7 @@
 
     kind: str
     queue: str
-    svc: str
+    service: str
     form: Form
     n: int
     gang: bool
@@ -96,7 +96,7 @@
             n = p.n * max(1, int(p.jobs * p.confidence))
             cost = max(p.form.cores, 0.001) * p.n * (until - steady) / 1000
             worth = p.confidence * weights.get(p.queue, 1.0) / cost if cost > 0 else 0.0
-            new.append(Room(p.kind, p.queue, p.svc, p.form, n, p.gang, p.tight, p.near, steady, until, worth))
+            new.append(Room(p.kind, p.queue, p.service, p.form, n, p.gang, p.tight, p.near, steady, until, worth))
             if p.gang:
                 new[-1] = new[-1]._replace(n=p.n)
         for room in sorted(new, key=lambda r: (-r.worth, r.kind)):
@@ -106,7 +106,7 @@
 
     def _admit(self, *, room: Room, steady: float, spare: bool) -> None:
         """Take a room in as far as the bounds let it; a gang whole or not at all. `spare`: leave half the purse."""
-        left = self.bounds.tasks - sum(r.n for r in self.rooms.values() if r.svc == room.svc)
+        left = self.bounds.tasks - sum(r.n for r in self.rooms.values() if r.service == room.service)
         purse = self.purse - sum(r.cores * max(0.0, r.until - steady) / 1000 for r in self.rooms.values())
         purse -= self.bounds.core_s / 4 if spare else 0.0
         each = room.form.cores * (room.until - steady) / 1000
@@ -196,7 +196,7 @@
             "core-s-bound": self.bounds.core_s,
             "warm-ms": self.warm_ms.report(),
             "cold-ms": self.cold_ms.report(),
-            "rooms": [[r.kind, r.svc, r.n, r.near, round(r.until - at)] for r in self.rooms.values()],
+            "rooms": [[r.kind, r.service, r.n, r.near, round(r.until - at)] for r in self.rooms.values()],
             "off": sorted(k for k, (_, until) in self.back.items() if until > at),
             "kinds": {k: {"hits": h, "misses": m} for k, (h, m) in list(self.by.items())[-16:]},
         }
--- a/yarrowloom/replication/__init__.py
+++ b/yarrowloom/replication/__init__.py
@@ -1,7 +1,7 @@
 """Replicated records: a primary, a backup, and witnesses that keep only the epoch."""
 
 from .environment import Reducer, ReplicaEnvironment, Role
-from .epoch import Epoch, Witness
+from .epoch import Acceptor, Epoch
 from .replica import Replica
 
-__all__ = ["Epoch", "ReplicaEnvironment", "Reducer", "Replica", "Role", "Witness"]
+__all__ = ["Epoch", "ReplicaEnvironment", "Reducer", "Replica", "Role", "Acceptor"]
--- a/yarrowloom/replication/election.py
+++ b/yarrowloom/replication/election.py
@@ -43,19 +43,19 @@
 INSTALL_S = 1.0
 
 
-class Campaign:
+class Election:
     """Invariant: what is proposed names as backup only a member that has synced the checkpoint with this tag, and
     a value that any witness may already have voted for is finished rather than replaced. Nothing is committed during
     a campaign, so the state is encoded once, and one tag stands for it with all members that are tried."""
 
-    def __init__(self, *, rep: "Replica", why: str, avoid: set[str], first: list[str]) -> None:
-        self.rep = rep
+    def __init__(self, *, replica: "Replica", why: str, avoid: set[str], first: list[str]) -> None:
+        self.replica = replica
         self.why = why
         self.avoid = avoid
         self.first = first
         self.tried: set[str] = set()
         self.phase = Phase.PICK
-        self.since = self.begun = rep.environment.now
+        self.since = self.begun = replica.environment.now
         self.round = 0
         self.tag = ""
         self.inst = -1
@@ -72,7 +72,7 @@
         self.resumed = False  # the copy was proposed before a restart
         self.ok: set[str] = set()
         self.best: tuple[Ballot, Epoch] | None = None
-        self.ballot: Ballot = [0, rep.environment.uid, rep.environment.incarnation]
+        self.ballot: Ballot = [0, replica.environment.node_id, replica.environment.incarnation]
         self.value: Epoch | None = None
         self.sent = 0.0
         self.installed: dict[str, float] = {}  # by member: when the oldest INSTALL that it may have answered left
@@ -81,12 +81,12 @@
     def _go(self, phase: Phase) -> None:
         assert phase in MOVES[self.phase], (self.phase, phase)
         self.phase = phase
-        self.since = self.rep.environment.now
+        self.since = self.replica.environment.now
         self.ok = set()
 
     def tick(self) -> None:
         """Time goes on."""
-        environment, age = self.rep.environment, self.rep.environment.now - self.since
+        environment, age = self.replica.environment, self.replica.environment.now - self.since
         if self.phase is Phase.PICK:
             self._pick()
         elif self.phase is Phase.COPY and age <= self.patience:
@@ -98,7 +98,7 @@
             self._prepare()
         elif self.phase is Phase.INSTALL:
             if age > INSTALL_S:
-                e = self.rep.wit.seen
+                e = self.replica.acceptor.seen
                 self.avoid = {u for u in e["b"] if u not in self.ok} if e else set()
                 self.have = []
                 self._go(Phase.PICK)
@@ -108,35 +108,37 @@
     def _keep_calm(self) -> None:
         """The epoch's primary tells its backups that it is at work: a campaign of theirs would only send more copies
         over the same links. Not for ever: one of them may be able to do what this member is not."""
-        environment, e = self.rep.environment, self.rep.wit.seen
+        environment, e = self.replica.environment, self.replica.acceptor.seen
         if (
             e is None
-            or e["p"] != environment.uid
+            or e["p"] != environment.node_id
             or environment.now - self.begun > CALM_S
             or environment.now - self.calmed < PING_S
         ):
             return
         self.calmed = environment.now
-        for uid in e["b"]:
-            if uid not in self.avoid:
+        for node_id in e["b"]:
+            if node_id not in self.avoid:
                 environment.send(
-                    uid=uid, kind=Kind.PING, body={"g": self.rep.group_id, "n": e["n"], "t": environment.now}
+                    node_id=node_id,
+                    kind=Kind.PING,
+                    body={"g": self.replica.group_id, "n": e["n"], "t": environment.now},
                 )
 
     def _pick(self) -> None:
-        rep, environment = self.rep, self.rep.environment
-        e = rep.wit.seen
+        replica, environment = self.replica, self.replica.environment
+        e = replica.acceptor.seen
         assert e is not None
-        if environment.now < rep.rest:
+        if environment.now < replica.rest:
             return
         fresh = self.inst != e["n"] + 1
         if fresh:
             self.have = []
         rows = [u for u in environment.partners(first=self.first) if u not in self.avoid]
         copies = [u for u in rows if u in self.have]
-        pending = [u for u in rows if u in self.tried and u not in self.have and environment.up(uid=u)]
+        pending = [u for u in rows if u in self.tried and u not in self.have and environment.up(node_id=u)]
         untried = [u for u in rows if u not in self.tried and u not in self.have]
-        live = [u for u in untried if environment.up(uid=u)]
+        live = [u for u in untried if environment.up(node_id=u)]
         most = environment.losses()
         if len(copies) + len(pending) + len(live) < min(most, len(rows)) and environment.now - self.begun < GATHER_S:
             return  # others may be coming up too
@@ -144,25 +146,25 @@
         if not ask and not copies and not pending:
             ask = untried[:1]
         self.goal = min(most, len(copies) + len(pending) + len(ask))
-        if copies and environment.now - self.copying > min(COPY_ENOUGH_S * 2**rep.renewal.short, ENOUGH_MOST_S):
+        if copies and environment.now - self.copying > min(COPY_ENOUGH_S * 2**replica.renewal.short, ENOUGH_MOST_S):
             self.fewer = len(copies) < self.goal  # makes do with these: another epoch follows later
             self.goal = len(copies)
-        solo = not rows and environment.everyone() in ([environment.uid], []) and len(e["w"]) <= 1
+        solo = not rows and environment.everyone() in ([environment.node_id], []) and len(e["w"]) <= 1
         over = not ask and not copies and environment.now - self.copying > COPY_AGAIN_S
         if (self.goal == 0 or over) and not solo:
             self.tried, self.avoid = set(), set()
-            rep.rest = environment.now + 0.2 * (1 + environment.jitter())
+            replica.rest = environment.now + 0.2 * (1 + environment.jitter())
             return
         self._copy(ask=ask, fresh=fresh, number=e["n"] + 1)
 
     def _copy(self, *, ask: list[str], fresh: bool, number: int) -> None:
         """Send the checkpoint to the members in `ask` and wait until as many as are wanted have synced it."""
-        rep, environment = self.rep, self.rep.environment
+        replica, environment = self.replica, self.replica.environment
         self.asked = ask
         if self.copies and ask:
             environment.note(
                 event="campaign-goes-on",
-                group=rep.group_id,
+                group=replica.group_id,
                 round=self.copies,
                 asked=",".join(ask),
                 have=",".join(self.have),
@@ -176,81 +178,92 @@
         self._go(Phase.COPY)
         if fresh:
             self._propose(inst=number)
-        rec = rep.spares[self.tag]
-        for uid in ask:
-            environment.send(uid=uid, kind=Kind.CKPT, body={k: rec[k] for k in ("g", "inst", "tag", "applied", "st")})
+        rec = replica.spares[self.tag]
+        for node_id in ask:
+            environment.send(
+                node_id=node_id, kind=Kind.CKPT, body={k: rec[k] for k in ("g", "inst", "tag", "applied", "st")}
+            )
         self._copied()
 
     def _propose(self, *, inst: int) -> None:
         """Write the copy that the next epoch is to begin with, or go on with the one from before a restart."""
-        rep, environment = self.rep, self.rep.environment
+        replica, environment = self.replica, self.replica.environment
         self.inst, self.near = inst, False
-        rec = rep.proposed(n=inst)
+        rec = replica.proposed(n=inst)
         if rec is not None:
             self.resumed = True
-            environment.write(rec={"k": "none", "g": rep.group_id}, done=("copied", rep.group_id, rec["tag"]))
+            environment.write(rec={"k": "none", "g": replica.group_id}, done=("copied", replica.group_id, rec["tag"]))
         else:
-            self.text = self.text or encode(state=rep.state)
-            tag = f"{environment.uid}/{environment.now:.4f}/{int(environment.jitter() * 1e9)}"
-            rec = {"k": "ck", "g": rep.group_id, "inst": inst, "tag": tag, "applied": rep.applied, "st": self.text}
-            environment.write(rec=rec, done=("copied", rep.group_id, tag))
-            rep.keep(rec=rec)
+            self.text = self.text or encode(state=replica.state)
+            tag = f"{environment.node_id}/{environment.now:.4f}/{int(environment.jitter() * 1e9)}"
+            rec = {
+                "k": "ck",
+                "g": replica.group_id,
+                "inst": inst,
+                "tag": tag,
+                "applied": replica.applied,
+                "st": self.text,
+            }
+            environment.write(rec=rec, done=("copied", replica.group_id, tag))
+            replica.keep(rec=rec)
         self.tag = rec["tag"]
 
-    def copied(self, *, tag: str, uid: str) -> None:
+    def copied(self, *, tag: str, node_id: str) -> None:
         """A checkpoint is synced, here (`uid` empty) or at a member; one that was given up on may only be slow."""
         if tag != self.tag:
             return
-        if not uid:
+        if not node_id:
             self.near = True
-        elif uid not in self.have:
-            self.have.append(uid)
+        elif node_id not in self.have:
+            self.have.append(node_id)
         self._copied()
 
     def _copied(self) -> None:
         copies = [u for u in self.have if u not in self.avoid]
         if self.phase is Phase.COPY and self.near and len(copies) >= self.goal:
-            e = self.rep.wit.seen
+            e = self.replica.acceptor.seen
             assert e is not None
             self.value = {
                 "n": e["n"] + 1,
-                "p": self.rep.environment.uid,
+                "p": self.replica.environment.node_id,
                 "b": copies[: self.goal],
                 "t": self.tag,
-                "w": self.rep.environment.witnesses(have=e["w"]),
+                "w": self.replica.environment.witnesses(have=e["w"]),
             }
             self._prepare()
 
     def _prepare(self) -> None:
-        e = self.rep.wit.seen
+        e = self.replica.acceptor.seen
         assert e is not None
         self._go(Phase.PREPARE)
-        self.patience = min(VOTE_S * (1 + self.votes / 2), VOTE_MOST_S) * (1 + self.rep.environment.jitter())
+        self.patience = min(VOTE_S * (1 + self.votes / 2), VOTE_MOST_S) * (1 + self.replica.environment.jitter())
         self.votes += 1
         if self.votes > 2:
-            self.rep.environment.note(
-                event="campaign-votes-again", group=self.rep.group_id, round=self.votes, witnesses=",".join(e["w"])
+            self.replica.environment.note(
+                event="campaign-votes-again", group=self.replica.group_id, round=self.votes, witnesses=",".join(e["w"])
             )
         self.round += 1
         self.best = None
-        self.ballot = [self.round, self.rep.environment.uid, self.rep.environment.incarnation]
-        for uid in e["w"]:
-            self.rep.environment.send(
-                uid=uid, kind=Kind.PREP, body={"g": self.rep.group_id, "n": e["n"] + 1, "bal": self.ballot, "cert": e}
+        self.ballot = [self.round, self.replica.environment.node_id, self.replica.environment.incarnation]
+        for node_id in e["w"]:
+            self.replica.environment.send(
+                node_id=node_id,
+                kind=Kind.PREP,
+                body={"g": self.replica.group_id, "n": e["n"] + 1, "bal": self.ballot, "cert": e},
             )
 
-    def on(self, *, uid: str, kind: Kind, m: dict[str, Any]) -> None:
+    def on(self, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
         """One answer."""
         if kind is Kind.CKPTOK:
-            self.copied(tag=m["tag"], uid=uid)
+            self.copied(tag=m["tag"], node_id=node_id)
             return
         if kind is Kind.INSTALLED:
-            self._installed(uid=uid, n=m["n"], sent=m.get("t"))
+            self._installed(node_id=node_id, n=m["n"], sent=m.get("t"))
             return
         if m.get("cur"):
-            self.rep.learn(m["cur"])
+            self.replica.learn(m["cur"])
             return
-        e = self.rep.wit.seen
+        e = self.replica.acceptor.seen
         if e is None or m["n"] != e["n"] + 1 or m["bal"] != self.ballot:
             return
         if not m["ok"]:
@@ -259,27 +272,29 @@
         if kind is Kind.PROMISE and self.phase is Phase.PREPARE:
             if m["ab"] is not None and (self.best is None or m["ab"] > self.best[0]):
                 self.best = (m["ab"], m["av"])
-            self.ok.add(uid)
+            self.ok.add(node_id)
             if majority(votes=self.ok, among=e["w"]):
                 val = self.best[1] if self.best else self.value
                 assert val is not None
                 self._go(Phase.ACCEPT)
                 self.best = (self.ballot, val)
-                for wit in e["w"]:
-                    self.rep.environment.send(
-                        uid=wit,
+                for acceptor in e["w"]:
+                    self.replica.environment.send(
+                        node_id=acceptor,
                         kind=Kind.ACCEPT,
-                        body={"g": self.rep.group_id, "n": e["n"] + 1, "bal": self.ballot, "val": val, "cert": e},
+                        body={"g": self.replica.group_id, "n": e["n"] + 1, "bal": self.ballot, "val": val, "cert": e},
                     )
         elif kind is Kind.ACCEPTED and self.phase is Phase.ACCEPT:
-            self.ok.add(uid)
+            self.ok.add(node_id)
             if majority(votes=self.ok, among=e["w"]) and self.best is not None:
                 val = self.best[1]
                 old = e
-                self.rep.learn(val)
-                if self.rep.camp is not self:
+                self.replica.learn(val)
+                if self.replica.election is not self:
                     for peer in sorted({*old["w"], *val["w"], val["p"], *val["b"]} - {""}):
-                        self.rep.environment.send(uid=peer, kind=Kind.INSTALL, body={"g": self.rep.group_id, "e": val})
+                        self.replica.environment.send(
+                            node_id=peer, kind=Kind.INSTALL, body={"g": self.replica.group_id, "e": val}
+                        )
 
     def decided(self, *, epoch: Epoch) -> None:
         """The epoch that this campaign proposed is decided."""
@@ -292,19 +307,19 @@
 
     def _install(self) -> None:
         assert self.value is not None
-        self.sent = self.rep.environment.now
-        for peer in sorted({*self.value["w"], *self.value["b"], *self.rep.environment.everyone()} - {"", *self.ok}):
-            self.rep.environment.send(
-                uid=peer, kind=Kind.INSTALL, body={"g": self.rep.group_id, "e": self.value, "t": self.sent}
+        self.sent = self.replica.environment.now
+        for peer in sorted({*self.value["w"], *self.value["b"], *self.replica.environment.everyone()} - {"", *self.ok}):
+            self.replica.environment.send(
+                node_id=peer, kind=Kind.INSTALL, body={"g": self.replica.group_id, "e": self.value, "t": self.sent}
             )
 
-    def _installed(self, *, uid: str, n: int, sent: float | None) -> None:
+    def _installed(self, *, node_id: str, n: int, sent: float | None) -> None:
         val = self.value
         if self.phase is not Phase.INSTALL or val is None or n != val["n"]:
             return
-        self.ok.add(uid)
-        self.installed.setdefault(uid, self.since if sent is None else sent)
+        self.ok.add(node_id)
+        self.installed.setdefault(node_id, self.since if sent is None else sent)
         if majority(votes=self.ok, among=val["w"]) and self.ok.issuperset(val["b"]):
-            self.rep.renewal.formed(fewer=self.fewer)
-            self.rep.lease.start(epoch=val, answers=self.installed)
-            self.rep.activate()
+            self.replica.renewal.formed(fewer=self.fewer)
+            self.replica.lease.start(epoch=val, answers=self.installed)
+            self.replica.activate()
--- a/yarrowloom/replication/environment.py
+++ b/yarrowloom/replication/environment.py
@@ -39,10 +39,10 @@
     """What a replica needs of its node."""
 
     now: float
-    uid: str
+    node_id: str
     incarnation: int  # this life's number among those with this uid
 
-    def send(self, *, uid: str, kind: Kind, body: dict[str, Any]) -> None:
+    def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
         """To another node, or to itself."""
 
     def write(self, *, rec: dict[str, Any], done: tuple[Any, ...]) -> None:
@@ -54,7 +54,7 @@
     def partners(self, *, first: list[str]) -> list[str]:
         """Members that may be a backup, best first; of equals, those in `first`."""
 
-    def up(self, *, uid: str) -> bool:
+    def up(self, *, node_id: str) -> bool:
         """Heard of lately."""
 
     def other_zones(self, *, holders: list[str]) -> list[str]:
--- a/yarrowloom/replication/epoch.py
+++ b/yarrowloom/replication/epoch.py
@@ -17,13 +17,13 @@
 Ballot = list[Any]  # [round, uid, incarnation], compared in this order: no two lives of a process share one
 
 
-def addr_of(*, uid: str) -> str:
+def addr_of(*, node_id: str) -> str:
     """The internal address that a uid carries.
 
-    >>> addr_of(uid="10.0.0.1:7000#3f")
+    >>> addr_of(node_id="10.0.0.1:7000#3f")
     '10.0.0.1:7000'
     """
-    return uid.split("#", 1)[0]
+    return node_id.split("#", 1)[0]
 
 
 def check_epoch(*, epoch: Any) -> None:
@@ -38,7 +38,7 @@
     good = good and isinstance(epoch.get("p"), str) and isinstance(epoch.get("t"), str)
     for name in ("b", "w"):
         row = epoch.get(name) if good else None
-        good = good and isinstance(row, list) and all(isinstance(uid, str) for uid in row)
+        good = good and isinstance(row, list) and all(isinstance(node_id, str) for node_id in row)
     if not good:
         raise ValueError(f"not an epoch: {epoch!r:.80}")
 
@@ -54,12 +54,12 @@
     return 2 * len(votes & set(among)) > len(set(among))
 
 
-class Witness:
+class Acceptor:
     """The acceptor of one group. Invariants: `seen` never goes back; `promised` and `value` belong to the number
     after `seen`; every answer is given only once what it says is on disk (the caller's duty)."""
 
-    def __init__(self, *, uid: str, seen: Epoch | None = None) -> None:
-        self.uid = uid
+    def __init__(self, *, node_id: str, seen: Epoch | None = None) -> None:
+        self.node_id = node_id
         self.seen = seen
         self.promised: Ballot | None = None
         self.voted: Ballot | None = None
@@ -83,7 +83,7 @@
         return True
 
     def _open(self, *, n: int) -> bool:
-        return self.seen is not None and n == self.seen["n"] + 1 and self.uid in self.seen["w"]
+        return self.seen is not None and n == self.seen["n"] + 1 and self.node_id in self.seen["w"]
 
     def prepare(self, *, n: int, ballot: Ballot) -> dict[str, Any] | None:
         """Promise a ballot for number `n`; None: not mine to answer."""
--- a/yarrowloom/replication/handover.py
+++ b/yarrowloom/replication/handover.py
@@ -4,7 +4,7 @@
 
 from ..transport.envelope import Kind
 from .environment import ReplicaEnvironment, Role
-from .epoch import Epoch, Witness
+from .epoch import Acceptor, Epoch
 from .leader_lease import Lease
 from .timing import LEAVE_S, RELIEF_S
 
@@ -14,7 +14,7 @@
 
     group_id: int
     environment: ReplicaEnvironment
-    wit: Witness
+    acceptor: Acceptor
     role: Role
     base: int
     awake: float
@@ -25,7 +25,7 @@
         """A campaign of this member is under way."""
 
     def take(self, *, why: str, avoid: list[str] | None = None) -> None:
-        """Campaign to be the primary of the next epoch."""
+        """Election to be the primary of the next epoch."""
 
     def give_up(self, *, to: str = "") -> None:
         """Have a backup take over at once."""
@@ -34,20 +34,20 @@
 def substitutes(*, environment: ReplicaEnvironment, epoch: Epoch) -> list[str]:
     """Live members that hold nothing of the epoch yet."""
     holders = (epoch["p"], *epoch["b"])
-    return [u for u in environment.partners(first=[]) if u not in holders and environment.up(uid=u)]
+    return [u for u in environment.partners(first=[]) if u not in holders and environment.up(node_id=u)]
 
 
 def copied_elsewhere(*, environment: ReplicaEnvironment, epoch: Epoch | None) -> bool:
     """Another live member holds all that was confirmed, or this one holds nothing."""
-    if epoch is None or environment.uid not in (epoch["p"], *epoch["b"]):
+    if epoch is None or environment.node_id not in (epoch["p"], *epoch["b"]):
         return True
-    return any(u != environment.uid and environment.up(uid=u) for u in (epoch["p"], *epoch["b"]))
+    return any(u != environment.node_id and environment.up(node_id=u) for u in (epoch["p"], *epoch["b"]))
 
 
 def may_end(*, environment: ReplicaEnvironment, epoch: Epoch | None, asked_s: float) -> bool:
     """No epoch needs this member any more; or another holder is there, and no further one is to be had or has been
     found in RELIEF_S; or no other member is known at all. `asked_s`: how long it has been leaving."""
-    if epoch is None or environment.uid not in (epoch["p"], *epoch["b"]) or not environment.partners(first=[]):
+    if epoch is None or environment.node_id not in (epoch["p"], *epoch["b"]) or not environment.partners(first=[]):
         return True
     if not copied_elsewhere(environment=environment, epoch=epoch):
         return False
@@ -80,14 +80,14 @@
     def tick(self) -> None:
         """Called a few times a second while there is no campaign."""
         member = self._member
-        epoch = member.wit.seen
+        epoch = member.acceptor.seen
         if not self.leaving or epoch is None or member.environment.now - self._asked < LEAVE_S:
             return
         if self.asked_s() >= RELIEF_S and copied_elsewhere(environment=member.environment, epoch=epoch):
             return  # several leave at once: they would only hand the copy to and fro
         self._asked = member.environment.now
         if member.role is Role.BACKUP:
-            member.environment.send(uid=epoch["p"], kind=Kind.YIELD, body={"g": member.group_id, "n": epoch["n"]})
+            member.environment.send(node_id=epoch["p"], kind=Kind.YIELD, body={"g": member.group_id, "n": epoch["n"]})
         elif member.role is Role.PRIMARY:
             self._hand_over(epoch=epoch)
 
@@ -95,18 +95,18 @@
         """Yield to a backup that answers; without one, another copy comes first."""
         member = self._member
         silent = member.lease.silent(epoch=epoch, awake=member.awake, patience=2 * LEAVE_S)
-        answering = [uid for uid in epoch["b"] if uid not in silent]
+        answering = [node_id for node_id in epoch["b"] if node_id not in silent]
         if answering:
             member.give_up(to=answering[0])
         elif substitutes(environment=member.environment, epoch=epoch):
             member.take(why="leaving", avoid=silent)
 
-    def asked(self, *, uid: str, number: int) -> None:
+    def asked(self, *, node_id: str, number: int) -> None:
         """The primary gives up to this backup, or a backup of this primary is about to end."""
         member = self._member
-        epoch = member.wit.seen
+        epoch = member.acceptor.seen
         if member.role is Role.BACKUP and member.base == number:
-            member.take(why="yielded", avoid=[uid])
-        elif member.role is Role.PRIMARY and epoch is not None and epoch["n"] == number and uid in epoch["b"]:
+            member.take(why="yielded", avoid=[node_id])
+        elif member.role is Role.PRIMARY and epoch is not None and epoch["n"] == number and node_id in epoch["b"]:
             if substitutes(environment=member.environment, epoch=epoch):
-                member.take(why="backup-leaves", avoid=[uid])
+                member.take(why="backup-leaves", avoid=[node_id])
--- a/yarrowloom/replication/leader_lease.py
+++ b/yarrowloom/replication/leader_lease.py
@@ -39,17 +39,17 @@
         self._answers = {backup: answers[backup] for backup in epoch["b"]}
         self.until = min(self._answers.values(), default=self._environment.now) + PROMISE_S
         self._apart = None
-        self.contact.begin(epoch=epoch, uid=self._environment.uid)
-        for uid, sent in answers.items():
-            self.contact.heard(uid=uid, sent=sent)
+        self.contact.begin(epoch=epoch, node_id=self._environment.node_id)
+        for node_id, sent in answers.items():
+            self.contact.heard(node_id=node_id, sent=sent)
 
     def end(self) -> None:
         """Serve no more."""
         self.until = 0.0
 
-    def answered(self, *, epoch: Epoch, uid: str, sent: float) -> None:
+    def answered(self, *, epoch: Epoch, node_id: str, sent: float) -> None:
         """A backup answered what was sent at `sent`: it will not take over for a while from then."""
-        self._answers[uid] = max(self._answers.get(uid, NEVER_S), sent)
+        self._answers[node_id] = max(self._answers.get(node_id, NEVER_S), sent)
         oldest = min(self._answers.get(backup, NEVER_S) for backup in epoch["b"])
         self.until = max(self.until, oldest + PROMISE_S)
 
@@ -78,16 +78,16 @@
             question["apart"] = True
         if now - self._pinged >= PING_S:
             self._pinged = now
-            for uid in epoch["b"]:
-                self._environment.send(uid=uid, kind=Kind.PING, body=question)
+            for node_id in epoch["b"]:
+                self._environment.send(node_id=node_id, kind=Kind.PING, body=question)
         self._probe(question=question, witnesses=[u for u in epoch["w"] if u not in epoch["b"]])
 
     def _probe(self, *, question: dict[str, Any], witnesses: list[str]) -> None:
         if self._environment.now - self._probed >= CONTACT_PING_S:
             self._probed = self._environment.now
-            for uid in witnesses:
-                if uid != self._environment.uid:
-                    self._environment.send(uid=uid, kind=Kind.PING, body=question)
+            for node_id in witnesses:
+                if node_id != self._environment.node_id:
+                    self._environment.send(node_id=node_id, kind=Kind.PING, body=question)
 
     def answer(
         self, *, epoch: Epoch | None, asker: str, question: dict[str, Any], renews: bool
@@ -97,13 +97,13 @@
         has ended the lease before. To a primary that lost contact a backup tells whether it has it, and looks."""
         if epoch is None or epoch["n"] != question["n"]:
             return None
-        if self._environment.uid not in epoch["b"]:
-            return question if self._environment.uid in epoch["w"] else None
+        if self._environment.node_id not in epoch["b"]:
+            return question if self._environment.node_id in epoch["w"] else None
         if not renews:
             return None
         if asker != epoch["p"] or not question.get("apart"):
             return question
-        self.contact.begin(epoch=epoch, uid=self._environment.uid)
+        self.contact.begin(epoch=epoch, node_id=self._environment.node_id)
         own = {"g": self._group, "n": epoch["n"], "t": self._environment.now}
         self._probe(question=own, witnesses=epoch["w"])
         return {**question, "contact": self._environment.now < self.contact.until}
--- a/yarrowloom/replication/quorum_contact.py
+++ b/yarrowloom/replication/quorum_contact.py
@@ -21,31 +21,31 @@
         self._needed = 0
         self._answers: dict[str, float] = {}
 
-    def begin(self, *, epoch: Epoch, uid: str) -> None:
+    def begin(self, *, epoch: Epoch, node_id: str) -> None:
         """Count for this epoch from now on; a witness set of which `uid` alone is the majority needs no answers."""
         if self._epoch == epoch["n"]:
             return
         witnesses = set(epoch["w"])
         self._epoch = epoch["n"]
-        self._answers = dict.fromkeys(witnesses - {uid}, -math.inf)
-        self._needed = len(witnesses) // 2 + 1 - (uid in witnesses)
+        self._answers = dict.fromkeys(witnesses - {node_id}, -math.inf)
+        self._needed = len(witnesses) // 2 + 1 - (node_id in witnesses)
         self.until = math.inf if self._needed == 0 else -math.inf
 
-    def heard(self, *, uid: str, sent: float) -> None:
+    def heard(self, *, node_id: str, sent: float) -> None:
         """A witness answered what was sent to it at `sent`.
 
         >>> contact = Contact()
-        >>> contact.begin(epoch={"n": 1, "p": "a", "b": ["b"], "w": ["a", "b", "c", "d", "e"], "t": ""}, uid="a")
-        >>> contact.heard(uid="b", sent=5.0)
+        >>> contact.begin(epoch={"n": 1, "p": "a", "b": ["b"], "w": ["a", "b", "c", "d", "e"], "t": ""}, node_id="a")
+        >>> contact.heard(node_id="b", sent=5.0)
         >>> contact.until
         -inf
-        >>> contact.heard(uid="c", sent=7.0)
+        >>> contact.heard(node_id="c", sent=7.0)
         >>> contact.until == 5.0 + PROMISE_S
         True
         """
-        before = self._answers.get(uid)
+        before = self._answers.get(node_id)
         if before is None or sent <= before:
             return
-        self._answers[uid] = sent
+        self._answers[node_id] = sent
         if self._needed:
             self.until = sorted(self._answers.values(), reverse=True)[self._needed - 1] + PROMISE_S
--- a/yarrowloom/replication/reconfiguration.py
+++ b/yarrowloom/replication/reconfiguration.py
@@ -49,14 +49,14 @@
         witnesses = frozenset(environment.witnesses(have=have))
         waited = self._witnesses.same(members=witnesses, now=now)
         small = len(have) < 2 * environment.losses() + 1 and len(witnesses) > len(have)
-        live = sum(environment.up(uid=u) for u in have)
+        live = sum(environment.up(node_id=u) for u in have)
         at_risk = 2 * (live - environment.losses()) <= len(have)
         if witnesses != frozenset(have) and (small or waited >= (RISK_S if at_risk else WANT_S)):
             return "witnesses"
         holders = [epoch["p"], *epoch["b"]]
         if len(epoch["b"]) < environment.losses():
             spare = frozenset(
-                u for u in environment.partners(first=epoch["b"]) if u not in holders and environment.up(uid=u)
+                u for u in environment.partners(first=epoch["b"]) if u not in holders and environment.up(node_id=u)
             )
             if spare and self._backups.some(members=spare, now=now) >= RISK_S * 2**self.short:
                 return "backups"
--- a/yarrowloom/replication/replica.py
+++ b/yarrowloom/replication/replica.py
@@ -4,7 +4,7 @@
 
 from ..transport.envelope import Kind
 from .batch import Batch
-from .election import Campaign
+from .election import Election
 from .environment import MOVES, Reducer, ReplicaEnvironment, Role
 from .epoch import Epoch, check_epoch
 from .handover import Relief
@@ -23,20 +23,20 @@
     were confirmed: a proposal, which counts once the backups of a new epoch have copied it."""
 
     def __init__(self, *, group_id: int, environment: ReplicaEnvironment, state: Reducer, epoch: Epoch | None) -> None:
-        super().__init__(group_id=group_id, uid=environment.uid, state=state, epoch=epoch)
+        super().__init__(group_id=group_id, node_id=environment.node_id, state=state, epoch=epoch)
         self.environment = environment
         self.role = Role.IDLE
         self.lease = Lease(environment=environment, group_id=group_id)
         self.heard = 0.0
         self.rest = 0.0
-        self.camp: Campaign | None = None
+        self.election: Election | None = None
         self.queue: list[tuple[dict[str, Any] | None, tuple[Any, ...] | None]] = []
         self.in_flight: Batch | None = None
         self.reset = 0.0
         self.awake = 0.0  # when this process last stood still: silence counts from then
         self.renewal = Renewal()
         self.relief = Relief(member=self)
-        if epoch is not None and epoch["n"] == 0 and environment.uid in (epoch["p"], *epoch["b"]):
+        if epoch is not None and epoch["n"] == 0 and environment.node_id in (epoch["p"], *epoch["b"]):
             self.base = 0
             self._place()
 
@@ -45,12 +45,12 @@
     @property
     def epoch(self) -> Epoch | None:
         """The newest decided epoch known."""
-        return self.wit.seen
+        return self.acceptor.seen
 
     @property
     def electing(self) -> bool:
         """A campaign of this member is under way."""
-        return self.camp is not None
+        return self.election is not None
 
     def serving(self) -> bool:
         """May act as the primary right now."""
@@ -99,21 +99,21 @@
         ):
             self.queue.clear()
             self.in_flight = None
-            self.camp = None
+            self.election = None
             self.environment.deposed(group_id=self.group_id)
 
     def _place(self) -> None:
         """Take the part that the known epoch gives."""
-        e = self.wit.seen
+        e = self.acceptor.seen
         assert e is not None
         mine = self.base == e["n"]
         if not mine and self._unpack(epoch=e):
             mine = True
         self._prune(n=e["n"])
-        if mine and e["p"] == self.environment.uid:
+        if mine and e["p"] == self.environment.node_id:
             self._become(Role.LAPSED)
             self.rest = max(self.rest, self.environment.now + 0.05)
-        elif mine and self.environment.uid in e["b"]:
+        elif mine and self.environment.node_id in e["b"]:
             self._become(Role.LAPSED if self.proposed(n=e["n"] + 1) else Role.BACKUP)
             self.heard = self.environment.now
         elif self.role is not Role.IDLE:
@@ -122,21 +122,26 @@
     def learn(self, epoch: Epoch) -> None:
         """Take note of a decided epoch."""
         check_epoch(epoch=epoch)
-        if not self.wit.learn(epoch):
+        if not self.acceptor.learn(epoch):
             return
         self._save(done=("none",))
         self.environment.installed(group_id=self.group_id, epoch=epoch)
-        camp = self.camp
+        election = self.election
         # An earlier life may have served in an epoch whose copy it proposed: this one goes on to the next.
-        if camp is not None and epoch["p"] == self.environment.uid and epoch["t"] == camp.tag and not camp.resumed:
+        if (
+            election is not None
+            and epoch["p"] == self.environment.node_id
+            and epoch["t"] == election.tag
+            and not election.resumed
+        ):
             self.base = epoch["n"]
             self._prune(n=epoch["n"])
-            camp.decided(epoch=epoch)
+            election.decided(epoch=epoch)
             return
         self._place()
 
     def _save(self, *, done: tuple[Any, ...]) -> None:
-        self.environment.write(rec={"k": "w", "g": self.group_id, **self.wit.dump()}, done=done)
+        self.environment.write(rec={"k": "w", "g": self.group_id, **self.acceptor.dump()}, done=done)
 
     # -- disk
 
@@ -147,8 +152,8 @@
     def settle(self) -> None:
         """All is replayed: take the part that the disk tells."""
         self.role = Role.IDLE
-        e = self.wit.seen
-        if e is not None and self.base == e["n"] and self.environment.uid in (e["p"], *e["b"]):
+        e = self.acceptor.seen
+        if e is not None and self.base == e["n"] and self.environment.node_id in (e["p"], *e["b"]):
             own = self.proposed(n=e["n"] + 1)
             if own is not None:
                 self._load(epoch=e["n"], rec=own)  # has also what was applied and not yet on disk
@@ -159,32 +164,36 @@
     def tick(self) -> None:
         """Called a few times a second."""
         now = self.environment.now
-        if self.camp is not None:
-            self.camp.tick()
+        if self.election is not None:
+            self.election.tick()
             return
         self.relief.tick()
         if self.role is Role.PRIMARY:
             self._serve()
         elif self.role is Role.BACKUP:
             if now - self.heard > SILENCE_S + self._turn() and now >= self.rest:
-                assert self.wit.seen is not None
-                self.take(why="silence", avoid=[self.wit.seen["p"]])
+                assert self.acceptor.seen is not None
+                self.take(why="silence", avoid=[self.acceptor.seen["p"]])
         elif self.role is Role.LAPSED and now >= self.rest:
             self.take(why="restart")
 
     def _turn(self) -> float:
         """Seconds that this backup waits for those named before it to take over."""
-        e = self.wit.seen
-        return TURN_S * e["b"].index(self.environment.uid) if e is not None and self.environment.uid in e["b"] else 0.0
+        e = self.acceptor.seen
+        return (
+            TURN_S * e["b"].index(self.environment.node_id)
+            if e is not None and self.environment.node_id in e["b"]
+            else 0.0
+        )
 
     def give_up(self, *, to: str = "") -> None:
         """Have a backup take over at once; `to` names the one that should."""
-        e = self.wit.seen
+        e = self.acceptor.seen
         assert e is not None
         self.lease.end()
         order = [to] if to else [u for u in self.environment.partners(first=e["b"]) if u in e["b"]]
-        for uid in (order or e["b"])[:1]:
-            self.environment.send(uid=uid, kind=Kind.YIELD, body={"g": self.group_id, "n": e["n"]})
+        for node_id in (order or e["b"])[:1]:
+            self.environment.send(node_id=node_id, kind=Kind.YIELD, body={"g": self.group_id, "n": e["n"]})
         self._become(Role.LAPSED)
         self.rest = self.environment.now + REST_S
 
@@ -195,7 +204,7 @@
         self.rest = max(self.rest, self.environment.now + 0.3)
 
     def _serve(self) -> None:
-        now, e = self.environment.now, self.wit.seen
+        now, e = self.environment.now, self.acceptor.seen
         assert e is not None
         self.lease.watch()
         self.lease.ask(epoch=e)
@@ -220,33 +229,33 @@
             if why:
                 self.take(why=why)
 
-    def _answered(self, *, uid: str, kind: Kind, m: dict[str, Any]) -> None:
+    def _answered(self, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
         """A backup or witness of this epoch answered a holder."""
-        e = self.wit.seen
+        e = self.acceptor.seen
         if e is None or m["n"] != e["n"] or self.role not in (Role.PRIMARY, Role.BACKUP):
             return
-        self.lease.contact.heard(uid=uid, sent=m["t"])
-        if self.role is not Role.PRIMARY or uid not in e["b"]:
+        self.lease.contact.heard(node_id=node_id, sent=m["t"])
+        if self.role is not Role.PRIMARY or node_id not in e["b"]:
             return
-        self.lease.answered(epoch=e, uid=uid, sent=m["t"])
+        self.lease.answered(epoch=e, node_id=node_id, sent=m["t"])
         if kind is Kind.LOGOK and self.in_flight is not None and m["last"] == self.in_flight.last:
-            self.in_flight.acknowledged_by.add(uid)
+            self.in_flight.acknowledged_by.add(node_id)
             self._landed()
         elif self.lease.better_off(answer=m):
-            self.environment.note(event="yield-for-contact", group=self.group_id, to=uid)
-            self.give_up(to=uid)
+            self.environment.note(event="yield-for-contact", group=self.group_id, to=node_id)
+            self.give_up(to=node_id)
 
     def hand_over(self) -> None:
         """The process is about to end: others are to take over."""
         self.relief.begin()
 
     def take(self, *, why: str, avoid: list[str] | None = None) -> None:
-        """Campaign to be the primary of the next epoch."""
-        assert self.wit.seen is not None
-        self.environment.note(event="campaign", group=self.group_id, why=why, after=self.wit.seen["n"])
+        """Election to be the primary of the next epoch."""
+        assert self.acceptor.seen is not None
+        self.environment.note(event="campaign", group=self.group_id, why=why, after=self.acceptor.seen["n"])
         self._become(Role.TAKING)
-        self.camp = Campaign(rep=self, why=why, avoid=set(avoid or ()), first=self.wit.seen["b"])
-        self.camp.tick()
+        self.election = Election(replica=self, why=why, avoid=set(avoid or ()), first=self.acceptor.seen["b"])
+        self.election.tick()
 
     # -- commits
 
@@ -259,7 +268,7 @@
         self.queue = []
         last = self.applied  # what waits here is the newest of what is applied
         first = last - len(events) + 1
-        e = self.wit.seen
+        e = self.acceptor.seen
         assert e is not None
         self.in_flight = Batch(first=first, last=last, events=events, effects=effects, begun_at=self.environment.now)
         self.environment.write(
@@ -270,13 +279,13 @@
             self._fire()
 
     def _fire(self) -> None:
-        e, batch = self.wit.seen, self.in_flight
+        e, batch = self.acceptor.seen, self.in_flight
         assert e is not None and batch is not None
         batch.sent_at = self.environment.now
-        for uid in e["b"]:
-            if uid not in batch.acknowledged_by:
+        for node_id in e["b"]:
+            if node_id not in batch.acknowledged_by:
                 self.environment.send(
-                    uid=uid,
+                    node_id=node_id,
                     kind=Kind.LOG,
                     body={
                         "g": self.group_id,
@@ -289,13 +298,18 @@
 
     def near(self, *, n: int, last: int) -> None:
         """The own disk has the batch that ends with an event."""
-        if self.in_flight is not None and self.in_flight.last == last and self.wit.seen and self.wit.seen["n"] == n:
+        if (
+            self.in_flight is not None
+            and self.in_flight.last == last
+            and self.acceptor.seen
+            and self.acceptor.seen["n"] == n
+        ):
             self.in_flight.local_durable = True
             self._landed()
 
     def _landed(self) -> None:
         batch = self.in_flight
-        e = self.wit.seen
+        e = self.acceptor.seen
         if (
             batch is None
             or e is None
@@ -311,12 +325,12 @@
 
     def activate(self) -> None:
         """The campaign is won and installed: all disks hold the whole state."""
-        e = self.wit.seen
+        e = self.acceptor.seen
         assert e is not None
         effects = (self.in_flight.effects if self.in_flight else []) + [
             effect for _, effect in self.queue if effect is not None
         ]
-        self.queue, self.in_flight, self.camp = [], None, None
+        self.queue, self.in_flight, self.election = [], None, None
         self._become(Role.PRIMARY)
         self.reset = self.environment.now + 1.0
         self.environment.elected(group_id=self.group_id)
@@ -325,66 +339,66 @@
 
     # -- messages
 
-    def on(self, *, uid: str, kind: Kind, m: dict[str, Any]) -> None:
+    def on(self, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
         """One message of this group."""
         if kind is Kind.PREP or kind is Kind.ACCEPT:
-            self._vote(uid=uid, kind=kind, m=m)
+            self._vote(node_id=node_id, kind=kind, m=m)
         elif kind is Kind.INSTALL:
-            self._install(uid=uid, m=m)
+            self._install(node_id=node_id, m=m)
         elif kind is Kind.CKPT:
-            if self.wit.seen is None or m["inst"] > self.wit.seen["n"]:
+            if self.acceptor.seen is None or m["inst"] > self.acceptor.seen["n"]:
                 rec = {key: m[key] for key in ("inst", "tag", "st")}
                 rec.update(k="ck", g=self.group_id, applied=int(m["applied"]))
                 self.keep(rec=rec)
                 self.environment.write(
-                    rec=rec, done=("send", uid, int(Kind.CKPTOK), {"g": self.group_id, "tag": m["tag"]})
+                    rec=rec, done=("send", node_id, int(Kind.CKPTOK), {"g": self.group_id, "tag": m["tag"]})
                 )
         elif kind is Kind.LOG:
-            self._log(uid=uid, m=m)
+            self._log(node_id=node_id, m=m)
         elif kind is Kind.PING:
             renews = self.role is Role.BACKUP and self.base == m["n"]
-            answer = self.lease.answer(epoch=self.wit.seen, asker=uid, question=m, renews=renews)
-            if answer is not None and self.wit.seen is not None:
-                if renews and uid == self.wit.seen["p"]:
+            answer = self.lease.answer(epoch=self.acceptor.seen, asker=node_id, question=m, renews=renews)
+            if answer is not None and self.acceptor.seen is not None:
+                if renews and node_id == self.acceptor.seen["p"]:
                     self.heard = self.environment.now
-                self.environment.send(uid=uid, kind=Kind.PONG, body=answer)
+                self.environment.send(node_id=node_id, kind=Kind.PONG, body=answer)
         elif kind is Kind.YIELD:
-            self.relief.asked(uid=uid, number=m["n"])
+            self.relief.asked(node_id=node_id, number=m["n"])
         elif kind is Kind.PONG or kind is Kind.LOGOK:
-            self._answered(uid=uid, kind=kind, m=m)
-        elif self.camp is not None:
-            self.camp.on(uid=uid, kind=kind, m=m)
+            self._answered(node_id=node_id, kind=kind, m=m)
+        elif self.election is not None:
+            self.election.on(node_id=node_id, kind=kind, m=m)
 
-    def _install(self, *, uid: str, m: dict[str, Any]) -> None:
+    def _install(self, *, node_id: str, m: dict[str, Any]) -> None:
         """A decided epoch. Whom it names as backup answers only as one: the answer is a lease from when it left."""
         self.learn(m["e"])
-        e = self.wit.seen
+        e = self.acceptor.seen
         if e is None or e["n"] != m["e"]["n"]:
             return
-        if self.environment.uid in e["b"]:
+        if self.environment.node_id in e["b"]:
             if self.role is not Role.BACKUP or self.base != e["n"]:
                 return
             self.heard = self.environment.now
-        self._save(done=("send", uid, int(Kind.INSTALLED), {"g": self.group_id, "n": e["n"], "t": m.get("t")}))
+        self._save(done=("send", node_id, int(Kind.INSTALLED), {"g": self.group_id, "n": e["n"], "t": m.get("t")}))
 
-    def _vote(self, *, uid: str, kind: Kind, m: dict[str, Any]) -> None:
+    def _vote(self, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
         if m.get("cert"):
             self.learn(m["cert"])
         if kind is Kind.PREP:
-            res = self.wit.prepare(n=m["n"], ballot=m["bal"])
+            res = self.acceptor.prepare(n=m["n"], ballot=m["bal"])
             back = Kind.PROMISE
         else:
-            res = self.wit.accept(n=m["n"], ballot=m["bal"], value=m["val"])
+            res = self.acceptor.accept(n=m["n"], ballot=m["bal"], value=m["val"])
             back = Kind.ACCEPTED
         if res is None:
             return
         body = {"g": self.group_id, "n": m["n"], "bal": m["bal"], **res}
         if res["ok"]:
-            self._save(done=("send", uid, int(back), body))
+            self._save(done=("send", node_id, int(back), body))
         else:
-            self.environment.send(uid=uid, kind=back, body=body)
+            self.environment.send(node_id=node_id, kind=back, body=body)
 
-    def _log(self, *, uid: str, m: dict[str, Any]) -> None:
+    def _log(self, *, node_id: str, m: dict[str, Any]) -> None:
         if self.role is not Role.BACKUP or self.base != m["n"]:
             return
         self.heard = self.environment.now
@@ -403,5 +417,6 @@
         except Exception:  # noted, and the copy is void; the primary replaces a backup that does not answer
             return
         self.environment.write(
-            rec=rec, done=("send", uid, int(Kind.LOGOK), {"g": self.group_id, "n": m["n"], "last": last, "t": m["t"]})
+            rec=rec,
+            done=("send", node_id, int(Kind.LOGOK), {"g": self.group_id, "n": m["n"], "last": last, "t": m["t"]}),
         )
--- a/yarrowloom/replication/replica_storage.py
+++ b/yarrowloom/replication/replica_storage.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from .environment import Reducer, decode
-from .epoch import Epoch, Witness
+from .epoch import Acceptor, Epoch
 from .log_replay import ReplayError, unapplied, witness_rank
 from .timing import SPARES
 
@@ -12,11 +12,11 @@
     """Invariants: `state` holds exactly the events up to number `applied` of epoch `base`, each once; a journal that
     is replayed from its last whole snapshot on gives a beginning of these that has all that was synced."""
 
-    def __init__(self, *, group_id: int, uid: str, state: Reducer, epoch: Epoch | None) -> None:
+    def __init__(self, *, group_id: int, node_id: str, state: Reducer, epoch: Epoch | None) -> None:
         self.group_id = group_id
-        self.uid = uid
+        self.node_id = node_id
         self.state = state
-        self.wit = Witness(uid=uid, seen=epoch)
+        self.acceptor = Acceptor(node_id=node_id, seen=epoch)
         self.base = -1
         self.applied = 0
         self.spares: dict[str, dict[str, Any]] = {}  # by tag: checkpoints for epochs not yet decided
@@ -27,7 +27,7 @@
         if kind == "w":
             self._restore_witness(rec=rec)
         elif kind == "ck":
-            if self.wit.seen is None or rec["inst"] > self.wit.seen["n"]:
+            if self.acceptor.seen is None or rec["inst"] > self.acceptor.seen["n"]:
                 self.keep(rec=rec)
         elif kind == "st":
             self._load(epoch=rec["n"], rec=rec)
@@ -38,10 +38,10 @@
 
     def _restore_witness(self, *, rec: dict[str, Any]) -> None:
         """Records that waited while a snapshot was taken come after it and are older."""
-        if witness_rank(doc=rec) < witness_rank(doc=self.wit.dump()):
+        if witness_rank(doc=rec) < witness_rank(doc=self.acceptor.dump()):
             return
-        self.wit.load(rec)
-        epoch = self.wit.seen
+        self.acceptor.load(rec)
+        epoch = self.acceptor.seen
         if epoch is not None:
             if self.base < epoch["n"]:
                 self._unpack(epoch=epoch)
@@ -53,7 +53,7 @@
             for event in unapplied(first=first, events=events, applied=self.applied):
                 self.state.apply(event)
                 self.applied += 1
-        elif self.wit.seen is None or epoch > self.wit.seen["n"]:
+        elif self.acceptor.seen is None or epoch > self.acceptor.seen["n"]:
             raise ReplayError(text=f"events of epoch {epoch}, which was never installed")
 
     def records(self, *, whole: bool) -> list[dict[str, Any]]:
@@ -63,7 +63,7 @@
             out.append(
                 {"k": "st", "g": self.group_id, "n": self.base, "applied": self.applied, "st": self.state.dump()}
             )
-        out.append({"k": "w", "g": self.group_id, **self.wit.dump()})
+        out.append({"k": "w", "g": self.group_id, **self.acceptor.dump()})
         return out + list(self.spares.values())
 
     def keep(self, *, rec: dict[str, Any]) -> None:
@@ -76,7 +76,7 @@
             ]
 
     def _own(self, *, tag: str) -> bool:
-        return tag.startswith(f"{self.uid}/")
+        return tag.startswith(f"{self.node_id}/")
 
     def proposed(self, *, n: int) -> dict[str, Any] | None:
         """The copy that this member proposed for an epoch number, in this life or an earlier one. Witnesses may have
@@ -90,7 +90,7 @@
 
     def _unpack(self, *, epoch: Epoch) -> bool:
         rec = self.spares.get(epoch["t"])
-        if rec is None or rec["inst"] != epoch["n"] or self.uid not in (epoch["p"], *epoch["b"]):
+        if rec is None or rec["inst"] != epoch["n"] or self.node_id not in (epoch["p"], *epoch["b"]):
             return False
         self._load(epoch=epoch["n"], rec=rec)
         return True
--- a/yarrowloom/scheduling/admission.py
+++ b/yarrowloom/scheduling/admission.py
@@ -11,46 +11,52 @@
 class Admission(Binding):
     """Invariant: an answer waits until what it rests on is durable; what is refused never runs."""
 
-    def call(self, *, uid: str, request_id: int, op: str, b: dict[str, Any]) -> None:
+    def call(self, *, node_id: str, request_id: int, op: str, b: dict[str, Any]) -> None:
         """A caller's request; the answer waits until what it rests on is durable."""
         job_id = b.get("id", "")
         job = self.jobs.jobs.get(job_id)
         if op == "put":
-            self._put(uid=uid, request_id=request_id, b=b, job_id=job_id, job=job)
+            self._put(node_id=node_id, request_id=request_id, b=b, job_id=job_id, job=job)
         elif op == "count" and "cv" in b and self._unrouted(b=b):
-            self._refuse_route(uid=uid, request_id=request_id, b=b)
+            self._refuse_route(node_id=node_id, request_id=request_id, b=b)
         elif op == "count":
-            self.rep.barrier(then=("reply", uid, request_id, 200, {"pending": self.jobs.pending.get(b["q"], 0)}))
+            self.replica.barrier(
+                then=("reply", node_id, request_id, 200, {"pending": self.jobs.pending.get(b["q"], 0)})
+            )
         elif job is None or job["q"] != b["q"]:
-            self.rep.barrier(then=("reply", uid, request_id, 410, {}))
+            self.replica.barrier(then=("reply", node_id, request_id, 410, {}))
         elif op == "get":
-            self.rep.barrier(then=("reply", uid, request_id, 200, {"state": job["st"]}))
+            self.replica.barrier(then=("reply", node_id, request_id, 200, {"state": job["st"]}))
         elif op == "del":
             if job["st"] in ENDED:
-                self.rep.barrier(then=("reply", uid, request_id, 200, {}))
+                self.replica.barrier(then=("reply", node_id, request_id, 200, {}))
             else:
                 self.effects(
-                    self.rep.commit(
+                    self.replica.commit(
                         event={"t": "cancel", "id": job_id, "at": int(self.environment.wall * 1000)},
-                        then=("reply", uid, request_id, 200, {}),
+                        then=("reply", node_id, request_id, 200, {}),
                     )
                 )
 
-    def _put(self, *, uid: str, request_id: int, b: dict[str, Any], job_id: str, job: dict[str, Any] | None) -> None:
+    def _put(
+        self, *, node_id: str, request_id: int, b: dict[str, Any], job_id: str, job: dict[str, Any] | None
+    ) -> None:
         if job is not None:
-            self.rep.barrier(then=("reply", uid, request_id, 200 if job["q"] == b["q"] else 409, {}))
+            self.replica.barrier(then=("reply", node_id, request_id, 200 if job["q"] == b["q"] else 409, {}))
             return
         if "cv" in b and self._unrouted(b=b):
-            self._refuse_route(uid=uid, request_id=request_id, b=b)
+            self._refuse_route(node_id=node_id, request_id=request_id, b=b)
             return
         row = {**b["j"], "q": b["q"], "at": int(self.environment.wall * 1000)}
         why = self._refusal(job=row)
         if why:
-            self.environment.reply(uid=uid, request_id=request_id, status=429, doc={"error": why})
+            self.environment.reply(node_id=node_id, request_id=request_id, status=429, doc={"error": why})
             return
         self.live += 1
         self.effects(
-            self.rep.commit(event={"t": "job", "id": job_id, "j": row}, then=("reply", uid, request_id, 200, {}))
+            self.replica.commit(
+                event={"t": "job", "id": job_id, "j": row}, then=("reply", node_id, request_id, 200, {})
+            )
         )
         self.pump()
 
@@ -63,11 +69,11 @@
             return True
         return "at" in b and self.environment.select(host=b["at"][0], path=b["at"][1]) != b["q"]
 
-    def _refuse_route(self, *, uid: str, request_id: int, b: dict[str, Any]) -> None:
+    def _refuse_route(self, *, node_id: str, request_id: int, b: dict[str, Any]) -> None:
         """404 where the path leads nowhere for sure; else the caller is to ask again."""
         nowhere = "at" in b and not self.environment.select(host=b["at"][0], path=b["at"][1])
         self.environment.reply(
-            uid=uid, request_id=request_id, status=404 if nowhere else 503, doc={"error": "no such queue"}
+            node_id=node_id, request_id=request_id, status=404 if nowhere else 503, doc={"error": "no such queue"}
         )
 
     def _refusal(self, *, job: dict[str, Any]) -> str:
@@ -77,17 +83,17 @@
             return "too many jobs in hand"
         if job["times"] or any(s["last"] for s in job["steps"]):
             return ""
-        wait = self.expected(svc=self.service(job=job), rank=self.rank(job=job))
+        wait = self.expected(service=self.service(job=job), rank=self.rank(job=job))
         if wait + sum(s["est"] for s in job["steps"]) > LATE * self.aim(job=job):
             return "would start too late"
         return ""
 
-    def expected(self, *, svc: str, rank: int) -> float:
+    def expected(self, *, service: str, rank: int) -> float:
         """Milliseconds until the work that waits, of this rank and earlier ones, has had room."""
-        shelf = self.room.shelves.get(svc)
+        shelf = self.room.shelves.get(service)
         if shelf is None or not shelf.count:
             return 0.0
-        rows = [row for (s, r), row in self.backlog.load.items() if s == svc and r <= rank]
+        rows = [row for (s, r), row in self.backlog.load.items() if s == service and r <= rank]
         return max(
             sum(row[0] for row in rows) / max(shelf.total.cpu, 1),
             sum(row[1] for row in rows) / shelf.total.gpu if shelf.total.gpu else 0.0,
--- a/yarrowloom/scheduling/binding.py
+++ b/yarrowloom/scheduling/binding.py
@@ -53,7 +53,9 @@
     def __init__(self, **kw: Any) -> None:
         self.asks: dict[int, LeaseAsk] = {}
         super().__init__(**kw)
-        self.request_id = self.rep.base * ASKS_PER_EPOCH  # whoever places in another epoch numbers its asks otherwise
+        self.request_id = (
+            self.replica.base * ASKS_PER_EPOCH
+        )  # whoever places in another epoch numbers its asks otherwise
 
     def bind(self, *, group: Group, decision: Decision) -> None:
         """Cached leases serve at once, agents are asked for the rest, all in parallel: they answer at once, so no
@@ -75,10 +77,10 @@
                     back += self.pool.clear(minion_id=minion_id)
                 asks.setdefault(spot.agent, []).append((minion_id, spot.seq, len(idxs)))
         self.release(back)
-        for uid, on in sorted(asks.items()):
+        for node_id, on in sorted(asks.items()):
             for minion_id, _, n in on:
                 self.room.reserve(spot=self.room.spots[minion_id], size=group.size, n=n)
-            self._ask(att=att, agent=uid, on=on, n=sum(n for _, _, n in on), been=[uid])
+            self._ask(att=att, agent=node_id, on=on, n=sum(n for _, _, n in on), been=[node_id])
         self._settle(att=att)
 
     def _ask(self, *, att: Attempt, agent: str, on: list[tuple[str, int, int]], n: int, been: list[str]) -> None:
@@ -102,7 +104,7 @@
         body: dict[str, Any] = {
             "g": self.group_id,
             "rid": self.request_id,
-            "svc": group.svc,
+            "svc": group.service,
             "cpu": group.size.cpu,
             "mem": group.size.mem,
             "gpu": group.size.gpu,
@@ -116,7 +118,7 @@
         }
         if group.gang:
             body.update(all=True, mark=MARK_S)
-        self.environment.send(uid=agent, kind=Kind.LEASE, body=body)
+        self.environment.send(node_id=agent, kind=Kind.LEASE, body=body)
 
     def _there(self, *, group: Group) -> dict[str, int]:
         """Members that run or are on their way, by minion."""
@@ -129,16 +131,16 @@
                 out[unit["m"][i]] = out.get(unit["m"][i], 0) + 1
         return out
 
-    def grant(self, *, uid: str, b: dict[str, Any]) -> None:
+    def grant(self, *, node_id: str, b: dict[str, Any]) -> None:
         """An agent's decision, with what it has left on the minions asked for."""
         ask = self.asks.get(b["rid"])
-        if ask is not None and ask.agent != uid:
+        if ask is not None and ask.agent != node_id:
             ask = None
         if ask is not None:
             del self.asks[ask.request_id]
             self._landed(ask=ask)
         if b.get("r"):
-            self.room.report(uid=uid, rows=b["r"], shut=[], now=self.environment.now)
+            self.room.report(node_id=node_id, rows=b["r"], shut=[], now=self.environment.now)
         got: list[Held] = []
         size = ask.size if ask is not None else Size(*b["size"])
         for lease_id, minion_id, seq in b["x"]:
@@ -146,7 +148,7 @@
             if spot is not None and spot.seq == seq:
                 got.append(
                     Held(
-                        agent=uid,
+                        agent=node_id,
                         minion_id=minion_id,
                         lease_id=lease_id,
                         seq=seq,
@@ -172,10 +174,10 @@
         self._settle(att=att)
         self.pump()
 
-    def silence(self, *, uid: str) -> None:
+    def silence(self, *, node_id: str) -> None:
         """An agent fell silent: what it told of its room counts no longer, and it is to tell all of it once it can."""
-        self.room.close(uid=uid)
-        self.environment.send(uid=uid, kind=Kind.ROOMGET, body={"g": self.group_id})
+        self.room.close(node_id=node_id)
+        self.environment.send(node_id=node_id, kind=Kind.ROOMGET, body={"g": self.group_id})
 
     def _landed(self, *, ask: LeaseAsk) -> None:
         """An ask is answered or given up: its room no longer flies."""
@@ -253,7 +255,7 @@
         )
         self.nominator.drop(unit=(job_id, key), now=self.environment.now)
         self.effects(
-            self.rep.commit(
+            self.replica.commit(
                 event={"t": "start", "id": job_id, "u": key, "x": x, "at": int(self.environment.wall * 1000)},
                 then=("orders", self.group_id, orders),
             )
@@ -289,9 +291,11 @@
                 ]
             )
             specs.setdefault(spot.agent, {})[job_id] = job["spec"]
-        for uid, part in by.items():
+        for node_id, part in by.items():
             self.environment.send(
-                uid=uid, kind=Kind.ORDER, body={"g": self.group_id, "n": self.rep.base, "sp": specs[uid], "x": part}
+                node_id=node_id,
+                kind=Kind.ORDER,
+                body={"g": self.group_id, "n": self.replica.base, "sp": specs[node_id], "x": part},
             )
         if late:
             self.void(rows=late)
@@ -305,8 +309,8 @@
             if now - ask.at <= ASK_S:
                 break
             late.append(ask)
-        for uid in sorted({ask.agent for ask in late if self.room.heard.get(ask.agent, ask.at) < ask.at}):
-            self.silence(uid=uid)
+        for node_id in sorted({ask.agent for ask in late if self.room.heard.get(ask.agent, ask.at) < ask.at}):
+            self.silence(node_id=node_id)
         for ask in late:
             del self.asks[ask.request_id]
             self._landed(ask=ask)
--- a/yarrowloom/scheduling/capacity.py
+++ b/yarrowloom/scheduling/capacity.py
@@ -56,7 +56,7 @@
     agent: str
     fence: int
     seq: int
-    svc: str
+    service: str
     site: str
     labels: tuple[str, ...]
     cap: Size
@@ -82,7 +82,7 @@
             agent=self.agent,
             fence=self.fence,
             seq=seq,
-            svc=self.svc,
+            service=self.service,
             site=self.site,
             labels=self.labels,
             cap=self.cap,
@@ -151,29 +151,29 @@
 
     # -- what agents say
 
-    def report(self, *, uid: str, rows: list[list[int | str]], shut: list[str], now: float) -> None:
+    def report(self, *, node_id: str, rows: list[list[int | str]], shut: list[str], now: float) -> None:
         """Rows [minion, cpu, mem, gpu] of open minions; `shut` are no longer open."""
-        self.heard[uid] = now
+        self.heard[node_id] = now
         for minion_id, cpu, mem, gpu in rows:
             spot = self.spots.get(str(minion_id))
-            if spot is not None and spot.agent == uid:
+            if spot is not None and spot.agent == node_id:
                 spot.open, spot.owed = True, NONE
                 spot.view = Size(int(cpu), int(mem), int(gpu))
                 self._refile(spot)
         for minion_id in shut:
             spot = self.spots.get(minion_id)
-            if spot is not None and spot.agent == uid and spot.open:
+            if spot is not None and spot.agent == node_id and spot.open:
                 spot.open = False
                 self._refile(spot)
 
     def silent(self, *, now: float, after: float) -> list[str]:
         """Agents whose rows count and that were not heard for `after` seconds."""
-        return [uid for uid, at in self.heard.items() if now - at > after]
+        return [node_id for node_id, at in self.heard.items() if now - at > after]
 
-    def close(self, *, uid: str) -> None:
+    def close(self, *, node_id: str) -> None:
         """The rows of an agent count no longer, until it tells them again."""
-        self.heard.pop(uid, None)
-        for minion_id in self.of.get(uid, ()):
+        self.heard.pop(node_id, None)
+        for minion_id in self.of.get(node_id, ()):
             self.spots[minion_id].open = False
             self._refile(self.spots[minion_id])
 
@@ -202,9 +202,9 @@
         key = (max(free.gpu, 0), free.cpu) if spot.open else None
         if key == had and free == was:
             return
-        shelf = self.shelves.get(spot.svc)
+        shelf = self.shelves.get(spot.service)
         if shelf is None:
-            shelf = self.shelves[spot.svc] = Shelf()
+            shelf = self.shelves[spot.service] = Shelf()
         if had is not None:
             shelf.free = shelf.free.plus(was, -1)
             rack = shelf.racks[spot.rack]
@@ -234,18 +234,18 @@
                 for label in spot.labels:
                     shelf.by.setdefault(label, set()).add(spot.minion_id)
             if had is None or any(a > b for a, b in zip(free, was, strict=True)):
-                self.grown.setdefault(spot.svc, {})[spot.minion_id] = free
+                self.grown.setdefault(spot.service, {})[spot.minion_id] = free
         spot.filed = key
 
     def take_grown(self) -> dict[str, list[Size]]:
         """By service, where room grew since the last call: only what no other of the list holds."""
         out: dict[str, list[Size]] = {}
-        for svc, rows in self.grown.items():
+        for service, rows in self.grown.items():
             best: list[Size] = []
             for size in sorted(set(rows.values()), reverse=True):
                 if not any(other.holds(size) for other in best):
                     best.append(size)
-            out[svc] = best
+            out[service] = best
         self.grown = {}
         return out
 
@@ -259,10 +259,10 @@
             return False
         spot.last = job_id
         spot.streak += 1
-        shelf = self.shelves.get(spot.svc)
+        shelf = self.shelves.get(spot.service)
         if spot.streak < 3 or shelf is None:
             return False
-        shy = sum(s.shy > now for s in self.spots.values() if s.svc == spot.svc)
+        shy = sum(s.shy > now for s in self.spots.values() if s.service == spot.service)
         if 4 * shy >= shelf.count:
             return False
         spot.shy = now + min(1.5 * 2.0 ** (spot.streak - 3), 12.0)
@@ -276,9 +276,9 @@
 
     # -- search
 
-    def ordered(self, *, svc: str, size: Size) -> Iterator[Spot]:
+    def ordered(self, *, service: str, size: Size) -> Iterator[Spot]:
         """Open minions with room for one task, the tightest fit first: by free accelerators, then by free cores."""
-        shelf = self.shelves.get(svc)
+        shelf = self.shelves.get(service)
         if shelf is None:
             return
         for level in sorted(group_id for group_id in shelf.levels if group_id >= size.gpu):
@@ -287,18 +287,18 @@
                 self.looks += 1
                 yield self.spots[row[at][1]]
 
-    def labelled(self, *, svc: str, label: str) -> list[Spot]:
+    def labelled(self, *, service: str, label: str) -> list[Spot]:
         """Open minions with a label, the tightest first."""
-        shelf = self.shelves.get(svc)
+        shelf = self.shelves.get(service)
         if shelf is None:
             return []
         out = [self.spots[minion_id] for minion_id in shelf.by.get(label, ())]
         self.looks += len(out)
         return sorted(out, key=lambda s: (s.free.gpu, s.free.cpu, s.minion_id))
 
-    def racks(self, *, svc: str) -> dict[str, Rack]:
+    def racks(self, *, service: str) -> dict[str, Rack]:
         """Open minions by rack; some racks may have none."""
-        shelf = self.shelves.get(svc)
+        shelf = self.shelves.get(service)
         return shelf.racks if shelf is not None else {}
 
     def of_rack(self, *, rack: Rack) -> list[Spot]:
@@ -306,9 +306,9 @@
         self.looks += len(rack.minion_ids)
         return [self.spots[minion_id] for minion_id in rack.minion_ids]
 
-    def could(self, *, svc: str, size: Size, req: str, n: int) -> bool:
+    def could(self, *, service: str, size: Size, req: str, n: int) -> bool:
         """Whether the open minions, were they empty, could take `n` tasks at once."""
-        shelf = self.shelves.get(svc)
+        shelf = self.shelves.get(service)
         if shelf is None:
             return False
         minion_ids = (
--- a/yarrowloom/scheduling/environment.py
+++ b/yarrowloom/scheduling/environment.py
@@ -10,9 +10,9 @@
 
     now: float
     wall: float
-    uid: str
+    node_id: str
 
-    def send(self, *, uid: str, kind: Kind, body: dict[str, Any]) -> None:
+    def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
         """To another node, or to itself."""
 
     def route(self, *, name: str) -> dict[str, Any] | None:
@@ -24,7 +24,7 @@
     def select(self, *, host: str, path: str) -> str:
         """The queue that a path belongs to; empty: none."""
 
-    def reply(self, *, uid: str, request_id: int, status: int, doc: Any) -> None:
+    def reply(self, *, node_id: str, request_id: int, status: int, doc: Any) -> None:
         """Answer a call."""
 
     def note(self, *, event: str, **fields: object) -> None:
--- a/yarrowloom/scheduling/job_queue.py
+++ b/yarrowloom/scheduling/job_queue.py
@@ -26,11 +26,18 @@
     every task that is RUN is held by the spot of its minion or awaits that minion's next attachment."""
 
     def __init__(
-        self, *, group_id: int, environment: SchedulerEnvironment, rep: Replica, jobs: Jobs, far: float, status_s: float
+        self,
+        *,
+        group_id: int,
+        environment: SchedulerEnvironment,
+        replica: Replica,
+        jobs: Jobs,
+        far: float,
+        status_s: float,
     ) -> None:
         self.group_id = group_id
         self.environment = environment
-        self.rep = rep
+        self.replica = replica
         self.jobs = jobs
         self.far = far
         self.status_s = status_s
@@ -121,7 +128,7 @@
             group = Group(
                 job_id=job_id,
                 key=key,
-                svc=self.service(job=job),
+                service=self.service(job=job),
                 size=Size(step["cpu"], step["mem"], step["gpu"]),
                 prio=prio,
                 since=now,
@@ -134,11 +141,13 @@
                 est=step["est"],
                 late_at=late_at,
             )
-            shelf = self.room.shelves.get(group.svc)
+            shelf = self.room.shelves.get(group.service)
             group.never = (
                 shelf is not None
                 and shelf.count > 0
-                and not self.room.could(svc=group.svc, size=group.size, req=group.req, n=step["n"] if group.gang else 1)
+                and not self.room.could(
+                    service=group.service, size=group.size, req=group.req, n=step["n"] if group.gang else 1
+                )
             )
             self.backlog.add(group=group)
         elif group.phase is Phase.BOUND:
@@ -173,7 +182,7 @@
             if self.jobs.jobs[job_id]["q"] not in changed:
                 continue
             prio, group.late_at = self.prio(job_id=job_id, key=key, seen=group.seen)
-            self.backlog.rekey(group=group, prio=prio, svc=self.service(job=self.jobs.jobs[job_id]))
+            self.backlog.rekey(group=group, prio=prio, service=self.service(job=self.jobs.jobs[job_id]))
 
     # -- effects of events
 
@@ -203,7 +212,7 @@
             elif kind == "timed":
                 self._timed(job_id=effect[1])
         if stops:
-            self.rep.barrier(then=("stops", self.group_id, stops))
+            self.replica.barrier(then=("stops", self.group_id, stops))
 
     def stops(self, rows: list[Any]) -> None:
         """Tell agents to stop runs."""
@@ -212,21 +221,21 @@
             spot = self.room.spots.get(minion_id)
             if spot is not None:
                 by.setdefault(spot.agent, []).append([minion_id, task, run])
-        for uid, part in by.items():
-            self.environment.send(uid=uid, kind=Kind.STOP, body={"g": self.group_id, "x": part})
+        for node_id, part in by.items():
+            self.environment.send(node_id=node_id, kind=Kind.STOP, body={"g": self.group_id, "x": part})
 
     # -- agents
 
-    def claim(self, *, uid: str, b: dict[str, Any]) -> None:
+    def claim(self, *, node_id: str, b: dict[str, Any]) -> None:
         """An agent asks what this group has on its minions."""
-        for minion_id, fence, svc, site, labels, cap in b["x"]:
+        for minion_id, fence, service, site, labels, cap in b["x"]:
             spot = self.room.spots.get(minion_id)
             if spot is not None and spot.fence > fence:
                 continue
             if (
                 spot is not None
                 and spot.fence == fence
-                and spot.agent == uid
+                and spot.agent == node_id
                 and self.environment.now - spot.since < AGAIN_S
             ):
                 self.attach(spot=spot)  # a repeat: what left under this attachment stays good
@@ -236,10 +245,10 @@
             self.room.attach(
                 spot=Spot(
                     minion_id=minion_id,
-                    agent=uid,
+                    agent=node_id,
                     fence=fence,
                     seq=self.seq,
-                    svc=svc,
+                    service=service,
                     site=site,
                     labels=tuple(labels),
                     cap=Size(*cap),
@@ -262,11 +271,11 @@
             if job["st"] in ENDED:
                 ended.append([spot.minion_id, task, unit["r"][i]])
         self.environment.send(
-            uid=spot.agent,
+            node_id=spot.agent,
             kind=Kind.ATTACH,
             body={
                 "g": self.group_id,
-                "n": self.rep.base,
+                "n": self.replica.base,
                 "seq": spot.seq,
                 "m": spot.minion_id,
                 "f": spot.fence,
@@ -276,14 +285,14 @@
         if ended:
             self.stops(ended)
 
-    def gap(self, *, uid: str) -> None:
+    def gap(self, *, node_id: str) -> None:
         """Frames from an agent were lost: attach its minions anew, and have it tell all its room."""
-        for minion_id in sorted(self.room.of.get(uid, ())):
+        for minion_id in sorted(self.room.of.get(node_id, ())):
             self.seq += 1
             self.pool.forget(minion_id=minion_id)
             self.room.attach(spot=self.room.spots[minion_id].attached_anew(seq=self.seq, now=self.environment.now))
             self.attach(spot=self.room.spots[minion_id])
-        self.environment.send(uid=uid, kind=Kind.ROOMGET, body={"g": self.group_id})
+        self.environment.send(node_id=node_id, kind=Kind.ROOMGET, body={"g": self.group_id})
 
     def void(self, *, rows: list[Any]) -> None:
         """Orders that never started: (minion, attachment or None, task, run)."""
@@ -302,12 +311,12 @@
             if unit["s"][i] == RUN and unit["r"][i] == run and unit["m"][i] == minion_id:
                 self._gone(task=task, run=run)
                 self.effects(
-                    self.rep.commit(
+                    self.replica.commit(
                         event={"t": "end", "id": job_id, "u": key, "i": i, "run": run, "how": "void", "v": "", "mt": 1}
                     )
                 )
 
-    def ends(self, *, uid: str, b: dict[str, Any]) -> None:
+    def ends(self, *, node_id: str, b: dict[str, Any]) -> None:
         """Ends that an agent passes on; acknowledged once durable."""
         for _num, task, run, how, saved in b["x"]:
             parts = split_name(task=task)
@@ -327,11 +336,11 @@
                     "at": int(self.environment.wall * 1000),
                 }
                 self._gone(task=task, run=run)
-                self.effects(self.rep.commit(event=event))
+                self.effects(self.replica.commit(event=event))
             if held is not None:
                 self.pool.put(held=held, now=self.environment.now)
         rows = [[num, task, run] for num, task, run, _, _ in b["x"]]
-        self.rep.barrier(then=("endsok", self.group_id, uid, b["m"], b["f"], rows))
+        self.replica.barrier(then=("endsok", self.group_id, node_id, b["m"], b["f"], rows))
         self.pump()
 
     def _judge(self, *, minion_id: str, job: dict[str, Any], parts: tuple[str, str, int], run: int, how: str) -> None:
@@ -352,7 +361,7 @@
         ):
             self.environment.note(event="minion-shy", minion=minion_id, streak=self.room.spots[minion_id].streak)
 
-    def lost(self, *, uid: str, b: dict[str, Any]) -> None:
+    def lost(self, *, node_id: str, b: dict[str, Any]) -> None:
         """An agent declares a minion gone."""
         minion_id = b["m"]
         spot = self.room.spots.get(minion_id)
@@ -364,8 +373,10 @@
                 self.held.pop(task, None)
                 self._gone(task=task, run=self.jobs.jobs[job_id]["u"][key]["r"][i])
             if self.jobs.on.get(minion_id):  # a repeat finds nothing left
-                self.effects(self.rep.commit(event={"t": "lost", "m": minion_id, "x": None, "v": b["v"]}))
-        self.rep.barrier(then=("send", uid, int(Kind.LOSTOK), {"g": self.group_id, "m": minion_id, "f": b["f"]}))
+                self.effects(self.replica.commit(event={"t": "lost", "m": minion_id, "x": None, "v": b["v"]}))
+        self.replica.barrier(
+            then=("send", node_id, int(Kind.LOSTOK), {"g": self.group_id, "m": minion_id, "f": b["f"]})
+        )
         self.pump()
 
     def release(self, rows: list[Held]) -> None:
@@ -376,8 +387,8 @@
             if spot is not None and spot.seq == h.seq:
                 self.room.owe(spot=spot, size=h.size)
                 by.setdefault(h.agent, []).append([h.minion_id, h.lease_id])
-        for uid, part in by.items():
-            self.environment.send(uid=uid, kind=Kind.RETURN, body={"g": self.group_id, "x": part})
+        for node_id, part in by.items():
+            self.environment.send(node_id=node_id, kind=Kind.RETURN, body={"g": self.group_id, "x": part})
 
     # -- runs
 
@@ -387,7 +398,7 @@
         step, unit = job["steps"][int(key.split(".")[1])], job["u"][key]
         if step["ck"] and not step["gang"] and job["st"] not in ENDED:
             self.preemptor.started(
-                svc=self.service(job=job),
+                service=self.service(job=job),
                 rank=self.rank(job=job),
                 victim=Victim(
                     task=task_name(job_id=job_id, unit=key, idx=i),
--- a/yarrowloom/scheduling/pod_group.py
+++ b/yarrowloom/scheduling/pod_group.py
@@ -40,7 +40,7 @@
 
     job_id: str
     key: str
-    svc: str
+    service: str
     size: Size
     prio: Prio
     since: float
@@ -146,11 +146,11 @@
 
     def _push(self, group: Group) -> None:
         group.mark += 1
-        heapq.heappush(self.active.setdefault(group.svc, []), (group.prio, group.job_id, group.key, group.mark))
+        heapq.heappush(self.active.setdefault(group.service, []), (group.prio, group.job_id, group.key, group.mark))
 
     def _lie(self, group: Group) -> None:
         group.mark += 1
-        rows = self.parked.setdefault(group.svc, [])
+        rows = self.parked.setdefault(group.service, [])
         if len(rows) > SLACK + 2 * len(self.groups):  # woken by time, and no pass met their entries
             rows[:] = [row for row in rows if self._live(row, Phase.PARKED) is not None]
         insort(rows, (group.prio, group.job_id, group.key, group.mark))
@@ -158,7 +158,7 @@
     def weigh(self, *, group: Group, n: int) -> None:
         """`n` of the group's members wait now."""
         if n != group.load:
-            row = self.load.setdefault((group.svc, group.rank), [0, 0])
+            row = self.load.setdefault((group.service, group.rank), [0, 0])
             row[0] += (n - group.load) * group.est * group.size.cpu
             row[1] += (n - group.load) * group.est * group.size.gpu
             group.load = n
@@ -192,13 +192,13 @@
         """All members are on their way."""
         group.move(Phase.BOUND)
 
-    def rekey(self, *, group: Group, prio: Prio, svc: str) -> None:
+    def rekey(self, *, group: Group, prio: Prio, service: str) -> None:
         """Its priority or service changed."""
-        if prio == group.prio and svc == group.svc:
+        if prio == group.prio and service == group.service:
             return
         n = group.load
         self.weigh(group=group, n=0)
-        group.prio, group.svc = prio, svc
+        group.prio, group.service = prio, service
         self.weigh(group=group, n=n)
         if group.phase is Phase.ACTIVE:
             self._push(group)
@@ -219,10 +219,10 @@
         group = self.groups.get((row[1], row[2]))
         return group if group is not None and group.phase is phase and group.mark == row[3] else None
 
-    def pop(self, *, svc: str, walk: "Walk") -> Group | None:
+    def pop(self, *, service: str, walk: "Walk") -> Group | None:
         """The first waiting group of a service in order of priority: active ones, and, while the walk is on, parked
         ones beyond its place that it doesn't pass over. None: nothing left, or the walk has no looks left."""
-        heap, rows = self.active.get(svc, []), self.parked.get(svc, [])
+        heap, rows = self.active.get(service, []), self.parked.get(service, [])
         while walk.looks > 0:
             while heap and self._live(heap[0], Phase.ACTIVE) is None:
                 heapq.heappop(heap)
--- a/yarrowloom/scheduling/preemption.py
+++ b/yarrowloom/scheduling/preemption.py
@@ -43,11 +43,11 @@
     going: dict[tuple[str, int], tuple[float, str]] = field(default_factory=dict)
     total: int = 0
 
-    def started(self, *, victim: Victim, svc: str, rank: int) -> None:
+    def started(self, *, victim: Victim, service: str, rank: int) -> None:
         """A run that may be stopped began."""
         self.ended(task=victim.task, run=-1)
-        self.runs.setdefault(svc, {}).setdefault(rank, {})[victim.task] = victim
-        self.at[victim.task] = (svc, rank)
+        self.runs.setdefault(service, {}).setdefault(rank, {})[victim.task] = victim
+        self.at[victim.task] = (service, rank)
 
     def ended(self, *, task: str, run: int) -> None:
         """A run is over."""
@@ -65,13 +65,13 @@
     def choose(self, *, group: Group, n: int, strict: bool, now: float) -> list[Victim]:
         """Room for up to `n` members: the last rank first, then the latest start (the least work behind it)."""
         self._tidy(now=now)
-        n = min(n, MOST) - sum(svc == group.svc for _, svc in self.going.values())
+        n = min(n, MOST) - sum(service == group.service for _, service in self.going.values())
         out: list[Victim] = []
         looks = LOOKS
-        for rank in sorted(self.runs.get(group.svc, {}), reverse=True):
+        for rank in sorted(self.runs.get(group.service, {}), reverse=True):
             if rank <= group.rank:
                 break
-            for victim in reversed(self.runs[group.svc][rank].values()):
+            for victim in reversed(self.runs[group.service][rank].values()):
                 if len(out) >= n or looks <= 0:
                     return out
                 looks -= 1
@@ -89,27 +89,27 @@
     def crawling(self, *, now: float) -> list[tuple[str, Victim]]:
         """Runs far beyond their time, with their service: of each rank the oldest few are looked at."""
         out = []
-        for svc, ranks in self.runs.items():
+        for service, ranks in self.runs.items():
             for rows in ranks.values():
                 for victim, _ in zip(rows.values(), range(LOOKS), strict=False):
                     if now > victim.horizon and (victim.task, victim.run) not in self.going:
-                        out.append((svc, victim))
+                        out.append((service, victim))
         return out
 
-    def on(self, *, minion_ids: frozenset[str], svc: str, rank: int) -> list[Victim]:
+    def on(self, *, minion_ids: frozenset[str], service: str, rank: int) -> list[Victim]:
         """What runs on nominated minions and may go."""
         return [
             v
-            for r, rows in self.runs.get(svc, {}).items()
+            for r, rows in self.runs.get(service, {}).items()
             if r > rank
             for v in rows.values()
             if v.minion_id in minion_ids and (v.task, v.run) not in self.going
         ]
 
-    def stop(self, *, victims: list[Victim], svc: str, now: float) -> list[list[object]]:
+    def stop(self, *, victims: list[Victim], service: str, now: float) -> list[list[object]]:
         """Take note that they are stopped: rows for the agents."""
         for v in victims:
-            self.going[v.task, v.run] = (now, svc)
+            self.going[v.task, v.run] = (now, service)
         self.total += len(victims)
         return [[v.minion_id, v.task, v.run] for v in victims]
 
@@ -119,7 +119,7 @@
     """Minions that work of the same or a later rank keeps off, so that their room comes free for one gang."""
 
     minion_ids: frozenset[str]
-    svc: str
+    service: str
     rank: int
     until: float
 
@@ -136,7 +136,7 @@
         """Minions that a group is to keep off."""
         out: frozenset[str] = frozenset()
         for unit, nom in self.by.items():
-            if unit != (group.job_id, group.key) and group.rank >= nom.rank and group.svc == nom.svc:
+            if unit != (group.job_id, group.key) and group.rank >= nom.rank and group.service == nom.service:
                 out |= nom.minion_ids
         return out
 
@@ -163,7 +163,7 @@
         taken = frozenset(minion_id for nom in self.by.values() for minion_id in nom.minion_ids)
         best: tuple[float, str, list[str]] | None = None
         racks: dict[str, list[tuple[float, str, int]]] = {}
-        for name, rack in self.room.racks(svc=group.svc).items():
+        for name, rack in self.room.racks(service=group.service).items():
             for spot in self.room.of_rack(rack=rack):
                 top = spot.cap.copies(group.size)
                 if top and spot.minion_id not in taken and (not group.req or group.req in spot.labels):
@@ -180,6 +180,8 @@
         if best is None:
             self.rest[unit] = now + 1.0
             return None
-        nom = Nomination(minion_ids=frozenset(best[2]), svc=group.svc, rank=group.rank, until=now + NOMINATE_MOST_S)
+        nom = Nomination(
+            minion_ids=frozenset(best[2]), service=group.service, rank=group.rank, until=now + NOMINATE_MOST_S
+        )
         self.by[unit] = nom
         return nom
--- a/yarrowloom/scheduling/scheduler.py
+++ b/yarrowloom/scheduling/scheduler.py
@@ -51,16 +51,16 @@
     def pump(self) -> None:
         """One slice of placing, if one is due."""
         now = self.environment.now
-        if now < self.next_slice or not self.rep.serving():
+        if now < self.next_slice or not self.replica.serving():
             return
         cycles, looks = self.cycles, self.room.looks
         self.nominator.sweep(now=now)
         for group in self.backlog.due(now=now)[:DUE]:
             self._requeue(group=group)
-        for svc, sizes in self.room.take_grown().items():
-            self.walks.setdefault(svc, Walk()).grow(sizes=sizes)
-        for svc in sorted(self.backlog.active.keys() | self.walks.keys()):
-            self._slice(svc=svc)
+        for service, sizes in self.room.take_grown().items():
+            self.walks.setdefault(service, Walk()).grow(sizes=sizes)
+        for service in sorted(self.backlog.active.keys() | self.walks.keys()):
+            self._slice(service=service)
         took = (self.cycles - cycles) * CYCLE_COST_S + (self.room.looks - looks) * LOOK_COST_S
         self.next_slice = now + max(PASS_S, 2 * took)
 
@@ -68,23 +68,23 @@
         """Its backoff is over: its place may have changed."""
         prio, _ = self.prio(job_id=group.job_id, key=group.key, seen=group.seen)
         self.backlog.wake(group=group)
-        self.backlog.rekey(group=group, prio=prio, svc=group.svc)
+        self.backlog.rekey(group=group, prio=prio, service=group.service)
 
-    def _slice(self, *, svc: str) -> None:
-        walk = self.walks.setdefault(svc, Walk())
-        walk.begin(top=self._tops(svc=svc))
+    def _slice(self, *, service: str) -> None:
+        walk = self.walks.setdefault(service, Walk())
+        walk.begin(top=self._tops(service=service))
         walk.looks = LOOKS
         most = self.room.looks + VISITS
         for _ in range(CYCLES):
-            group = self.backlog.pop(svc=svc, walk=walk) if self.room.looks < most else None
+            group = self.backlog.pop(service=service, walk=walk) if self.room.looks < most else None
             if group is None:
                 return
             self._turn(group=group, walk=walk)
 
-    def _tops(self, *, svc: str) -> dict[str, int]:
+    def _tops(self, *, service: str) -> dict[str, int]:
         """By label, the earliest rank of groups that hold their room against later ranks."""
         out: dict[str, int] = {}
-        for (req, rank), units in sorted(self.holding.get(svc, {}).items()):
+        for (req, rank), units in sorted(self.holding.get(service, {}).items()):
             while units and req not in out:
                 unit, until = next(iter(units.items()))
                 group = self.backlog.groups.get(unit)
@@ -104,12 +104,12 @@
             return
         if self.environment.wall > group.late_at and not group.prio[0]:
             prio, _ = self.prio(job_id=group.job_id, key=group.key, seen=group.seen)
-            self.backlog.rekey(group=group, prio=prio, svc=group.svc)
+            self.backlog.rekey(group=group, prio=prio, service=group.service)
         waited = self.environment.now - group.since
         patient = (
             bool(group.near)
             and waited < min(group.est, 4000) / 2000 * (self.far - 1)
-            and bool(self.room.labelled(svc=group.svc, label=group.near))
+            and bool(self.room.labelled(service=group.service, label=group.near))
         )
         if walk.hopeless(group):
             decision = Decision(placed=[], feasible=False, fit=0, refused={"as-before": len(members)})
@@ -117,7 +117,7 @@
             decision = self._cycle(group=group, members=members, unit=unit, walk=walk, strict=patient)
         if decision.feasible:
             group.tries = 0
-            self.holding.get(group.svc, {}).get((group.req, group.rank), {}).pop((group.job_id, group.key), None)
+            self.holding.get(group.service, {}).get((group.req, group.rank), {}).pop((group.job_id, group.key), None)
             self.bind(group=group, decision=decision)
             if group.phase is Phase.TURN:
                 if len(members) > len(decision.placed):
@@ -134,7 +134,7 @@
         there = self._there(group=group) if group.apart else {}
         sore = frozenset(group.sore)
         ask = Ask(
-            svc=group.svc,
+            service=group.service,
             size=group.size,
             members=members if group.gang else members[:BATCH],
             need=len(members) if group.gang else 1,
@@ -184,7 +184,7 @@
             members=n,
             why=why,
         )
-        could = self.room.could(svc=group.svc, size=group.size, req=group.req, n=n if group.gang else 1)
+        could = self.room.could(service=group.service, size=group.size, req=group.req, n=n if group.gang else 1)
         if group.never is could:
             group.never = not could
             self.weigh(group=group)
@@ -194,30 +194,30 @@
         if not late and waited > AFTER_S and not group.gang:
             self._preempt(
                 rows=self.preemptor.choose(group=group, n=n, strict=patient, now=self.environment.now),
-                svc=group.svc,
-                note=group.svc,
+                service=group.service,
+                note=group.service,
             )
         if group.gang and not late and waited > NOMINATE_AFTER_S:
             nom = self.nominator.nominate(group=group, n=n, now=self.environment.now)
             if nom is not None:
                 self._preempt(
-                    rows=self.preemptor.on(minion_ids=nom.minion_ids, svc=group.svc, rank=group.rank),
-                    svc=group.svc,
+                    rows=self.preemptor.on(minion_ids=nom.minion_ids, service=group.service, rank=group.rank),
+                    service=group.service,
                     note="",
                 )
                 self.environment.trace(
                     event="minions-nominated", id=group.job_id, unit=group.key, n=n, minions=len(nom.minion_ids)
                 )
         if not late and not patient and not group.gang and BLOCK_S <= waited < BLOCK_MOST_S and could:
-            units = self.holding.setdefault(group.svc, {}).setdefault((group.req, group.rank), {})
+            units = self.holding.setdefault(group.service, {}).setdefault((group.req, group.rank), {})
             units[group.job_id, group.key] = group.since + BLOCK_MOST_S
             walk.top[group.req] = min(walk.top.get(group.req, group.rank), group.rank)
         self.backlog.park(group=group, now=self.environment.now)
 
-    def _preempt(self, *, rows: list[Any], svc: str, note: str) -> None:
+    def _preempt(self, *, rows: list[Any], service: str, note: str) -> None:
         if rows:
-            self.stops(self.preemptor.stop(victims=rows, svc=note, now=self.environment.now))
-            self.environment.note(event="pushed-out", runs=len(rows), service=svc)
+            self.stops(self.preemptor.stop(victims=rows, service=note, now=self.environment.now))
+            self.environment.note(event="pushed-out", runs=len(rows), service=service)
 
     # -- time
 
@@ -235,8 +235,8 @@
                 event="warm", **{k: row[k] for k in ("hits", "misses", "gone", "cold", "core-s-held")}
             )
         self.give_up()
-        for uid in self.room.silent(now=now, after=SILENT_S):
-            self.silence(uid=uid)
+        for node_id in self.room.silent(now=now, after=SILENT_S):
+            self.silence(node_id=node_id)
         self.release(self.pool.expire(now=now))
         wall = self.environment.wall * 1000
         while self.timed and self.timed[0][0] <= wall:
@@ -248,7 +248,7 @@
                 heapq.heappush(self.timed, (wall + 200.0, job_id))
                 continue
             if wall >= job["first"] + job["k"] * job["period"]:
-                self.effects(self.rep.commit(event={"t": "due", "id": job_id, "k": job["k"]}))
+                self.effects(self.replica.commit(event={"t": "due", "id": job_id, "k": job["k"]}))
             if job["k"] < job["times"]:
                 self._timed(job_id=job_id)
         if now - self.swept > SWEEP_S:
@@ -258,13 +258,13 @@
 
     def _sweep(self) -> None:
         now = self.environment.now
-        for svc, victim in self.preemptor.crawling(now=now):
+        for service, victim in self.preemptor.crawling(now=now):
             parts = split_name(task=victim.task)
             group = self.backlog.groups.get(parts[:2]) if parts is not None else None
             if group is not None:
                 group.sore.add(victim.minion_id)
-            self.stops(self.preemptor.stop(victims=[victim], svc="", now=now))
-            self.environment.note(event="crawls", task=victim.task, minion=victim.minion_id, service=svc)
+            self.stops(self.preemptor.stop(victims=[victim], service="", now=now))
+            self.environment.note(event="crawls", task=victim.task, minion=victim.minion_id, service=service)
         ids = []
         while self.over and now - self.over[0][0] > self.status_s * 1.25:
             at, job_id = self.over.popleft()
@@ -273,7 +273,7 @@
             else:
                 ids.append(job_id)
         if ids:
-            self.rep.commit(event={"t": "forget", "ids": ids})
+            self.replica.commit(event={"t": "forget", "ids": ids})
         for task, held in list(self.held.items()):  # of a gang's member that is done by another's end, say
             spot = self.room.spots.get(held.minion_id)
             if spot is None or spot.seq != held.seq:
@@ -308,7 +308,7 @@
             group = self.backlog.groups[job_id, key]
             before = sum(
                 group_id.prio < group.prio
-                and group_id.svc == group.svc
+                and group_id.service == group.service
                 and group_id.phase in (Phase.ACTIVE, Phase.PARKED)
                 for group_id in self.backlog.groups.values()
             )
@@ -341,5 +341,7 @@
             "live-jobs": self.live,
             "nominated": sum(len(n.minion_ids) for n in self.nominator.by.values()),
             "warm": self.warmer.report(),
-            "expected-wait-ms": {svc: round(self.expected(svc=svc, rank=9)) for svc in self.room.shelves},
+            "expected-wait-ms": {
+                service: round(self.expected(service=service, rank=9)) for service in self.room.shelves
+            },
         }
--- a/yarrowloom/scheduling/scheduling_cycle.py
+++ b/yarrowloom/scheduling/scheduling_cycle.py
@@ -17,7 +17,7 @@
     time first seen, then by index (one step's tasks share the first two). `need` is the criterion: how many more
     members must be placed for any to bind."""
 
-    svc: str
+    service: str
     size: Size
     members: list[int]
     need: int
@@ -115,7 +115,7 @@
 def placement_feasible(*, placed: int, ask: Ask) -> bool:
     """The criterion on the cumulative result: a minimum count.
 
-    >>> placement_feasible(placed=2, ask=Ask(svc="s", size=Size(1, 1, 0), members=[0, 1, 2], need=3))
+    >>> placement_feasible(placed=2, ask=Ask(service="s", size=Size(1, 1, 0), members=[0, 1, 2], need=3))
     False
     """
     return placed >= max(ask.need, 1)
@@ -134,13 +134,13 @@
     member is an even tighter fit, so it stays the best until it is full."""
     put_off: list[Spot] = []
     if ask.near:
-        for spot in snap.room.labelled(svc=ask.svc, label=ask.near):
+        for spot in snap.room.labelled(service=ask.service, label=ask.near):
             if spot.minion_id in ask.sore:
                 put_off.append(spot)
             else:
                 yield spot
     if not ask.strict:
-        for spot in snap.room.ordered(svc=ask.svc, size=ask.size):
+        for spot in snap.room.ordered(service=ask.service, size=ask.size):
             if ask.near and ask.near in spot.labels:
                 continue
             if spot.minion_id in ask.sore:
@@ -173,10 +173,10 @@
     rack is what is free there less what the group takes, so the first feasible one in the order of what is free is the
     fullest. Only minions with room for a member are looked at, as the index gives them, the tightest fit first."""
     spots: dict[str, list[Spot]] = {}
-    for spot in room.ordered(svc=ask.svc, size=ask.size):
+    for spot in room.ordered(service=ask.service, size=ask.size):
         spots.setdefault(spot.rack, []).append(spot)
     spots.pop("", None)  # of no rack
-    racks = room.racks(svc=ask.svc)
+    racks = room.racks(service=ask.service)
     most, refused = 0, {"rack": sum(len(rack.minion_ids) for name, rack in racks.items() if name and name not in spots)}
     for name in sorted(spots, key=lambda name: (racks[name].free.gpu, racks[name].free.cpu, name)):
         rows = spots[name]
@@ -198,7 +198,7 @@
     """One cycle: one snapshot, one decision. Same input, same decision.
 
     >>> room = Room()
-    >>> run(room=room, ask=Ask(svc="s", size=Size(1, 1, 0), members=[0], need=1)).feasible
+    >>> run(room=room, ask=Ask(service="s", size=Size(1, 1, 0), members=[0], need=1)).feasible
     False
     """
     if ask.tight:
--- a/yarrowloom/scheduling/warm_capacity.py
+++ b/yarrowloom/scheduling/warm_capacity.py
@@ -91,7 +91,7 @@
         got = cycle.run(
             room=self.table,
             ask=Ask(
-                svc=room.svc,
+                service=room.service,
                 size=size,
                 members=list(range(room.n)),
                 need=room.n if room.gang else 1,
@@ -115,7 +115,7 @@
         kept = self.kept.pop(kind)
         for minion_id in kept.at:
             self._sum(minion_id=minion_id)
-        self.table.grown.setdefault(kept.room.svc, {}).update(
+        self.table.grown.setdefault(kept.room.service, {}).update(
             (minion_id, s.free)
             for minion_id in kept.at
             if (s := self.table.spots.get(minion_id)) is not None and s.open
