--- a/yarrowloom/simulator/cluster.py
+++ b/yarrowloom/simulator/cluster.py
@@ -30,8 +30,10 @@
         key = (ip, dst, proc.life, lane)
         seq = self.seq[key] = self.seq.get(key, 0) + 1
         node = proc.node
-        head = Header(ip=ip, uid=node.uid, incarnation=node.incarnation, connection=proc.life, lane=lane, seq=seq)
-        uid = head.uid
+        head = Header(
+            ip=ip, node_id=node.node_id, incarnation=node.incarnation, connection=proc.life, lane=lane, seq=seq
+        )
+        node_id = head.node_id
         if ip != dst and ((ip, dst) in self.cuts or self.rng.random() < self.loss):
             if lane is Lane.WORK and dst not in proc.owing:
                 proc.owing.add(dst)
@@ -50,11 +52,11 @@
                 if not fresh:
                     return
                 if lost and lane is Lane.WORK and ip != dst:
-                    to.node.gap(uid=uid)
+                    to.node.gap(node_id=node_id)
                 elif lost and lane is Lane.URGENT and ip != dst:
-                    to.node.lost_from(uid=uid)
+                    to.node.lost_from(node_id=node_id)
                 if kind is not None:
-                    to.node.on(uid=uid, kind=kind, m=orjson.loads(body))
+                    to.node.on(node_id=node_id, kind=kind, m=orjson.loads(body))
 
             if to.turns is None:
                 self.step(dst, to, take)
@@ -65,15 +67,15 @@
 
     def _queue(self, dst: str, to: Proc, head: Header, kind: Kind | None, body: bytes) -> None:
         """A frame for a process that charges its time: as the shell takes it."""
-        ip, uid, lane = head.ip, head.uid, head.lane
+        ip, node_id, lane = head.ip, head.node_id, head.lane
         fresh, lost = head.taken(seen=to.seen)
         if lost and lane is Lane.WORK and ip != dst:
             node = self.core(dst)
-            self.post(dst, to, lambda: node.gap_agent(uid=uid), rank=Rank.AGENT)
-            self.post(dst, to, lambda: node.gap_place(uid=uid), rank=Rank.PLACE)
+            self.post(dst, to, lambda: node.gap_agent(node_id=node_id), rank=Rank.AGENT)
+            self.post(dst, to, lambda: node.gap_place(node_id=node_id), rank=Rank.PLACE)
         if not fresh or kind is None:
             return
-        m = to.repeats.screen(uid=uid, kind=kind, m=orjson.loads(body))
+        m = to.repeats.screen(node_id=node_id, kind=kind, m=orjson.loads(body))
         if m is None:
             return
         rank = rank_of(kind=kind, m=m)
@@ -81,7 +83,7 @@
         self.post(
             dst,
             to,
-            lambda: to.node.on(uid=uid, kind=kind, m=to.repeats.taken(uid=uid, kind=kind, m=m)),
+            lambda: to.node.on(node_id=node_id, kind=kind, m=to.repeats.taken(node_id=node_id, kind=kind, m=m)),
             rank=rank,
             mark=(1, len(body), 0),
             until=until,
@@ -162,6 +164,6 @@
             proc = self.procs[ip]
             if proc.up and isinstance(proc.node, CoreNode) and self.now >= proc.frozen_till:
                 proc.node.now = self.clock(ip)
-                if proc.node.reps[group_id].serving():
+                if proc.node.replicas[group_id].serving():
                     out.append(ip)
         return out
--- a/yarrowloom/simulator/judges/job_rules.py
+++ b/yarrowloom/simulator/judges/job_rules.py
@@ -117,9 +117,9 @@
 
     def _place(self, *, m: SimMinion, task: str, step: dict[str, Any], where: str) -> None:
         now, unit = self.sim.now, task.rsplit(".", 1)[0]
-        svc = getattr(m, "svc", "svc")
-        if svc not in self.services.get(self.queue.get(task.split(".")[0], ""), {svc}):
-            self.breach(rule="ROUTE", what=f"{where} of {svc}")
+        service = getattr(m, "service", "svc")
+        if service not in self.services.get(self.queue.get(task.split(".")[0], ""), {service}):
+            self.breach(rule="ROUTE", what=f"{where} of {service}")
         if step.get("requires") and step["requires"] not in m.labels:
             self.breach(rule="ROUTE", what=f"{where} without {step['requires']}")
         apart = step.get("anti-affinity", 0)
@@ -267,7 +267,7 @@
         need = (step.get("cpus", 0), step.get("mem-mb", 0), step.get("gpus", 0))
         fits, used, have = 0, [0, 0, 0], [0, 0, 0]
         for m in self.fleet:
-            if not m.up or getattr(m, "svc", "svc") not in self.services.get(self.queue.get(job_id, ""), {"svc"}):
+            if not m.up or getattr(m, "service", "svc") not in self.services.get(self.queue.get(job_id, ""), {"svc"}):
                 continue
             busy = self.used(m=m, more=[])
             used = [a + b for a, b in zip(used, busy, strict=True)]
--- a/yarrowloom/simulator/machines/frames.py
+++ b/yarrowloom/simulator/machines/frames.py
@@ -11,7 +11,7 @@
     """What a frame's envelope says. A life's connections have its number: no life opens one after its successor."""
 
     ip: str
-    uid: str
+    node_id: str
     incarnation: int
     connection: int
     lane: Lane
@@ -22,7 +22,7 @@
         return seen.take(
             src=self.ip,
             lane=self.lane,
-            uid=self.uid,
+            node_id=self.node_id,
             incarnation=self.incarnation,
             seq=self.seq,
             connection=self.connection,
--- a/yarrowloom/simulator/machines/machine_set.py
+++ b/yarrowloom/simulator/machines/machine_set.py
@@ -58,7 +58,7 @@
         self.count = 0
         self.procs: dict[str, Proc] = {}
         self.disks: dict[str, Disk] = {}
-        self.uids: dict[str, str] = {}
+        self.node_ids: dict[str, str] = {}
         self.cuts: set[tuple[str, str]] = set()
         self.loss = 0.0
         self.stalls: dict[str, float] = {}
@@ -149,13 +149,13 @@
                 rand=self.rng.random(),
                 token=f"{self.lives:x}x",
             )
-            uid = node.uid
+            node_id = node.node_id
             disk.synced = [*node.checkpoint(), END]
             self._digest_records(ip=ip, bodies=disk.synced)
         else:
-            uid = f"{ip}:7001#{self.lives:x}"
-            node = EdgeNode(startup=st, uid=uid, incarnation=FIRST, log=log)
-        self.uids[ip] = uid
+            node_id = f"{ip}:7001#{self.lives:x}"
+            node = EdgeNode(startup=st, node_id=node_id, incarnation=FIRST, log=log)
+        self.node_ids[ip] = node_id
         proc = Proc(node=node, life=self.lives)
         self.procs[ip] = proc
         if core and self.speed:
--- a/yarrowloom/simulator/minion_population.py
+++ b/yarrowloom/simulator/minion_population.py
@@ -57,8 +57,11 @@
 
 def loads(*, sim: Sim) -> dict[str, int]:
     """By machine: how many minions its agent has by group 0's record."""
-    reg = sim.core(sim.serving(group_id=0)[0]).reg
-    return {ip: sum(reg.owners.load(uid=u) for u in reg.members if u.split(":")[0] == ip) for ip in sim.core_ips}
+    registry = sim.core(sim.serving(group_id=0)[0]).registry
+    return {
+        ip: sum(registry.owners.load(node_id=u) for u in registry.members if u.split(":")[0] == ip)
+        for ip in sim.core_ips
+    }
 
 
 def back(*, sim: Sim, n: int, limit: float = 40.0) -> tuple[float, float]:
--- a/yarrowloom/simulator/observers.py
+++ b/yarrowloom/simulator/observers.py
@@ -85,7 +85,7 @@
                 )
 
     def _epoch(self, *, ip: str, group_id: int) -> Any:
-        epoch = self.sim.core(ip).reps[group_id].epoch
+        epoch = self.sim.core(ip).replicas[group_id].epoch
         return "?" if epoch is None else epoch["n"]
 
 
--- a/yarrowloom/simulator/worker.py
+++ b/yarrowloom/simulator/worker.py
@@ -42,11 +42,11 @@
         site: str,
         cap: tuple[int, int, int],
         labels: tuple[str, ...],
-        svc: str = "svc",
+        service: str = "svc",
         guards: bool = False,
         addr: str = "",
     ) -> None:
-        self.judge, self.world, self.svc, self.guards = judge, world, svc, guards
+        self.judge, self.world, self.service, self.guards = judge, world, service, guards
         self.addr = addr or f"{minion_id}:1"
         self.sick = ""  # "grey" fails all it starts, "hung" makes no progress
         self.speed = 1.0
@@ -62,7 +62,7 @@
     def account(self, *, seq: int, sent: float) -> dict[str, Any]:
         """What a heartbeat tells."""
         doc = super().account(seq=seq, sent=sent)
-        doc |= {"backend": self.svc, "address": self.addr}
+        doc |= {"backend": self.service, "address": self.addr}
         if self.drained:
             doc["leave-at-ms"] = int(1000 * max(0.0, (self.acked or sent) + LEAVE_S - sent))
         return doc
--- a/yarrowloom/simulator/workload.py
+++ b/yarrowloom/simulator/workload.py
@@ -100,7 +100,7 @@
                 site=f"z{i % len(sim.sites)}",
                 cap=cap,
                 labels=("a", f"r{i % racks}"),
-                svc="aux" if i >= minions - aux else "svc",
+                service="aux" if i >= minions - aux else "svc",
             )
         self.client = Client(sim=sim, judge=judge)
         self.job_ids: list[str] = []
@@ -122,7 +122,7 @@
         site: str,
         cap: tuple[int, int, int],
         labels: tuple[str, ...],
-        svc: str = "svc",
+        service: str = "svc",
         addr: str = "",
     ) -> Worker:
         """One more minion."""
@@ -134,7 +134,7 @@
             site=site,
             cap=cap,
             labels=labels,
-            svc=svc,
+            service=service,
             guards=self.guards,
             addr=addr,
         )
@@ -155,7 +155,7 @@
                 site=m.site,
                 cap=m.cap,
                 labels=m.labels,
-                svc=m.svc,
+                service=m.service,
                 addr=m.addr if same else "",
             )
             if times > 1:
--- a/yarrowloom/testbed/callers.py
+++ b/yarrowloom/testbed/callers.py
@@ -42,7 +42,7 @@
 
 
 def config(
-    *, version: int, queues: tuple[Queue, ...] = QUEUES, svc: str = "hollow", more: int = 0, guards: bool = False
+    *, version: int, queues: tuple[Queue, ...] = QUEUES, service: str = "hollow", more: int = 0, guards: bool = False
 ) -> dict[str, Any]:
     """A configuration of the queues on one service, with `more` idle queues besides.
 
@@ -52,7 +52,7 @@
     rows = queues + tuple(Queue(name=f"idle-{i}", rank=3, share=0.0) for i in range(more))
     return {
         "config-version": version,
-        "service-table": [{"name": svc, "conn-limit": 64, "guards": guards}],
+        "service-table": [{"name": service, "conn-limit": 64, "guards": guards}],
         "route-table": [
             {
                 "name": q.name,
@@ -62,7 +62,7 @@
                 "deadline-ms": 3000,
                 "target-ms": q.target_ms,
                 "rank": q.rank,
-                "backend": svc,
+                "backend": service,
                 "max-tries": q.tries,
                 "stretch": q.stretch,
             }
--- a/yarrowloom/testbed/fleet.py
+++ b/yarrowloom/testbed/fleet.py
@@ -19,7 +19,7 @@
 
     count: int
     sites: list[str]
-    svc: str = "hollow"
+    service: str = "hollow"
     cap: tuple[int, int, int] = (16000, 32768, 0)
     gpu_every: int = 0  # every so many-th minion has `gpus` accelerators
     gpus: int = 0
@@ -71,7 +71,7 @@
         return Hollow(
             yard=self.yard,
             minion_id=f"i-{num:05d}-{life}",
-            svc=crew.svc,
+            service=crew.service,
             site=site,
             cap=(crew.cap[0], crew.cap[1], gpus),
             labels=("gpu" if gpus else "cpu", name),
--- a/yarrowloom/testbed/simulated_minion.py
+++ b/yarrowloom/testbed/simulated_minion.py
@@ -145,14 +145,14 @@
         *,
         yard: Yard,
         minion_id: str,
-        svc: str,
+        service: str,
         site: str,
         cap: tuple[int, int, int],
         labels: tuple[str, ...],
         guards: bool = False,
         due: float = 0.0,
     ) -> None:
-        self.yard, self.minion_id, self.svc, self.site, self.cap = yard, minion_id, svc, site, cap
+        self.yard, self.minion_id, self.service, self.site, self.cap = yard, minion_id, service, site, cap
         self.labels, self.guards, self.due = labels, guards, due
         self.drift = yard.rng.uniform(0.0, yard.bounds.drift)
         self.running: dict[str, Run] = {}
@@ -242,7 +242,7 @@
         self.open = self.seq
         cpus, mem, gpus = self.cap
         doc: dict[str, Any] = {
-            "backend": self.svc,
+            "backend": self.service,
             "address": f"{self.minion_id}:1",
             "zone": self.site,
             "config-version": "v1",
--- a/yarrowloom/testbed/slopes.py
+++ b/yarrowloom/testbed/slopes.py
@@ -265,7 +265,7 @@
     bed = made(cores=3, edges=1, minions=minions, seed=seed)
     core = bed.core(ip=bed.core_ips[0])
     us = clock_us(lambda: core.checkpoint(), times=5)
-    size = len(dump(body=core.reg.dump()))
+    size = len(dump(body=core.registry.dump()))
     return {
         "checkpoint-us-a-minion": us / minions,
         "registry-bytes-a-minion": size / minions,
@@ -327,18 +327,18 @@
 }
 
 
-def slopes(*, reps: int, out: str, only: tuple[str, ...] = ()) -> dict[str, str]:
+def slopes(*, replicas: int, out: str, only: tuple[str, ...] = ()) -> dict[str, str]:
     """Each figure's median with its lowest and highest of `reps` runs, seeds 1 to `reps`."""
     known = {**RUNS, **LARGE}
     unknown = [name for name in only if name not in known]
-    if reps < 1 or unknown:
+    if replicas < 1 or unknown:
         raise UsageError(text=f"reps above 0, and runs among {', '.join(known)}")
     raw: dict[str, list[Row]] = {}
     res: dict[str, str] = {}
     for name, fn in known.items():
         if name not in (only or RUNS):
             continue
-        raw[name] = [fn(seed) for seed in range(1, reps + 1)]
+        raw[name] = [fn(seed) for seed in range(1, replicas + 1)]
         for key in raw[name][0]:
             vals = [row[key] for row in raw[name]]
             res[f"{name}.{key}"] = f"{statistics.median(vals):.5g} ({min(vals):.5g} to {max(vals):.5g})"
@@ -347,7 +347,8 @@
         path.parent.mkdir(parents=True, exist_ok=True)
         path.write_bytes(
             orjson.dumps(
-                {"day": time.strftime("%Y-%m-%d", time.gmtime()), "reps": reps, "runs": raw}, option=orjson.OPT_INDENT_2
+                {"day": time.strftime("%Y-%m-%d", time.gmtime()), "reps": replicas, "runs": raw},
+                option=orjson.OPT_INDENT_2,
             )
         )
     return res
--- a/yarrowloom/testbed/virtual_testbed.py
+++ b/yarrowloom/testbed/virtual_testbed.py
@@ -35,12 +35,12 @@
 TICK_S = {"core": 0.05, "edge": 0.1}
 
 
-def take(node: Any, *, uid: str, kind: Kind, body: bytes) -> None:
+def take(node: Any, *, node_id: str, kind: Kind, body: bytes) -> None:
     """One message, which a node takes as bytes or parsed."""
     if PARSED:
-        node.on(uid=uid, kind=kind, m=orjson.loads(body))
+        node.on(node_id=node_id, kind=kind, m=orjson.loads(body))
     else:
-        node.on(uid=uid, kind=kind, body=body)
+        node.on(node_id=node_id, kind=kind, body=body)
 
 
 @dataclass(kw_only=True)
@@ -111,10 +111,10 @@
         log = Log(name="bed", level="error")
         node: CoreNode | EdgeNode
         if core:
-            uid = f"{ip}:{PORTS[0]}#0" if ip in self.core_ips[:3] else f"{ip}:{PORTS[0]}#{secrets.token_hex(4)}"
+            node_id = f"{ip}:{PORTS[0]}#0" if ip in self.core_ips[:3] else f"{ip}:{PORTS[0]}#{secrets.token_hex(4)}"
             node = CoreNode(
                 startup=startup,
-                uid=uid,
+                node_id=node_id,
                 incarnation=1,
                 log=log,
                 first=ip in self.core_ips[:3],
@@ -122,7 +122,7 @@
                 rand=self.rng.random(),
             )
         else:
-            node = EdgeNode(startup=startup, uid=f"{ip}:{PORTS[0] + 1}#e", incarnation=1, log=log)
+            node = EdgeNode(startup=startup, node_id=f"{ip}:{PORTS[0] + 1}#e", incarnation=1, log=log)
         seat = self.seats[ip] = Seat(ip=ip, node=node)
         self.at(delay=self.rng.random() * 0.05, fn=partial(self._tick, seat, TICK_S[kind]))
 
@@ -169,7 +169,7 @@
                 row.size += len(body)
             if to in self.seats:
                 dst = self.seats[to]
-                if addr != addr_of(uid=dst.node.uid):
+                if addr != addr_of(node_id=dst.node.node_id):
                     continue
                 self.at(
                     delay=0.0 if to == seat.ip else LAG_S,
@@ -178,7 +178,7 @@
                         seat=dst,
                         kind=what.name,
                         size=len(body),
-                        fn=partial(take, dst.node, uid=node.uid, kind=what, body=body),
+                        fn=partial(take, dst.node, node_id=node.node_id, kind=what, body=body),
                     ),
                 )
         if out.writes:
@@ -294,7 +294,7 @@
             m = Hollow(
                 yard=self.yard,
                 minion_id=f"i-{num:05d}",
-                svc=crew.svc,
+                service=crew.service,
                 site=site,
                 cap=(*crew.cap[:2], gpus),
                 labels=("gpu" if gpus else "cpu", f"r-{site}-{num // len(crew.sites) % crew.racks}"),
--- a/yarrowloom/transport/envelope.py
+++ b/yarrowloom/transport/envelope.py
@@ -96,7 +96,7 @@
 
     lane: int = betterproto.uint32_field(1)
     src: str = betterproto.string_field(2)
-    uid: str = betterproto.string_field(3)
+    node_id: str = betterproto.string_field(3)
     incarnation: int = betterproto.uint64_field(4)
     seq: int = betterproto.uint64_field(5)
     body: bytes = betterproto.bytes_field(6)
@@ -106,23 +106,23 @@
         return (
             all(type(num) is int for num in (self.lane, self.incarnation, self.seq))
             and isinstance(self.src, str)
-            and isinstance(self.uid, str)
+            and isinstance(self.node_id, str)
             and isinstance(self.body, bytes)
         )
 
 
-def envelope_fault(*, lane: int, src: str, uid: str, incarnation: int, seq: int) -> str:
+def envelope_fault(*, lane: int, src: str, node_id: str, incarnation: int, seq: int) -> str:
     """What is wrong with a frame's envelope; empty: nothing.
 
-    >>> envelope_fault(lane=1, src="a:1", uid="a:1#0", incarnation=1, seq=1)
+    >>> envelope_fault(lane=1, src="a:1", node_id="a:1#0", incarnation=1, seq=1)
     ''
-    >>> envelope_fault(lane=9, src="a:1", uid="a:1#0", incarnation=1, seq=1)
+    >>> envelope_fault(lane=9, src="a:1", node_id="a:1#0", incarnation=1, seq=1)
     'lane 9 is unknown'
     """
     if lane not in _LANE_NUMBERS:
         return f"lane {lane} is unknown"
-    if not src or not uid.startswith(src + "#"):
-        return f"uid {uid!r} is not one of address {src!r}"
+    if not src or not node_id.startswith(src + "#"):
+        return f"uid {node_id!r} is not one of address {src!r}"
     if incarnation < 1:
         return "incarnation 0"
     return "" if seq > 0 else "sequence 0"
@@ -157,13 +157,13 @@
 class Sealer:
     """Writes the frames of one lane to one peer. All but the last two fields stay, so they are encoded once.
 
-    >>> one = Frame(lane=2, src="a", uid="a#0", incarnation=7, seq=300, body=b"[]")
-    >>> Sealer(lane=Lane.WORK, src="a", uid="a#0", incarnation=7).seal(seq=300, body=b"[]") == pack(frame=one)
+    >>> one = Frame(lane=2, src="a", node_id="a#0", incarnation=7, seq=300, body=b"[]")
+    >>> Sealer(lane=Lane.WORK, src="a", node_id="a#0", incarnation=7).seal(seq=300, body=b"[]") == pack(frame=one)
     True
     """
 
-    def __init__(self, *, lane: Lane, src: str, uid: str, incarnation: int) -> None:
-        self._head = bytes(Frame(lane=int(lane), src=src, uid=uid, incarnation=incarnation))
+    def __init__(self, *, lane: Lane, src: str, node_id: str, incarnation: int) -> None:
+        self._head = bytes(Frame(lane=int(lane), src=src, node_id=node_id, incarnation=incarnation))
 
     def seal(self, *, seq: int, body: bytes) -> bytes:
         """Length-prefixed bytes; `seq` is above 0, `body` not empty."""
@@ -234,7 +234,7 @@
                     return Frame(
                         lane=last.lane,
                         src=last.src,
-                        uid=last.uid,
+                        node_id=last.node_id,
                         incarnation=last.incarnation,
                         seq=seq,
                         body=raw[pos:],
@@ -242,7 +242,7 @@
         frm: Frame = Frame().parse(raw)
         if not frm.typed():
             raise ValueError("a field is of the wrong type")
-        head = bytes(Frame(lane=frm.lane, src=frm.src, uid=frm.uid, incarnation=frm.incarnation))
+        head = bytes(Frame(lane=frm.lane, src=frm.src, node_id=frm.node_id, incarnation=frm.incarnation))
         self._head, self._last = (head, frm) if raw.startswith(head) else (b"", frm)
         return frm
 
--- a/yarrowloom/transport/peer_connections.py
+++ b/yarrowloom/transport/peer_connections.py
@@ -80,7 +80,7 @@
     """One life of a process. A core keeps its uid with its disk and counts its lives there (`incarnation`); an edge
     has a uid of its own for each life."""
 
-    uid: str
+    node_id: str
     incarnation: int
 
 
@@ -105,23 +105,25 @@
     def __init__(self) -> None:
         self._senders: dict[str, _Sender] = {}
 
-    def take(self, *, src: str, lane: int, uid: str, incarnation: int, seq: int, connection: int) -> tuple[bool, bool]:
+    def take(
+        self, *, src: str, lane: int, node_id: str, incarnation: int, seq: int, connection: int
+    ) -> tuple[bool, bool]:
         """Whether a frame is to be taken, and whether others before it are missing. `incarnation` is the sender's;
         `connection`: connections are numbered as they are accepted.
 
         >>> seen = Seen()
-        >>> [seen.take(src="a", lane=2, uid="a#0", incarnation=1, seq=n, connection=1) for n in (1, 2, 2, 4)]
+        >>> [seen.take(src="a", lane=2, node_id="a#0", incarnation=1, seq=n, connection=1) for n in (1, 2, 2, 4)]
         [(True, True), (True, False), (False, False), (True, True)]
-        >>> seen.take(src="a", lane=2, uid="a#7", incarnation=1, seq=1, connection=2)
+        >>> seen.take(src="a", lane=2, node_id="a#7", incarnation=1, seq=1, connection=2)
         (True, True)
-        >>> seen.take(src="a", lane=2, uid="a#0", incarnation=1, seq=5, connection=1)
+        >>> seen.take(src="a", lane=2, node_id="a#0", incarnation=1, seq=5, connection=1)
         (False, False)
         """
         sender = self._senders.get(src)
         if sender is None:
-            sender = self._senders[src] = _Sender(identity=Identity(uid, incarnation), connection=connection)
-        elif sender.identity != (uid, incarnation):
-            identity = Identity(uid, incarnation)
+            sender = self._senders[src] = _Sender(identity=Identity(node_id, incarnation), connection=connection)
+        elif sender.identity != (node_id, incarnation):
+            identity = Identity(node_id, incarnation)
             if not self._follows(sender=sender, identity=identity, connection=connection):
                 return False, False
             sender = self._senders[src] = self._succeeded(sender=sender, identity=identity, connection=connection)
@@ -142,7 +144,7 @@
     def _follows(*, sender: _Sender, identity: Identity, connection: int) -> bool:
         if identity in sender.retired:
             return False
-        if identity.uid == sender.identity.uid:
+        if identity.node_id == sender.identity.node_id:
             return identity.incarnation > sender.identity.incarnation
         return connection > sender.connection
 
@@ -162,9 +164,9 @@
     first frame. So whoever sent a frame was alive after its connection got its number, and of two processes that
     followed each other at an address the later one has the higher numbers, whatever a cut or a full backlog held up."""
 
-    def __init__(self, *, addr: str, uid: str, incarnation: int, sink: Sink, log: Log) -> None:
+    def __init__(self, *, addr: str, node_id: str, incarnation: int, sink: Sink, log: Log) -> None:
         self.addr = addr
-        self.uid = uid
+        self.node_id = node_id
         self.incarnation = incarnation
         self.sink = sink
         self.log = log
@@ -179,7 +181,7 @@
         """Queue a message; dropped when the peer's queue is full."""
         lane = LANES[kind]
         if addr == self.addr:  # parsed, not handed over: what a state machine holds must not be shared
-            self.sink(self.uid, lane, [(kind, orjson.loads(body))], False)
+            self.sink(self.node_id, lane, [(kind, orjson.loads(body))], False)
             return
         pair = self._out.get((addr, lane))
         if pair is None:
@@ -220,7 +222,7 @@
     async def _pump(self, addr: str, lane: Lane, line: Line) -> None:
         host, port = addr.rsplit(":", 1)
         stream: trio.SocketStream | None = None
-        sealer = Sealer(lane=lane, src=self.addr, uid=self.uid, incarnation=self.incarnation)
+        sealer = Sealer(lane=lane, src=self.addr, node_id=self.node_id, incarnation=self.incarnation)
         try:
             while True:
                 real = await self._next(addr=addr, lane=lane, line=line)
@@ -312,37 +314,37 @@
                 return
 
     def _deliver(self, frm: Frame, *, connection: int) -> None:
-        number, src, uid, incarnation, seq = (
+        number, src, node_id, incarnation, seq = (
             frm.lane,
             frm.src,
-            frm.uid,
+            frm.node_id,
             frm.incarnation,
             frm.seq,
         )  # reading a field is not cheap
-        envelope = (number, src, uid, incarnation)
+        envelope = (number, src, node_id, incarnation)
         if seq < 1 or self._checked.get(connection) != envelope:  # else it is as good as the last one's
-            fault = envelope_fault(lane=number, src=src, uid=uid, incarnation=incarnation, seq=seq)
+            fault = envelope_fault(lane=number, src=src, node_id=node_id, incarnation=incarnation, seq=seq)
             if fault:
-                self.log.warn("frame-malformed", peer=uid, why=fault)
+                self.log.warn("frame-malformed", peer=node_id, why=fault)
                 return
             self._checked[connection] = envelope
         fresh, lost = self._seen.take(
-            src=src, lane=number, uid=uid, incarnation=incarnation, seq=seq, connection=connection
+            src=src, lane=number, node_id=node_id, incarnation=incarnation, seq=seq, connection=connection
         )
         if not fresh:
-            self._passed_over(src=src, identity=Identity(uid, incarnation), connection=connection)
+            self._passed_over(src=src, identity=Identity(node_id, incarnation), connection=connection)
             return
         lane = Lane(number)
         unknown: set[int] = set()
         try:
             rows = unbundle(body=frm.body, unknown=unknown)
         except (ValueError, TypeError) as err:
-            self.log.warn("frame-malformed", peer=uid, why=repr(err))
+            self.log.warn("frame-malformed", peer=node_id, why=repr(err))
             lane, rows, lost = Lane.WORK, [], True
         if unknown:
-            self.log.warn("frame-kind-unknown", peer=uid, kinds=sorted(unknown)[:8])
+            self.log.warn("frame-kind-unknown", peer=node_id, kinds=sorted(unknown)[:8])
         if rows or lost:
-            self.sink(uid, lane, rows, lost)
+            self.sink(node_id, lane, rows, lost)
 
     def _passed_over(self, *, src: str, identity: Identity, connection: int) -> None:
         """Tell, once for each connection, that its frames are those of a life that does not count (any more)."""
@@ -354,8 +356,8 @@
             del self._told[next(iter(self._told))]
         self.log.warn(
             "peer-life-retired",
-            peer=identity.uid,
+            peer=identity.node_id,
             incarnation=identity.incarnation,
-            current=now.uid,
+            current=now.node_id,
             current_incarnation=now.incarnation,
         )
