--- a/yarrowloom/common/settings.py
+++ b/yarrowloom/common/settings.py
@@ -10,6 +10,7 @@
 
 ENV = "YARROWLOOM_NODE_FILE"
 MOST_LOSSES = 4  # more backups than that are not kept, whatever the budget
+JOB_STATUS_S = 120.0  # where the settings name no figure
 DEFAULT_PATH = "/etc/yarrowloom/local.json"
 
 _BOUNDS_MS = {
@@ -50,6 +51,11 @@
         """A figure of the rules in force."""
         return float(self.bounds.get(name, default))
 
+    @property
+    def job_status_s(self) -> float:
+        """Seconds for which an ended job is shown at least: `status-poll-s`, on older pages `status_s`."""
+        return self.bound(name="status-poll-s", default=self.bound(name="status_s", default=JOB_STATUS_S))
+
 
 def _addr_ok(val: object) -> bool:
     if not isinstance(val, str) or val.count(":") != 1:
--- a/yarrowloom/node/core_environment.py
+++ b/yarrowloom/node/core_environment.py
@@ -107,7 +107,7 @@
                 replica=self.replicas[group_id],
                 jobs=self.jobs[group_id],
                 far=self.startup.bound(name="spread-factor", default=2),
-                status_s=self.startup.bound(name="status_s", default=120),
+                status_s=self.startup.job_status_s,
             )
 
     def deposed(self, *, group_id: int) -> None:
