--- a/tests/integration/test_published_lines.py
+++ b/tests/integration/test_published_lines.py
@@ -33,10 +33,10 @@
     running = [caller.submit(stages=[TASK]) for _ in range(4)]
     sim.run(seconds=2.0)
     assert set(waiting + running) <= set(oracle.accepted)
-    assert all(caller.state(jid=jid) == (200, "active") for jid in running)
+    assert all(caller.state(job_id=jid) == (200, "active") for jid in running)
     assert pending(sim) == (200, 12)
     for jid in waiting[:5]:
-        assert caller.cancel(jid=jid) == 200
+        assert caller.cancel(job_id=jid) == 200
     sim.run(seconds=2.0)
     assert pending(sim) == (200, 7)
     sim.kill(ip=sim.core_ips[0], power=True)
@@ -64,11 +64,11 @@
     sim, _, caller, _ = cluster(seed=82, minions=3, work=0.3)
     jid = caller.submit(stages=[TASK])
     sim.run(seconds=3.0)
-    assert caller.state(jid=jid) == (200, "complete")
+    assert caller.state(job_id=jid) == (200, "complete")
     sim.run(seconds=kept_s - 4.0)
-    assert caller.state(jid=jid) == (200, "complete")
+    assert caller.state(job_id=jid) == (200, "complete")
     sim.run(seconds=0.25 * kept_s + 8.0)
-    assert caller.state(jid=jid)[0] == 410
+    assert caller.state(job_id=jid)[0] == 410
 
 
 @pytest.mark.parametrize("grace_s", [6.0, 8.0])
@@ -78,7 +78,7 @@
     """As long as a call is in hand an edge stays for five sixths of `grace-s` at least, and ends within it."""
     startup = Sim(seed=83).startup(ip="10.0.1.1", first=False)
     startup.bounds["grace-s"] = grace_s
-    node = EdgeNode(startup=startup, uid="10.0.1.1:7001#1", incarnation=FIRST, log=Log(name="test", level="error"))
+    node = EdgeNode(startup=startup, node_id="10.0.1.1:7001#1", incarnation=FIRST, log=Log(name="test", level="error"))
     server = SimpleNamespace(busy=1, closing=False)
     shell = cast(Shell, SimpleNamespace(node=node, servers=[server]))
     monkeypatch.setattr(runtime, "time", SimpleNamespace(monotonic=trio.current_time))
@@ -103,11 +103,44 @@
     assert old.running
     old.crash()
     day.judge.trouble(seconds=8.0)
-    new = day.hire(mid="i-new", site=old.site, cap=(2000, 4000, 0), labels=("a", "r9"), addr=old.addr)
+    new = day.hire(minion_id="i-new", site=old.site, cap=(2000, 4000, 0), labels=("a", "r9"), addr=old.addr)
     fits_new = day.job(task(n=5, requires="r9"))
     day.sim.run(seconds=10.0)
     assert day.judge.shows[fits_new] == "complete" and new.fence > 0
     assert day.judge.shows[needs_old] in ("pending", "active")
-    day.hire(mid="i-third", site=old.site, cap=old.cap, labels=old.labels)
+    day.hire(minion_id="i-third", site=old.site, cap=old.cap, labels=old.labels)
     day.finish()
     assert day.judge.shows[needs_old] == "complete"
+
+
+@pytest.mark.parametrize("end", ["crash", "fail", "done"])
+@pytest.mark.parametrize("seed", range(3))
+def test_each_lasting_task_runs_again_soon_after_its_last_run(end: str, seed: int) -> None:
+    """Each task that lasts counts by itself: from 6 s after its last run it isn't without one for 3 s, though others of
+    its job run; however its run ended, and however often."""
+    day = Day(seed=8500 + seed, minions=6, work=3.0)
+    jid = day.job(task(n=6, cpus=1500, long_running=True))
+    day.sim.run(seconds=3.0)
+    last = {f"{jid}.0.0.{i}": day.sim.now for i in range(6)}
+    begun = day.sim.now
+    for step in range(300):
+        if step % 60 == 0:
+            _end_a_run(day=day, how=end)
+        day.sim.run(seconds=0.1)
+        for name in last:
+            if day.judge.alive.get(name):
+                last[name] = day.sim.now
+            assert day.sim.now - last[name] <= 9.0, (name, last[name] - begun)
+    assert day.judge.broken == [] and day.judge.shows[jid] == "active"
+
+
+def _end_a_run(*, day: Day, how: str) -> None:
+    """End what the busiest minion runs; one that crashes is followed by another."""
+    minion = max((m for m in day.fleet if m.up), key=lambda m: len(m.running))
+    if how == "crash":
+        minion.crash()
+        day.judge.trouble()
+        day.hire(minion_id=f"{minion.minion_id}x", site=minion.site, cap=minion.cap, labels=minion.labels)
+        return
+    for name in list(minion.running):
+        minion.end(task=name, how="failed" if how == "fail" else "done")
