--- a/docs/experiments/growth.py
+++ b/docs/experiments/growth.py
@@ -199,7 +199,7 @@
             ip=sim.core_ips[0],
             method="PUT",
             path="/config",
-            doc=config(version=4, more=routes),
+            document=config(version=4, more=routes),
             headers={"if-match": "3"},
         )
         sim.run(seconds=3.0)
@@ -217,9 +217,9 @@
             src="op",
             method="PUT",
             path="/config",
-            doc=config(version=5, more=routes),
+            document=config(version=5, more=routes),
             headers={"if-match": "4"},
-            back=lambda res: None,
+            back=lambda response: None,
         )
     if mode == "attach":
         for ip in sim.core_ips:
--- a/docs/experiments/growth_state.py
+++ b/docs/experiments/growth_state.py
@@ -103,8 +103,8 @@
             return got
 
         t_cut, _ = ms(cut)
-        t_read, doc = ms(lambda: orjson.loads(body))  # noqa: B023
-        t_load, _ = ms(lambda: Jobs().load(doc["st"]))  # noqa: B023
+        t_read, document = ms(lambda: orjson.loads(body))  # noqa: B023
+        t_load, _ = ms(lambda: Jobs().load(document["st"]))  # noqa: B023
         gc.collect()
         t_gc, _ = ms(gc.collect)
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -25,8 +25,8 @@
     def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
         self.sent.append((node_id, kind, orjson.loads(orjson.dumps(body))))
 
-    def respond(self, *, call: Any, res: Response) -> None:
-        self.answers[call] = res
+    def respond(self, *, call: Any, response: Response) -> None:
+        self.answers[call] = response
 
     def trusted(self) -> bool:
         return self.trust
@@ -34,8 +34,8 @@
     def primary(self, *, group_id: int) -> tuple[str, int] | None:
         return f"p{group_id}", 1
 
-    def evacuated(self, *, site: str) -> bool:
-        return site in self.shut
+    def evacuated(self, *, zone: str) -> bool:
+        return zone in self.shut
 
     def groups(self) -> range:
         return range(1, 3)
@@ -79,7 +79,7 @@
         self.agent.beat(
             minion_id="i",
             call=self.seq,
-            doc={
+            document={
                 "backend": "s",
                 "zone": "z",
                 "state": state,
@@ -96,8 +96,8 @@
         """The answer to the last beat, after time enough."""
         for _ in range(30):
             if self.seq in self.environment.answers:
-                res = self.environment.answers[self.seq]
-                return orjson.loads(res.body) if res.body else {"status": res.status}
+                response = self.environment.answers[self.seq]
+                return orjson.loads(response.body) if response.body else {"status": response.status}
             self.environment.now += 0.05
             self.agent.tick()
         raise AssertionError("never answered")
--- a/tests/cluster_state/test_config_delta.py
+++ b/tests/cluster_state/test_config_delta.py
@@ -38,9 +38,9 @@
     }
 
 
-def changed(*, rng: random.Random, doc: Doc) -> Doc:
+def changed(*, rng: random.Random, document: Doc) -> Doc:
     """Another configuration: rows changed, added at any place, dropped, now and then in another order."""
-    rows = list(doc["route-table"])
+    rows = list(document["route-table"])
     for _ in range(rng.randint(0, 4)):
         at = rng.randrange(len(rows) + 1)
         what = rng.choice(["add", "drop", "alter", "alter"])
@@ -52,7 +52,7 @@
             rows[at % len(rows)] = {**rows[at % len(rows)], "rank": rng.choice([0, 1, 1.0, 2])}
     if rng.random() < 0.1:
         rng.shuffle(rows)
-    out = {**doc, "config-version": doc["config-version"] + rng.randint(1, 3), "route-table": rows}
+    out = {**document, "config-version": document["config-version"] + rng.randint(1, 3), "route-table": rows}
     if rng.random() < 0.2:
         out["limits"] = {"idle-timeout-ms": rng.randint(1, 9)}
     if rng.random() < 0.1:
@@ -64,72 +64,72 @@
     return out
 
 
-def text(doc: Doc) -> bytes:
-    return orjson.dumps(doc, option=orjson.OPT_SORT_KEYS)
+def text(document: Doc) -> bytes:
+    return orjson.dumps(document, option=orjson.OPT_SORT_KEYS)
 
 
 @pytest.mark.parametrize("seed", range(30))
 def test_changes_give_the_whole_document(seed: int) -> None:
     rng = random.Random(seed)
-    doc = whole(version=1, routes=rng.randint(0, 12))
-    past, docs = History(), {1: doc}
-    past.add(doc=doc)
+    document = whole(version=1, routes=rng.randint(0, 12))
+    past, docs = History(), {1: document}
+    past.add(document=document)
     for _ in range(80):
-        doc = orjson.loads(orjson.dumps(changed(rng=rng, doc=doc)))
-        docs[doc["config-version"]] = doc
-        past.add(doc=doc)
-        stamp = rng.choice(list(docs))
-        delta = past.since(stamp=stamp)
+        document = orjson.loads(orjson.dumps(changed(rng=rng, document=document)))
+        docs[document["config-version"]] = document
+        past.add(document=document)
+        config_version = rng.choice(list(docs))
+        delta = past.since(config_version=config_version)
         if delta is None:
             continue
         wire = orjson.loads(orjson.dumps(delta))
-        assert wire["base"] == stamp and wire["to"] == doc["config-version"]
-        assert text(merge(doc=docs[stamp], delta=wire)) == text(doc)
+        assert wire["base"] == config_version and wire["to"] == document["config-version"]
+        assert text(merge(document=docs[config_version], delta=wire)) == text(document)
         other = History()
-        other.add(doc=docs[stamp])
+        other.add(document=docs[config_version])
         got = other.taken(delta=wire)
-        assert got is not None and text(got) == text(doc)
+        assert got is not None and text(got) == text(document)
     assert len(past.docs) == History.STAMPS
-    assert past.since(stamp=1) is None
+    assert past.since(config_version=1) is None
 
 
 def test_a_change_that_does_not_fit_is_seen() -> None:
     old, new = whole(version=1, routes=5), whole(version=2, routes=6)
     delta = diff(old=old, new=new)
     past = History()
-    past.add(doc={**old, "route-table": [route(7), *old["route-table"][1:]]})
+    past.add(document={**old, "route-table": [route(7), *old["route-table"][1:]]})
     assert past.taken(delta=delta) is None
     past = History()
-    past.add(doc=whole(version=9, routes=5))
+    past.add(document=whole(version=9, routes=5))
     assert past.taken(delta=delta) is None
-    assert digest(doc=new) == delta["sum"]
+    assert digest(document=new) == delta["sum"]
 
 
 def test_a_change_of_one_route_of_many_is_short_and_rows_are_shared() -> None:
     past = History()
-    old = past.add(doc=whole(version=1, routes=510))
+    old = past.add(document=whole(version=1, routes=510))
     rows = [*old["route-table"][:200], route(9000), *old["route-table"][201:]]
     fresh = orjson.loads(orjson.dumps({**old, "config-version": 3, "route-table": rows}))
-    new = past.add(doc=fresh)
-    delta = past.since(stamp=1)
+    new = past.add(document=fresh)
+    delta = past.since(config_version=1)
     assert delta is not None and len(orjson.dumps(delta)) < 600 and past.bytes > 70_000
     assert sum(a is b for a, b in zip(old["route-table"], new["route-table"], strict=True)) == 509
-    assert past.since(stamp=1) is delta
+    assert past.since(config_version=1) is delta
 
 
 def test_history_is_bounded_by_rows_that_are_not_shared() -> None:
     past = History()
     for i in range(40):
-        past.add(doc={**whole(version=i + 1, routes=0), "route-table": [route(n, rank=i) for n in range(510)]})
+        past.add(document={**whole(version=i + 1, routes=0), "route-table": [route(n, rank=i) for n in range(510)]})
     assert len(past.docs) <= History.ROWS // 510 + 1
-    assert past.since(stamp=40) is not None
+    assert past.since(config_version=40) is not None
 
 
-def scan(*, doc: Doc, host: str, path: str) -> Doc | None:
+def scan(*, document: Doc, host: str, path: str) -> Doc | None:
     """The plain rule: of the routes whose host and prefix fit, the one of the longest prefix."""
     rows = [
         r
-        for r in doc["route-table"]
+        for r in document["route-table"]
         if r["host-name"].lower() == host.split(":", 1)[0].lower() and path.startswith(r["path-prefix"])
     ]
     return max(rows, key=lambda r: len(r["path-prefix"]), default=None)
@@ -148,16 +148,16 @@
         if (host.lower(), prefix) not in seen:
             seen.add((host.lower(), prefix))
             rows.append({**route(i, host=host), "path-prefix": prefix})
-    doc = {**whole(version=1, routes=0), "route-table": rows}
-    table = Table(doc=doc)
+    document = {**whole(version=1, routes=0), "route-table": rows}
+    table = Table(document=document)
     for _ in range(400):
         host = rng.choice(["h.example", "h.other:80", "X", "none", ""])
         path = piece() + rng.choice(["", piece(), "b"])
-        assert table.select(host=host, path=path) == scan(doc=doc, host=host, path=path)
+        assert table.select(host=host, path=path) == scan(document=document, host=host, path=path)
 
 
 def test_a_look_up_costs_one_step_for_each_length_of_prefix() -> None:
-    table = Table(doc=whole(version=1, routes=510))
+    table = Table(document=whole(version=1, routes=510))
     rows, sizes = table.hosts["h.example"]
     assert len(rows) == 510 and sizes == [6, 5, 4]
 
@@ -167,15 +167,15 @@
     """Backup and journal see events as JSON only; an old journal's whole documents still load."""
     rng = random.Random(seed)
     registry, twin = Registry(), Registry()
-    doc = whole(version=1, routes=20)
+    document = whole(version=1, routes=20)
     kinds = set()
     for _ in range(40):
-        base, method, body = registry.stamp, "PUT", orjson.dumps(doc)
-        if registry.conf is not None and rng.random() < 0.5:
+        base, method, body = registry.config_version, "PUT", orjson.dumps(document)
+        if registry.config is not None and rng.random() < 0.5:
             method = "PATCH"
             body = orjson.dumps(
                 {
-                    "config-version": doc["config-version"],
+                    "config-version": document["config-version"],
                     "upserts": {"route-table": [route(rng.randrange(30), rank=rng.randint(0, 9))]},
                     "removals": {"route-table": [f"r{rng.randrange(9)}"]},
                 }
@@ -187,15 +187,15 @@
         assert registry.judge(method=method, base=str(base), body=body) is None
         with pytest.raises(StampError):
             registry.judge(method=method, base=str(base), body=body + b" ")
-        assert registry.conf is not None
+        assert registry.config is not None
         if rng.random() < 0.3:
-            twin.apply(orjson.loads(orjson.dumps({"t": "conf", "doc": registry.conf, "h": event["h"]})))
+            twin.apply(orjson.loads(orjson.dumps({"t": "conf", "doc": registry.config, "h": event["h"]})))
         else:
             twin.apply(orjson.loads(orjson.dumps(event)))
         assert text(twin.dump()) == text(registry.dump())
         if method == "PUT":
-            assert text(registry.conf) == text(doc)
-        doc = changed(rng=rng, doc=registry.conf)
+            assert text(registry.config) == text(document)
+        document = changed(rng=rng, document=registry.config)
     assert kinds == {True, False}
 
 
@@ -208,16 +208,16 @@
         ("PATCH", {"config-version": 3, "upserts": {"route-table": [route(5, rank=0)]}}),
         ("PUT", {**whole(version=5, routes=511)}),
     ):
-        event = registry.judge(method=method, base=str(registry.stamp), body=orjson.dumps(body))
+        event = registry.judge(method=method, base=str(registry.config_version), body=orjson.dumps(body))
         assert event is not None and len(orjson.dumps(event)) < 800
         registry.apply(event)
-    assert registry.stamp == 5 and small(
-        delta=diff(old=whole(version=1, routes=4), new=whole(version=2, routes=5)), doc=whole(version=2, routes=5)
+    assert registry.config_version == 5 and small(
+        delta=diff(old=whole(version=1, routes=4), new=whole(version=2, routes=5)), document=whole(version=2, routes=5)
     )
 
 
 def test_link_of_the_settings_file_is_checked() -> None:
-    doc: Doc = {
+    document: Doc = {
         "node-name": "n",
         "role": "edge",
         "ip": "10.0.0.1",
@@ -226,9 +226,9 @@
         "internal-ports": [7000, 7009],
         "seed-nodes": [],
     }
-    assert check(doc=doc).link_mbps == 1000.0
-    assert check(doc={**doc, "limits": {"link-mbps": 2}}).link_mbps == 2.0
+    assert check(document=document).link_mbps == 1000.0
+    assert check(document={**document, "limits": {"link-mbps": 2}}).link_mbps == 2.0
     for bad in (0, -1, "2", True, None):
         with pytest.raises(StartupError) as err:
-            check(doc={**doc, "limits": {"link-mbps": bad}})
+            check(document={**document, "limits": {"link-mbps": bad}})
         assert [f.place for f in err.value.findings] == ["limits.link-mbps"]
--- a/tests/cluster_state/test_config_values.py
+++ b/tests/cluster_state/test_config_values.py
@@ -16,10 +16,10 @@
 
 
 def changed(*, table: str, key: str, value: Any) -> dict[str, Any]:
-    doc = copy.deepcopy(config(version=9))
-    for row in doc[table] if isinstance(doc[table], list) else [doc[table]]:
+    document = copy.deepcopy(config(version=9))
+    for row in document[table] if isinstance(document[table], list) else [document[table]]:
         row[key] = value
-    return doc
+    return document
 
 
 @pytest.mark.parametrize(
@@ -32,7 +32,7 @@
 @pytest.mark.parametrize("value", [HUGE, OVER, 2**64 - 1, -1, "1", True, None])
 def test_numbers_that_could_not_be_written_again_are_refused(table: str, key: str, value: Any) -> None:
     with pytest.raises(InvalidError) as err:
-        check(doc=orjson.loads(orjson.dumps(changed(table=table, key=key, value=value))))
+        check(document=orjson.loads(orjson.dumps(changed(table=table, key=key, value=value))))
     assert all(finding.place.startswith(table) and finding.place.endswith(key) for finding in err.value.findings)
 
 
@@ -49,9 +49,9 @@
     sim, oracle, caller, _ = cluster(seed=3)
     version = int(sim.ask(ip=sim.core_ips[0], method="GET", path="/config")[1]["config-version"])
     for value in values:
-        doc = {**changed(table=table, key=key, value=value), "config-version": version + 1}
+        document = {**changed(table=table, key=key, value=value), "config-version": version + 1}
         status, _ = sim.ask(
-            ip=sim.core_ips[1], method="PUT", path="/config", doc=doc, headers={"if-match": str(version)}
+            ip=sim.core_ips[1], method="PUT", path="/config", document=document, headers={"if-match": str(version)}
         )
         assert status in (200, 400)
         version += status == 200
--- a/tests/cluster_state/test_operator_requests.py
+++ b/tests/cluster_state/test_operator_requests.py
@@ -14,8 +14,8 @@
 DEEP = "[" * 300 + "]" * 300
 
 
-def raw(doc: Any) -> bytes:
-    return orjson.dumps(doc)
+def raw(document: Any) -> bytes:
+    return orjson.dumps(document)
 
 
 def order(registry: Registry, *, base: object, body: bytes, method: str = "PUT") -> str:
@@ -49,20 +49,20 @@
 def test_a_repeat_is_known_after_hundreds_of_other_changes(changes: int) -> None:
     registry = new_registry(changes=changes)
     assert order(registry, base=1, body=patch(version=2), method="PATCH") == "again"
-    assert registry.stamp == changes
+    assert registry.config_version == changes
 
 
 def test_a_repeat_that_is_not_known_any_more_is_never_refused() -> None:
     registry = new_registry(changes=CHANGES_MOST + 40)
-    for version in range(2, registry.stamp + 1):
+    for version in range(2, registry.config_version + 1):
         how = order(registry, base=version - 1, body=patch(version=version), method="PATCH")
         assert how == ("again" if version > 40 else "unclear")
     assert order(registry, base=0, body=raw(config(version=1))) == "unclear"
-    assert order(registry, base=3, body=patch(version=registry.stamp + 1), method="PATCH") == "stale-base"
+    assert order(registry, base=3, body=patch(version=registry.config_version + 1), method="PATCH") == "stale-base"
     assert order(registry, base=50, body=raw(config(version=51))) == "stale-base"
-    assert order(registry, base=registry.stamp, body=raw(config(version=5))) == "invalid"
-    assert order(registry, base=registry.stamp, body=raw(config(version=registry.stamp))) == "invalid"
-    assert order(registry, base=registry.stamp + 9, body=raw(config(version=5))) == "stale-base"
+    assert order(registry, base=registry.config_version, body=raw(config(version=5))) == "invalid"
+    assert order(registry, base=registry.config_version, body=raw(config(version=registry.config_version))) == "invalid"
+    assert order(registry, base=registry.config_version + 9, body=raw(config(version=5))) == "stale-base"
 
 
 def test_what_is_known_of_orders_survives_a_snapshot() -> None:
@@ -97,7 +97,7 @@
 def test_put_and_patch_with_the_same_result_are_two_orders() -> None:
     registry = new_registry(changes=4)
     assert order(registry, base=4, body=patch(version=6), method="PATCH") == "taken"
-    assert order(registry, base=4, body=raw(registry.conf)) == "stale-base"
+    assert order(registry, base=4, body=raw(registry.config)) == "stale-base"
     assert order(registry, base=4, body=patch(version=6), method="PATCH") == "again"
 
 
@@ -125,12 +125,15 @@
 @pytest.mark.parametrize("changes", [3, CHANGES_MOST + 9])
 def test_bad_orders_are_refused_at_once(changes: int) -> None:
     registry = new_registry(changes=changes)
-    assert registry.conf is not None
+    assert registry.config is not None
     before = orjson.dumps(registry.dump())
-    for kind, body in bad_orders(current=registry.conf).items():
+    for kind, body in bad_orders(current=registry.config).items():
         for _ in range(2):
-            assert order(registry, base=registry.stamp, body=body) == "invalid", kind
-    assert order(registry, base=registry.stamp - 1, body=raw(config(version=registry.stamp + 1))) == "stale-base"
+            assert order(registry, base=registry.config_version, body=body) == "invalid", kind
+    assert (
+        order(registry, base=registry.config_version - 1, body=raw(config(version=registry.config_version + 1)))
+        == "stale-base"
+    )
     assert orjson.dumps(registry.dump()) == before
 
 
@@ -228,10 +231,13 @@
     rng, registry = random.Random(seed), new_registry(changes=3)
     values: list[Any] = [None, True, 0, -1, 2**63, 1.5, "", "a", [], {}, [[]], [{}], {"name": 1}, {"route-table": {}}]
     for _ in range(200):
-        doc: Any = {**config(version=registry.stamp + 1), "upserts": {"route-table": [rng.choice(values)]}}
-        for key in rng.sample(sorted(doc), 2):
-            doc[key] = rng.choice(values)
-        order(registry, base=registry.stamp, body=raw(doc), method=rng.choice(["PUT", "PATCH"]))
+        document: Any = {
+            **config(version=registry.config_version + 1),
+            "upserts": {"route-table": [rng.choice(values)]},
+        }
+        for key in rng.sample(sorted(document), 2):
+            document[key] = rng.choice(values)
+        order(registry, base=registry.config_version, body=raw(document), method=rng.choice(["PUT", "PATCH"]))
         orjson.dumps(registry.dump())
 
 
@@ -247,36 +253,38 @@
 
 def test_a_delayed_copy_does_not_undo_a_later_evacuation_order() -> None:
     registry = Registry()
-    first = registry.mods
+    first = registry.registry_version
     assert evacuate(registry, zone="a", on=True, known=first) == "taken"
-    second = registry.mods
+    second = registry.registry_version
     assert evacuate(registry, zone="a", on=False, known=second) == "taken"
-    assert evacuate(registry, zone="a", on=True, known=first) == "unclear" and registry.evac == []
-    assert evacuate(registry, zone="a", on=True, known=second) == "unclear" and registry.evac == []
+    assert evacuate(registry, zone="a", on=True, known=first) == "unclear" and registry.evacuated_zones == []
+    assert evacuate(registry, zone="a", on=True, known=second) == "unclear" and registry.evacuated_zones == []
     assert evacuate(registry, zone="b", on=True, known=first) == "taken"
-    assert evacuate(registry, zone="a", on=True, known=registry.mods) == "taken" and registry.evac == ["a", "b"]
+    assert evacuate(
+        registry, zone="a", on=True, known=registry.registry_version
+    ) == "taken" and registry.evacuated_zones == ["a", "b"]
 
 
 def test_an_order_for_the_present_state_fences_what_was_sent_before() -> None:
     """An unclear DELETE is on its way, the operator thinks better of it and has POST confirmed once more."""
     registry = Registry()
     evacuate(registry, zone="a", on=True, known=0)
-    known = registry.mods
+    known = registry.registry_version
     assert evacuate(registry, zone="a", on=True, known=known) == "taken"
-    assert evacuate(registry, zone="a", on=False, known=known) == "unclear" and registry.evac == ["a"]
+    assert evacuate(registry, zone="a", on=False, known=known) == "unclear" and registry.evacuated_zones == ["a"]
 
 
 def test_what_is_known_of_zones_is_bounded_and_survives_a_snapshot() -> None:
     registry = Registry()
     for i in range(ZONES_MOST + 10):
-        assert evacuate(registry, zone=f"z{i}", on=False, known=registry.mods) == "taken"
+        assert evacuate(registry, zone=f"z{i}", on=False, known=registry.registry_version) == "taken"
     assert evacuate(registry, zone="z0", on=True, known=0) == "unclear"
     assert evacuate(registry, zone="new", on=True, known=0) == "unclear"
     twin = Registry()
     twin.load(orjson.loads(orjson.dumps(registry.dump())))
     assert twin.dump() == registry.dump() and len(orjson.dumps(registry.zones.dump())) < 10_000
     assert evacuate(twin, zone="z1", on=True, known=3) == "unclear"
-    assert evacuate(twin, zone="z1", on=True, known=twin.mods) == "taken"
+    assert evacuate(twin, zone="z1", on=True, known=twin.registry_version) == "taken"
 
 
 def test_errors_have_the_codes_that_callers_go_by() -> None:
--- a/tests/cluster_state/test_operator_requests_cluster.py
+++ b/tests/cluster_state/test_operator_requests_cluster.py
@@ -50,9 +50,9 @@
 
 
 def read(sim: Sim, ip: str) -> int:
-    status, doc = sim.ask(ip=ip, method="GET", path="/config")
+    status, document = sim.ask(ip=ip, method="GET", path="/config")
     assert status == 200
-    return int(doc["config-version"])
+    return int(document["config-version"])
 
 
 def evacuate(sim: Sim, *, ip: str, method: str, limit: float = 6.0) -> int:
@@ -77,7 +77,7 @@
     sim.heal()
     sim.run(seconds=5.0)
     assert primary(sim) == lead
-    assert sim.core(lead).registry.evac == (["z1"] if then == "POST" else [])
+    assert sim.core(lead).registry.evacuated_zones == (["z1"] if then == "POST" else [])
 
 
 def test_an_order_of_the_opposite_kind_is_taken_at_once_through_any_node() -> None:
@@ -146,8 +146,8 @@
     sim.run(seconds=0.4)
     assert copies == [[], [], []] and rivals == [[], []]
     sim.run(seconds=2.0)
-    assert [[res.status for res in got] for got in copies] == [[200]] * 3
-    assert [[res.status for res in got] for got in rivals] == [[412]] * 2
+    assert [[response.status for response in got] for got in copies] == [[200]] * 3
+    assert [[response.status for response in got] for got in rivals] == [[412]] * 2
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -208,7 +208,7 @@
             for i in range(8)
         ]
         sim.run(seconds=1.0)
-        assert sorted(res.status for answers in got for res in answers) == [200, *[412] * 7]
+        assert sorted(response.status for answers in got for response in answers) == [200, *[412] * 7]
 
 
 def test_a_repeat_is_known_after_hundreds_of_changes_and_a_takeover() -> None:
--- a/tests/integration/test_cluster.py
+++ b/tests/integration/test_cluster.py
@@ -40,8 +40,8 @@
     sim, oracle, caller, _ = cluster(seed=3)
     job_id = caller.submit(stages=[TASK])
     sim.run(seconds=1.0)
-    doc = oracle.jobs[job_id]
-    caller._send(job_id=job_id, queue="fast", doc=doc, left=0)
+    document = oracle.jobs[job_id]
+    caller._send(job_id=job_id, queue="fast", document=document, left=0)
     finish(sim, oracle, caller, [job_id])
     assert caller.state(job_id="0123456789abcdef") == (410, None)
     assert sim.ask(ip=sim.edge_ips[0], method="GET", path="/none/", headers={"host": "h.example"})[0] == 404
--- a/tests/integration/test_fault_days.py
+++ b/tests/integration/test_fault_days.py
@@ -110,8 +110,8 @@
     day = Day(work=1.2, seed=2700 + seed, minions=12)
     for i in range(4):
         day.sim.at(delay=1.0 + 1.5 * i, fn=day.fleet[i].drain)
-    day.sim.at(delay=2.0, fn=lambda: day.evacuate(site="z2", on=True))
-    day.sim.at(delay=11.0, fn=lambda: day.evacuate(site="z2", on=False))
+    day.sim.at(delay=2.0, fn=lambda: day.evacuate(zone="z2", on=True))
+    day.sim.at(delay=11.0, fn=lambda: day.evacuate(zone="z2", on=False))
     day.judge.trouble(seconds=12.0)
     load(day=day, seconds=12.0, more=1.2)
     day.finish()
@@ -120,11 +120,11 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_core_cut_in_two(seed: int) -> None:
     """Minions of the smaller side reach only it; what they ran is nobody's until their holds are over."""
-    day = Day(work=1.2, seed=2800 + seed, minions=10, cores=5, sites=5)
+    day = Day(work=1.2, seed=2800 + seed, minions=10, cores=5, zones=5)
     load(day=day, seconds=3.0)
     small = day.sim.core_ips[seed : seed + 2]
     big = [ip for ip in day.sim.core_ips if ip not in small]
-    lost = [m for m in day.fleet if f"10.{m.site[1:]}.0" in {ip.rsplit(".", 1)[0] for ip in small}]
+    lost = [m for m in day.fleet if f"10.{m.zone[1:]}.0" in {ip.rsplit(".", 1)[0] for ip in small}]
     day.judge.trouble(seconds=9.0)
     for a in small:
         for b in big:
--- a/tests/integration/test_large_clusters.py
+++ b/tests/integration/test_large_clusters.py
@@ -30,7 +30,7 @@
         minion_id = f"m{i}"
         labels = ("a", f"r{i // RACK}")
         room.attach(
-            spot=Spot(minion_id=minion_id, agent="a", fence=1, seq=i, service="s", site="z", labels=labels, cap=cap)
+            spot=Spot(minion_id=minion_id, agent="a", fence=1, seq=i, service="s", zone="z", labels=labels, cap=cap)
         )
         free: list[int | str] = [minion_id, rng.choice([rng.randint(0, 9000), 12_000]), rng.randint(0, 80_000), 2]
         room.report(node_id="a", rows=[free], shut=[], now=1.0)
@@ -142,9 +142,9 @@
     placer.prio = prio  # type: ignore[method-assign]
     placer.configured()
     assert ranked == []
-    doc = config(version=9, more=2)
-    doc["route-table"][1]["rank"] = 0
-    sim.core(ip).table = Table(doc=doc)
+    document = config(version=9, more=2)
+    document["route-table"][1]["rank"] = 0
+    sim.core(ip).table = Table(document=document)
     placer.configured()
     waiting = {job_id for job_id, _ in placer.backlog.groups}
     assert set(ranked) == waiting <= set(job_ids) and waiting
--- a/tests/integration/test_loopback.py
+++ b/tests/integration/test_loopback.py
@@ -21,14 +21,14 @@
 from yarrowloom.simulator.minions import config
 
 
-async def call(pool: httpcore.AsyncConnectionPool, method: str, url: str, doc: Any = None, **heads: str) -> Any:
-    res = await pool.request(
+async def call(pool: httpcore.AsyncConnectionPool, method: str, url: str, document: Any = None, **heads: str) -> Any:
+    response = await pool.request(
         method,
         url,
-        content=orjson.dumps(doc) if doc is not None else b"",
+        content=orjson.dumps(document) if document is not None else b"",
         headers={k.replace("_", "-"): v for k, v in heads.items()},
     )
-    return res.status, orjson.loads(res.content) if res.content else None
+    return response.status, orjson.loads(response.content) if response.content else None
 
 
 async def minion(pool: httpcore.AsyncConnectionPool, ctl: str) -> None:
@@ -37,7 +37,7 @@
     ends: list[list[Any]] = []
     while True:
         seq += 1
-        status, doc = await call(
+        status, document = await call(
             pool,
             "PUT",
             f"http://{ctl}/minions/i-1",
@@ -55,9 +55,9 @@
         )
         if status != 200:
             continue
-        seen = max(seen, doc.get("last-seen", 0))
+        seen = max(seen, document.get("last-seen", 0))
         ends = [e for e in ends if e[0] > seen]
-        for task, run, _, _ in doc.get("started", []):
+        for task, run, _, _ in document.get("started", []):
             num += 1
             ends.append([num, task, run, "done", ""])
 
@@ -72,9 +72,11 @@
 def test_whole_path_over_sockets(tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch, ports: list[int]) -> None:
     ctl, front, ready, inner, _ = ports
     seed = f"{HOST}:{ctl}"
-    core = check(doc=settings(binds={"control": seed}, inner=inner, seed=seed, data=str(tmp_path)))
+    core = check(document=settings(binds={"control": seed}, inner=inner, seed=seed, data=str(tmp_path)))
     edge = check(
-        doc=settings(binds={"front": f"{HOST}:{front}", "ready": f"{HOST}:{ready}"}, inner=inner, seed=seed, data=None)
+        document=settings(
+            binds={"front": f"{HOST}:{front}", "ready": f"{HOST}:{ready}"}, inner=inner, seed=seed, data=None
+        )
     )
     monkeypatch.setenv(ENV, str(tmp_path / "none"))
 
@@ -82,19 +84,19 @@
         log = Log(name="loopback", level="error")
         async with trio.open_nursery() as nursery, httpcore.AsyncConnectionPool() as pool:
             with trio.fail_after(30):
-                await nursery.start(open_core(startup=core, log=log).run)
-                await nursery.start(open_edge(startup=edge, log=log).run)
+                await nursery.start(open_core(settings=core, log=log).run)
+                await nursery.start(open_edge(settings=edge, log=log).run)
                 status = 0
                 while status != 200:
                     status, _ = await call(pool, "PUT", f"http://{seed}/config", config(version=2), If_Match="0")
                 assert (await call(pool, "PUT", f"http://{seed}/config", config(version=2), If_Match="0"))[0] == 200
                 assert (await call(pool, "PUT", f"http://{seed}/config", config(version=3), If_Match="1"))[0] == 412
-                bad, doc = await call(pool, "PUT", f"http://{seed}/config", {"config-version": 3}, If_Match="2")
-                assert bad == 400 and len(doc["findings"]) == 2
+                bad, document = await call(pool, "PUT", f"http://{seed}/config", {"config-version": 3}, If_Match="2")
+                assert bad == 400 and len(document["findings"]) == 2
                 nursery.start_soon(minion, pool, seed)
                 while (await call(pool, "GET", f"http://{HOST}:{ready}/readiness"))[0] != 200:
                     pass
-                load = Load(addrs=(f"{HOST}:{front}",), host=HOST_NAME, prefix="/fast/", jobs=5, rate=1000.0)
+                load = Load(addresses=(f"{HOST}:{front}",), host=HOST_NAME, prefix="/fast/", jobs=5, rate=1000.0)
                 await load.run()
                 out = report(load=load)
                 assert out["accepted"] == 5 and out["lost"] == 0 and out["failed"] == 0
@@ -113,7 +115,7 @@
 
 def test_unreachable_target_ends_with_a_clear_error() -> None:
     with reserved_ports(1) as (port,):  # nobody listens on it
-        load = Load(addrs=(f"{HOST}:{port}",), host=HOST_NAME, prefix="/fast/", jobs=1, rate=100.0)
+        load = Load(addresses=(f"{HOST}:{port}",), host=HOST_NAME, prefix="/fast/", jobs=1, rate=100.0)
         with pytest.raises(UsageError) as got:
             trio.run(load.run)
     assert got.value.exit_code == 64
@@ -123,7 +125,7 @@
     path = tmp_path / "local.json"
     path.write_text('{"node-name": 3, "internal-ports": [9, 1], "seed-nodes": ["x"]}')
     root = pathlib.Path(__file__).resolve().parents[2]
-    res = subprocess.run(
+    response = subprocess.run(
         [sys.executable, "yarrowloom.py", "core"],
         cwd=root,
         env={"PATH": "/usr/bin", ENV: str(path), "PYTHONPATH": ":".join(sys.path)},
@@ -131,6 +133,6 @@
         text=True,
         check=False,
     )
-    assert res.returncode == 78
+    assert response.returncode == 78
     for place in ("node-name", "internal-ports", "seed-nodes[0]", "bind-addrs"):
-        assert place in res.stderr
+        assert place in response.stderr
--- a/tests/integration/test_mixed_faults.py
+++ b/tests/integration/test_mixed_faults.py
@@ -66,9 +66,9 @@
 
 
 def evacuate(day: Day) -> None:
-    site = day.sim.rng.choice(day.sim.sites)
-    day.evacuate(site=site, on=True)
-    day.sim.at(delay=7.0, fn=lambda: day.evacuate(site=site, on=False))
+    zone = day.sim.rng.choice(day.sim.zones)
+    day.evacuate(zone=zone, on=True)
+    day.sim.at(delay=7.0, fn=lambda: day.evacuate(zone=zone, on=False))
 
 
 def hang(day: Day) -> None:
--- a/tests/integration/test_overload.py
+++ b/tests/integration/test_overload.py
@@ -33,11 +33,11 @@
 
     def state(self) -> tuple[list[int], dict[str, int], set[str]]:
         """Epochs, fences, minions whose hold ran out."""
-        eps = [
+        epochs = [
             self.sim.core(ip).replicas[group_id].epoch for group_id in range(JOB_GROUPS + 1) for ip in self.sim.core_ips
         ]
         return (
-            [e["n"] for e in eps if e is not None],
+            [e["n"] for e in epochs if e is not None],
             {m.minion_id: m.fence for m in self.fleet},
             {m.minion_id for m in self.fleet if m.lapsed >= 0},
         )
--- a/tests/integration/test_published_lines.py
+++ b/tests/integration/test_published_lines.py
@@ -23,8 +23,8 @@
 
 def pending(sim: Sim, *, queue: str = "fast") -> tuple[int, int]:
     """The status and the count that an edge answers for a queue."""
-    status, doc = sim.ask(ip=sim.edge_ips[0], method="GET", path=f"/{queue}/", headers={"host": HOST})
-    return status, doc["pending"] if status == 200 else -1
+    status, document = sim.ask(ip=sim.edge_ips[0], method="GET", path=f"/{queue}/", headers={"host": HOST})
+    return status, document["pending"] if status == 200 else -1
 
 
 def test_pending_counts_the_accepted_jobs_of_a_queue_of_which_no_task_has_begun() -> None:
@@ -76,9 +76,11 @@
     grace_s: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """As long as a call is in hand an edge stays for five sixths of `grace-s` at least, and ends within it."""
-    startup = Sim(seed=83).startup(ip="10.0.1.1", first=False)
-    startup.bounds["grace-s"] = grace_s
-    node = EdgeNode(startup=startup, node_id="10.0.1.1:7001#1", incarnation=FIRST, log=Log(name="test", level="error"))
+    settings = Sim(seed=83).settings(ip="10.0.1.1", first=False)
+    settings.bounds["grace-s"] = grace_s
+    node = EdgeNode(
+        settings=settings, node_id="10.0.1.1:7001#1", incarnation=FIRST, log=Log(name="test", level="error")
+    )
     server = SimpleNamespace(busy=1, closing=False)
     shell = cast(Shell, SimpleNamespace(node=node, servers=[server]))
     monkeypatch.setattr(runtime, "time", SimpleNamespace(monotonic=trio.current_time))
@@ -103,12 +105,12 @@
     assert old.running
     old.crash()
     day.judge.trouble(seconds=8.0)
-    new = day.hire(minion_id="i-new", site=old.site, cap=(2000, 4000, 0), labels=("a", "r9"), addr=old.addr)
+    new = day.hire(minion_id="i-new", zone=old.zone, cap=(2000, 4000, 0), labels=("a", "r9"), address=old.address)
     fits_new = day.job(task(n=5, requires="r9"))
     day.sim.run(seconds=10.0)
     assert day.judge.shows[fits_new] == "complete" and new.fence > 0
     assert day.judge.shows[needs_old] in ("pending", "active")
-    day.hire(minion_id="i-third", site=old.site, cap=old.cap, labels=old.labels)
+    day.hire(minion_id="i-third", zone=old.zone, cap=old.cap, labels=old.labels)
     day.finish()
     assert day.judge.shows[needs_old] == "complete"
 
@@ -140,7 +142,7 @@
     if how == "crash":
         minion.crash()
         day.judge.trouble()
-        day.hire(minion_id=f"{minion.minion_id}x", site=minion.site, cap=minion.cap, labels=minion.labels)
+        day.hire(minion_id=f"{minion.minion_id}x", zone=minion.zone, cap=minion.cap, labels=minion.labels)
         return
     for name in list(minion.running):
         minion.end(task=name, how="failed" if how == "fail" else "done")
--- a/tests/integration/test_rules.py
+++ b/tests/integration/test_rules.py
@@ -91,10 +91,10 @@
     for i in range(30):
         day.job(task(n=4))
         if i == 6:
-            day.evacuate(site="z1", on=True)
+            day.evacuate(zone="z1", on=True)
         if i == 26:
-            assert "z1" in day.judge.evac
-            day.evacuate(site="z1", on=False)
+            assert "z1" in day.judge.evacuated_zones
+            day.evacuate(zone="z1", on=False)
         day.sim.run(seconds=0.3)
     day.finish()
 
--- a/tests/jobs/test_state_machine.py
+++ b/tests/jobs/test_state_machine.py
@@ -11,8 +11,8 @@
 
 
 def job(*, stages: list[dict[str, Any]], **more: Any) -> dict[str, Any]:
-    doc = parse(body=orjson.dumps({"task-spec": "x", "stages": stages, **more}))
-    return {**doc, "q": "q", "svc": "s", "mt": 3, "at": 0}
+    document = parse(body=orjson.dumps({"task-spec": "x", "stages": stages, **more}))
+    return {**document, "q": "q", "svc": "s", "mt": 3, "at": 0}
 
 
 def end(*, run: int, how: str, i: int = 0, mt: int = 3) -> dict[str, Any]:
--- a/tests/mutants/test_agent_mutants.py
+++ b/tests/mutants/test_agent_mutants.py
@@ -172,8 +172,8 @@
     def out(p: pytest.MonkeyPatch) -> None:
         real = Minion.take
 
-        def take(self: Minion, *, doc: dict[str, Any], now: float) -> None:
-            real(self, doc=doc, now=now)
+        def take(self: Minion, *, document: dict[str, Any], now: float) -> None:
+            real(self, document=document, now=now)
             self.draining = False
 
         p.setattr(Minion, "take", take)
@@ -184,11 +184,11 @@
 def test_evac_nothing_starts_in_an_evacuated_zone() -> None:
     def story() -> Day:
         day = Day(seed=4016, work=1.0)
-        day.evacuate(site="z0", on=True)
+        day.evacuate(zone="z0", on=True)
         return stream(day=day, seconds=8.0)
 
     def out(p: pytest.MonkeyPatch) -> None:
-        p.setattr(CoreNode, "evacuated", lambda self, site: False)
+        p.setattr(CoreNode, "evacuated", lambda self, zone: False)
 
     proof(rule="EVAC", story=story, out=out)
 
@@ -221,11 +221,11 @@
     for m in day.fleet:
         real = m.answer
 
-        def answer(*, doc: dict[str, Any], sent: float, real: Callable[..., None] = real, m: Any = m) -> None:
-            count[0] += bool(doc.get("started"))
-            if doc.get("started") and count[0] % 5 == 0:
+        def answer(*, document: dict[str, Any], sent: float, real: Callable[..., None] = real, m: Any = m) -> None:
+            count[0] += bool(document.get("started"))
+            if document.get("started") and count[0] % 5 == 0:
                 m.miss()
             else:
-                real(doc=doc, sent=sent)
+                real(document=document, sent=sent)
 
         m.answer = answer  # type: ignore[method-assign]
--- a/tests/mutants/test_operator_request_mutants.py
+++ b/tests/mutants/test_operator_request_mutants.py
@@ -48,7 +48,7 @@
             if op == "conf":
                 self.registry.judge(method=b["m"], base=b["base"], body=b["body"].encode())
         except YarrowError as err:
-            self.reply(node_id=node_id, request_id=request_id, status=err.status, doc={})
+            self.reply(node_id=node_id, request_id=request_id, status=err.status, document={})
             return
         whole(self, node_id=node_id, request_id=request_id, op=op, b=b)
 
@@ -64,7 +64,7 @@
 
 def read_from_the_own_copy(patch: pytest.MonkeyPatch) -> None:
     def read(node: CoreNode, call: Any, req: Any, _arg: str) -> None:
-        node.respond(call=call, res=Response.of(200 if node.conf else 404, node.conf or {}))
+        node.respond(call=call, response=Response.of(200 if node.config else 404, node.config or {}))
 
     rows = [
         (method, path, read if (method, path.pattern) == ("GET", "/config") else fn)
@@ -78,7 +78,7 @@
     whole = Registry.judge
 
     def judge(self: Registry, *, method: str, base: str | None, body: bytes) -> Any:
-        current = str(self.stamp) if (base or "").strip('"').isdigit() else base
+        current = str(self.config_version) if (base or "").strip('"').isdigit() else base
         return whole(self, method=method, base=current, body=body)
 
     patch.setattr(Registry, "judge", judge)
@@ -92,7 +92,7 @@
         try:
             return whole(self, method=method, base=base, body=body)
         except StampError:
-            if orjson.loads(body)["config-version"] == self.stamp:
+            if orjson.loads(body)["config-version"] == self.config_version:
                 return None
             raise
 
--- a/tests/mutants/test_scheduling_mutants.py
+++ b/tests/mutants/test_scheduling_mutants.py
@@ -94,11 +94,11 @@
         real = Placer.tick
 
         def tick(self: Placer) -> None:
-            self.environment.wall += 3.0
+            self.environment.wall_now += 3.0
             try:
                 real(self)
             finally:
-                self.environment.wall -= 3.0
+                self.environment.wall_now -= 3.0
 
         p.setattr(Placer, "tick", tick)
 
--- a/tests/mutants/test_state_mutants.py
+++ b/tests/mutants/test_state_mutants.py
@@ -101,8 +101,8 @@
     def out(p: pytest.MonkeyPatch) -> None:
         real = EdgeNode.called
 
-        def called(self: EdgeNode, *, done: tuple[Any, ...], status: int, doc: Any, sent: bool) -> None:
-            real(self, done=done, status=status, doc=doc, sent=False)
+        def called(self: EdgeNode, *, done: tuple[Any, ...], status: int, document: Any, sent: bool) -> None:
+            real(self, done=done, status=status, document=document, sent=False)
 
         p.setattr(EdgeNode, "called", called)
 
--- a/tests/node/test_call_identity.py
+++ b/tests/node/test_call_identity.py
@@ -16,21 +16,21 @@
 def caller(*, sim: Sim, incarnation: int, node_id: str = ADDR + "#0") -> CoreNode:
     """A core process beside the cluster that knows its epochs."""
     node = CoreNode(
-        startup=sim.startup(ip="10.9.0.9", first=False),
+        settings=sim.settings(ip="10.9.0.9", first=False),
         node_id=node_id,
         incarnation=incarnation,
         first=False,
         now=sim.now,
         log=Log(name="t", level="error"),
     )
-    node.learn(eps=[[group_id, e] for group_id, e in sim.core(sim.serving(group_id=0)[0]).eps.items()])
+    node.learn(epochs=[[group_id, e] for group_id, e in sim.core(sim.serving(group_id=0)[0]).epochs.items()])
     node.now = sim.now
     return node
 
 
 def asked(node: CoreNode) -> tuple[str, dict[str, Any]]:
     """The call that a node has just sent: the address and the message."""
-    rows = [(addr, orjson.loads(body)) for addr, kind, body in node.out.sends if kind is Kind.CALL]
+    rows = [(address, orjson.loads(body)) for address, kind, body in node.out.sends if kind is Kind.CALL]
     node.out.sends.clear()
     assert len(rows) == 1
     return rows[0]
@@ -56,7 +56,7 @@
 
 def ends(node: CoreNode) -> list[int]:
     """The statuses that the node's HTTP calls were answered with."""
-    return [res.status for _, res in node.out.answers]
+    return [response.status for _, response in node.out.answers]
 
 
 def ask(node: CoreNode) -> dict[str, Any]:
--- a/tests/node/test_call_repeats.py
+++ b/tests/node/test_call_repeats.py
@@ -126,7 +126,7 @@
     sim, _, _, _ = cluster(seed=530)
     node = owner_of(sim, minion_id="i-0")
     minion = node.agent.minions["i-0"]
-    doc = {
+    document = {
         "backend": "svc",
         "zone": "z0",
         "state": "draining",
@@ -135,7 +135,7 @@
         "capacity": {"cpus": 1, "mem-mb": 1, "gpus": 0},
     }
     before = (minion.seq, dict(minion.running), minion.cap, minion.draining)
-    m = {"rid": 15, "to": node.node_id, "g": -1, "op": "beat", "b": {"m": "i-0", "d": doc}}
+    m = {"rid": 15, "to": node.node_id, "g": -1, "op": "beat", "b": {"m": "i-0", "d": document}}
     got = answers(sim, node, m=m, wait=0.0)
     assert (minion.seq, dict(minion.running), minion.cap, minion.draining) == before
     assert got == [(200, {"fence-no": minion.fence})]
--- a/tests/node/test_config_dissemination.py
+++ b/tests/node/test_config_dissemination.py
@@ -24,14 +24,18 @@
     assert sum(bool(n.via) for n in edges(sim)) >= 3
     assert all(n.ready() for n in edges(sim))
     status, _ = sim.ask(
-        ip=sim.core_ips[0], method="PUT", path="/config", doc=config(version=9, more=400), headers={"if-match": "3"}
+        ip=sim.core_ips[0],
+        method="PUT",
+        path="/config",
+        document=config(version=9, more=400),
+        headers={"if-match": "3"},
     )
     assert status == 200
     sim.run(seconds=1.0)
-    assert {n.table.stamp for n in edges(sim) if n.table} == {9}
+    assert {n.table.config_version for n in edges(sim) if n.table} == {9}
     for node in edges(sim):
-        node.take_news(doc={"conf": config(version=3)})
-        assert node.table is not None and node.table.stamp == 9
+        node.take_news(document={"conf": config(version=3)})
+        assert node.table is not None and node.table.config_version == 9
 
 
 def test_edges_leave_a_relay_that_is_down_or_cut_off() -> None:
@@ -42,7 +46,7 @@
     for core in sim.core_ips:
         sim.cut(a=relays[1], b=core)
     sim.run(seconds=4.0)
-    live = [n for n in edges(sim) if n.startup.ip not in relays[:2]]
+    live = [n for n in edges(sim) if n.settings.ip not in relays[:2]]
     assert all(n.ready() for n in live)
     cut = sim.procs[relays[1]].node
     assert isinstance(cut, EdgeNode) and not cut.ready()
@@ -60,10 +64,10 @@
     def busy(m: SimMinion) -> bool:
         return bool(m.running)
 
-    assert not any(busy(m) for m in fleet if m.site == "z0") and any(busy(m) for m in fleet)
+    assert not any(busy(m) for m in fleet if m.zone == "z0") and any(busy(m) for m in fleet)
     assert sim.ask(ip=sim.core_ips[2], method="DELETE", path="/evacuation/z0")[0] == 200
     sim.run(seconds=3.0)
-    assert any(busy(m) for m in fleet if m.site == "z0")
+    assert any(busy(m) for m in fleet if m.zone == "z0")
     assert oracle.broken == []
 
 
--- a/tests/node/test_config_dissemination_tree.py
+++ b/tests/node/test_config_dissemination_tree.py
@@ -12,7 +12,7 @@
 def ready(*, seed: int, cores: int = 5, edges: int = 33, **kw: Any) -> LinkSim:
     sim = LinkSim(seed=seed, cores=cores, edges=edges, **kw)
     sim.run(seconds=2.0)
-    put(sim, method="PUT", doc=large(version=3), base=0)
+    put(sim, method="PUT", document=large(version=3), base=0)
     assert sim.until(cond=lambda: sim.stamps() == {3}, limit=2.5)
     sim.run(seconds=3.0)
     return sim
@@ -30,7 +30,7 @@
     base = 3
     for version in (7, 9, 20):
         since = sim.now
-        put(sim, method="PATCH", doc=patched(version=version), base=base)
+        put(sim, method="PATCH", document=patched(version=version), base=base)
         assert sim.until(cond=lambda version=version: sim.stamps() == {version}, limit=0.5)  # type: ignore[misc]
         sim.run(seconds=2.0)
         rows = sim.news(what="delta", since=since)
@@ -42,11 +42,11 @@
 def test_a_whole_put_that_changes_little_goes_as_a_change_too() -> None:
     sim = ready(seed=3)
     since = sim.now
-    put(sim, method="PUT", doc=large(version=8, routes=512), base=3)
+    put(sim, method="PUT", document=large(version=8, routes=512), base=3)
     assert sim.until(cond=lambda: sim.stamps() == {8}, limit=0.5)
     assert sim.news(what="conf", since=since) == []
-    status, doc = sim.ask(ip=sim.core_ips[0], method="GET", path="/config")
-    assert status == 200 and doc == large(version=8, routes=512)
+    status, document = sim.ask(ip=sim.core_ips[0], method="GET", path="/config")
+    assert status == 200 and document == large(version=8, routes=512)
 
 
 def test_news_that_got_lost_goes_again_within_the_bound() -> None:
@@ -61,7 +61,7 @@
         return False
 
     sim.lose = lose
-    put(sim, method="PATCH", doc=patched(version=5), base=3)
+    put(sim, method="PATCH", document=patched(version=5), base=3)
     assert sim.until(cond=lambda: sim.stamps() == {5}, limit=2.0)
     assert max(lost.values()) >= 3
 
@@ -71,11 +71,11 @@
     node = sim.edges()[7]
     node.past.docs[3]["route-table"] = node.past.docs[3]["route-table"][1:]
     since = sim.now
-    put(sim, method="PATCH", doc=patched(version=5), base=3)
+    put(sim, method="PATCH", document=patched(version=5), base=3)
     assert sim.until(cond=lambda: sim.stamps() == {5}, limit=2.5)
     assert {dst for _, dst, _ in sim.news(what="conf", since=since)} == {sim.edge_ips[7]}
-    status, doc = sim.ask(ip=sim.core_ips[0], method="GET", path="/config")
-    assert status == 200 and node.conf == doc
+    status, document = sim.ask(ip=sim.core_ips[0], method="GET", path="/config")
+    assert status == 200 and node.config == document
 
 
 def test_an_edge_that_was_cut_off_for_some_changes_gets_one_change() -> None:
@@ -85,7 +85,7 @@
         sim.cut(a=away, b=core)
     base = 3
     for version in range(5, 25, 2):
-        put(sim, method="PATCH", doc=patched(version=version), base=base)
+        put(sim, method="PATCH", document=patched(version=version), base=base)
         sim.run(seconds=0.2)
         base = version
     sim.run(seconds=2.0)
@@ -103,28 +103,28 @@
         assert len(fed) <= node.children() == 4
     assert all(n.ready() for n in sim.edges())
     since = sim.now
-    put(sim, method="PATCH", doc=patched(version=5, n=8), base=3)
+    put(sim, method="PATCH", document=patched(version=5, n=8), base=3)
     assert sim.until(cond=lambda: sim.stamps() == {5}, limit=1.0)
     assert sim.news(what="conf", since=since) == []
 
 
 def test_a_relay_that_is_cut_off_does_not_hold_up_a_change() -> None:
     sim = ready(seed=8, cores=3, edges=4 * FANOUT)
-    relay = max(sim.edges(), key=lambda n: sum(sim.now - at < 1.0 for at in n.heard.values())).startup.ip
+    relay = max(sim.edges(), key=lambda n: sum(sim.now - at < 1.0 for at in n.heard.values())).settings.ip
     for core in sim.core_ips:
         sim.cut(a=relay, b=core)
-    put(sim, method="PATCH", doc=patched(version=5), base=3)
-    rest = [n for n in sim.edges() if n.startup.ip != relay]
-    assert sim.until(cond=lambda: all(n.table is not None and n.table.stamp == 5 for n in rest), limit=2.5)
+    put(sim, method="PATCH", document=patched(version=5), base=3)
+    rest = [n for n in sim.edges() if n.settings.ip != relay]
+    assert sim.until(cond=lambda: all(n.table is not None and n.table.config_version == 5 for n in rest), limit=2.5)
 
 
-def apply(doc: dict[str, Any], change: dict[str, Any]) -> dict[str, Any]:
+def apply(document: dict[str, Any], change: dict[str, Any]) -> dict[str, Any]:
     """What PROTOCOL says of a change; `doc` stays as it is."""
-    rows = {r["name"]: r for r in doc["route-table"]}
+    rows = {r["name"]: r for r in document["route-table"]}
     rows.update({r["name"]: r for r in change["upserts"]["route-table"]})
     for name in change["removals"]["route-table"]:
         rows.pop(name, None)
-    return {**doc, "config-version": change["config-version"], "route-table": list(rows.values())}
+    return {**document, "config-version": change["config-version"], "route-table": list(rows.values())}
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -132,12 +132,12 @@
     """Frames lost, edges cut off and ended, cores ended; each edge holds exactly what was sent under its version."""
     sim = LinkSim(seed=80 + seed, cores=5, edges=10)
     sim.run(seconds=2.0)
-    doc = large(version=3, routes=60)
-    docs = {3: doc}
-    put(sim, method="PUT", doc=doc, base=0)
+    document = large(version=3, routes=60)
+    docs = {3: document}
+    put(sim, method="PUT", document=document, base=0)
     seen: dict[str, tuple[str, int]] = {}
     for step in range(25):
-        version = doc["config-version"] + sim.rng.randint(1, 4)
+        version = document["config-version"] + sim.rng.randint(1, 4)
         sim.loss = sim.rng.choice([0.0, 0.05, 0.2])
         what = sim.rng.choice(["cut", "edge", "core", "none", "heal"])
         ip = sim.rng.choice(sim.edge_ips)
@@ -155,46 +155,46 @@
             sim.heal()
         if sim.rng.random() < 0.8:
             change = patched(version=version, n=sim.rng.randint(0, 3))
-            put(sim, method="PATCH", doc=change, base=doc["config-version"])
-            doc = apply(doc, change)
+            put(sim, method="PATCH", document=change, base=document["config-version"])
+            document = apply(document, change)
         else:
-            rows = list(doc["route-table"])
+            rows = list(document["route-table"])
             sim.rng.shuffle(rows)
-            new = {**doc, "config-version": version, "route-table": rows}
-            put(sim, method="PUT", doc=new, base=doc["config-version"])
-            doc = new
-        docs[version] = doc
+            new = {**document, "config-version": version, "route-table": rows}
+            put(sim, method="PUT", document=new, base=document["config-version"])
+            document = new
+        docs[version] = document
         sim.run(seconds=sim.rng.random())
         for node in sim.edges():
-            if node.conf is not None:
-                stamp = node.conf["config-version"]
-                assert node.conf == docs[stamp]
-                node_id, was = seen.get(node.startup.ip, ("", 0))
-                assert node_id != node.node_id or stamp >= was
-                seen[node.startup.ip] = (node.node_id, stamp)
+            if node.config is not None:
+                config_version = node.config["config-version"]
+                assert node.config == docs[config_version]
+                node_id, was = seen.get(node.settings.ip, ("", 0))
+                assert node_id != node.node_id or config_version >= was
+                seen[node.settings.ip] = (node.node_id, config_version)
     sim.loss = 0.0
     sim.heal()
     sim.run(seconds=1.0)
-    put(sim, method="PATCH", doc=patched(version=1000), base=doc["config-version"])
+    put(sim, method="PATCH", document=patched(version=1000), base=document["config-version"])
     assert sim.until(cond=lambda: sim.stamps() == {1000}, limit=2.5)
-    assert all(n.conf == apply(doc, patched(version=1000)) for n in sim.edges())
+    assert all(n.config == apply(document, patched(version=1000)) for n in sim.edges())
 
 
 @pytest.mark.parametrize("power", [False, True])
 def test_changes_that_were_acknowledged_outlive_all_processes(power: bool) -> None:
     sim = LinkSim(seed=90, cores=5, edges=2)
     sim.run(seconds=2.0)
-    doc = large(version=3)
-    put(sim, method="PUT", doc=doc, base=0)
+    document = large(version=3)
+    put(sim, method="PUT", document=document, base=0)
     for version in range(4, 20, 3):
         change = patched(version=version, n=2)
-        put(sim, method="PATCH", doc=change, base=doc["config-version"])
-        doc = apply(doc, change)
+        put(sim, method="PATCH", document=change, base=document["config-version"])
+        document = apply(document, change)
     for ip in sim.core_ips + sim.edge_ips:
         sim.kill(ip=ip, power=power)
     sim.run(seconds=1.0)
     for ip in sim.core_ips + sim.edge_ips:
         sim.boot(ip=ip)
-    assert sim.until(cond=lambda: sim.stamps() == {doc["config-version"]}, limit=6.0)
-    assert sim.ask(ip=sim.core_ips[1], method="GET", path="/config") == (200, doc)
-    assert all(n.conf == doc for n in sim.edges())
+    assert sim.until(cond=lambda: sim.stamps() == {document["config-version"]}, limit=6.0)
+    assert sim.ask(ip=sim.core_ips[1], method="GET", path="/config") == (200, document)
+    assert all(n.config == document for n in sim.edges())
--- a/tests/node/test_config_freshness.py
+++ b/tests/node/test_config_freshness.py
@@ -51,12 +51,14 @@
     return next(ip for ip in sim.core_ips if ip not in parts)
 
 
-def change(sim: Sim, *, doc: dict[str, Any], base: int, away: Iterable[str]) -> None:
+def change(sim: Sim, *, document: dict[str, Any], base: int, away: Iterable[str]) -> None:
     """Have a configuration accepted on the side of the majority."""
     side = [ip for ip in sim.core_ips if ip not in set(away)]
     for n in range(60):
         if (
-            sim.ask(ip=side[n % len(side)], method="PUT", path="/config", doc=doc, headers={"if-match": str(base)})[0]
+            sim.ask(
+                ip=side[n % len(side)], method="PUT", path="/config", document=document, headers={"if-match": str(base)}
+            )[0]
             == 200
         ):
             return
@@ -74,16 +76,16 @@
     sim.run(seconds=APPLY_S)
     for n in range(len(sim.edge_ips)):
         node = edge(sim, n)
-        assert node.ready() and node.table is not None and node.table.stamp == version
+        assert node.ready() and node.table is not None and node.table.config_version == version
 
 
 def stale_for_the_rest_of_the_cut(sim: Sim, *, away: list[str], since: float) -> None:
     """A new configuration is acknowledged elsewhere; the edge neither calls itself ready nor answers by the old one."""
-    change(sim, doc=config(version=9, more=1), base=3, away=away)
+    change(sim, document=config(version=9, more=1), base=3, away=away)
     sim.run(seconds=max(0.0, since + APPLY_S - sim.now))
     while sim.now < since + CUT_S:
         node = edge(sim)
-        assert node.table is not None and node.table.stamp == 3
+        assert node.table is not None and node.table.config_version == 3
         assert not node.ready(), sim.now - since
         assert says(sim) == 503
         assert says(sim, path="/fast/0123456789abcdef", method="PATCH") == 503
@@ -115,10 +117,10 @@
     for ip in watchers:  # this edge alone still reaches them
         sim.cuts -= {(ip, sim.edge_ips[0]), (sim.edge_ips[0], ip)}
     sim.run(seconds=4.0)
-    change(sim, doc=config(version=9, more=1), base=3, away=watchers)
+    change(sim, document=config(version=9, more=1), base=3, away=watchers)
     sim.run(seconds=APPLY_S)
     table = edge(sim).table
-    assert table is not None and table.stamp == 9
+    assert table is not None and table.config_version == 9
     for _ in range(100):
         sim.run(seconds=0.1)
         assert edge(sim).ready()
@@ -146,7 +148,7 @@
     sim.run(seconds=3.0)
     sim.kill(ip=sim.edge_ips[0])
     sim.boot(ip=sim.edge_ips[0])
-    change(sim, doc=config(version=9, more=1), base=3, away=[core])
+    change(sim, document=config(version=9, more=1), base=3, away=[core])
     for _ in range(40):
         sim.run(seconds=0.25)
         assert not edge(sim).ready() and says(sim) == 503
@@ -158,16 +160,16 @@
     core = bystander(sim)
     child, relay = edge(sim, 0), edge(sim, 1)
     for ip in sim.core_ips:
-        sim.cut(a=child.startup.ip, b=ip)
+        sim.cut(a=child.settings.ip, b=ip)
         if ip != core:
-            sim.cut(a=relay.startup.ip, b=ip)
+            sim.cut(a=relay.settings.ip, b=ip)
     child.via, child.via_at = [relay.node_id], sim.now
     sim.run(seconds=0.6)
     child.via, child.via_at = [relay.node_id], sim.now
     assert edge(sim, 0).ready() and edge(sim, 1).ready()
-    island(sim, [core, child.startup.ip, relay.startup.ip])
+    island(sim, [core, child.settings.ip, relay.settings.ip])
     since = sim.now
-    change(sim, doc=config(version=9, more=1), base=3, away=[core])
+    change(sim, document=config(version=9, more=1), base=3, away=[core])
     sim.run(seconds=since + APPLY_S - sim.now)
     while sim.now < since + CUT_S:
         for n in (0, 1):
@@ -204,24 +206,24 @@
     """An edge whose calls arrive, but which hears nothing of configurations, after `x0` was dropped and `x1` came."""
     sim = LinkSim(seed=seed, mbps=100.0)
     sim.run(seconds=1.0)
-    doc = config(version=3, more=1)
-    put(sim, method="PUT", doc=doc, base=0)
+    document = config(version=3, more=1)
+    put(sim, method="PUT", document=document, base=0)
     sim.run(seconds=2.0)
     node = edge(sim)
     sim.lose = lambda src, dst, kind, m: dst == sim.edge_ips[0]
-    doc = config(version=9, more=2)
-    doc["route-table"] = [row for row in doc["route-table"] if row["name"] != "x0"]
-    put(sim, method="PUT", doc=doc, base=3)
+    document = config(version=9, more=2)
+    document["route-table"] = [row for row in document["route-table"] if row["name"] != "x0"]
+    put(sim, method="PUT", document=document, base=3)
     return sim, node
 
 
 def test_a_stale_edge_says_503_to_what_it_does_not_know_and_hands_valid_jobs_on() -> None:
     sim, _ = stale_edge(seed=307)
     sim.run(seconds=APPLY_S)
-    assert edge(sim).table is not None and edge(sim).table.stamp == 3  # type: ignore[union-attr]
+    assert edge(sim).table is not None and edge(sim).table.config_version == 3  # type: ignore[union-attr]
     assert says(sim, path="/x1/") == 503
     status, _ = sim.ask(
-        ip=sim.edge_ips[0], method="POST", path="/fast/00000000000000a1", doc=JOB, headers={"host": HOST}
+        ip=sim.edge_ips[0], method="POST", path="/fast/00000000000000a1", document=JOB, headers={"host": HOST}
     )
     assert status == 200
     assert says(sim, path="/fast/00000000000000a1") == 200
@@ -232,7 +234,9 @@
 def test_no_job_is_let_in_by_a_dropped_route(wait: float) -> None:
     sim, _ = stale_edge(seed=308)
     sim.run(seconds=wait)
-    status, _ = sim.ask(ip=sim.edge_ips[0], method="POST", path="/x0/00000000000000a1", doc=JOB, headers={"host": HOST})
+    status, _ = sim.ask(
+        ip=sim.edge_ips[0], method="POST", path="/x0/00000000000000a1", document=JOB, headers={"host": HOST}
+    )
     assert status in (404, 503)
     assert says(sim, path="/x0/") in (404, 503)
     jobs = sim.core(sim.serving(group_id=1)[0]).jobs[1].jobs
--- a/tests/node/test_config_freshness_core.py
+++ b/tests/node/test_config_freshness_core.py
@@ -36,26 +36,28 @@
     core = bystander(sim) if who == "bystander" else settled(sim)
     since = sim.now
     island(sim, [core], way=way)
-    change(sim, doc=config(version=9, more=1), base=3, away=[core])
+    change(sim, document=config(version=9, more=1), base=3, away=[core])
     sim.run(seconds=max(0.0, since + APPLY_S - sim.now))
     while sim.now < since + CUT_S:
-        for method, path, doc, head in (
+        for method, path, document, head in (
             ("GET", "/config", None, {}),
             ("POST", "/evacuation/z1", None, {}),
             ("PUT", "/config", config(version=11), {"if-match": "3"}),
             ("PUT", "/config", config(version=3), {"if-match": "0"}),
         ):
-            status, _ = sim.ask(ip=core, method=method, path=path, doc=doc, headers=head)
+            status, _ = sim.ask(ip=core, method=method, path=path, document=document, headers=head)
             assert status in (0, 503), (method, path, status)
-        status, doc = sim.ask(ip=core, method="GET", path="/state")
-        assert status == 200 and doc["proof-age-ms"] > 1000 * (sim.now - since) - 700
+        status, document = sim.ask(ip=core, method="GET", path="/state")
+        assert status == 200 and document["proof-age-ms"] > 1000 * (sim.now - since) - 700
     sim.heal()
     sim.run(seconds=APPLY_S)
-    status, doc = sim.ask(ip=core, method="GET", path="/config")
-    assert status == 200 and doc["config-version"] == 9
-    status, doc = sim.ask(ip=core, method="GET", path="/state")
-    assert doc["proof-age-ms"] < 1000 and doc["config"] == 9
-    assert doc["evacuated"] == sim.core(settled(sim)).registry.evac  # orders of a deaf core arrive, without an answer
+    status, document = sim.ask(ip=core, method="GET", path="/config")
+    assert status == 200 and document["config-version"] == 9
+    status, document = sim.ask(ip=core, method="GET", path="/state")
+    assert document["proof-age-ms"] < 1000 and document["config"] == 9
+    assert (
+        document["evacuated"] == sim.core(settled(sim)).registry.evacuated_zones
+    )  # orders of a deaf core arrive, without an answer
 
 
 def owners(sim: Sim) -> dict[str, list[str]]:
@@ -74,7 +76,7 @@
 @pytest.mark.parametrize("who", ["bystander", "primary"])
 def test_two_agents_never_answer_for_one_minion(way: str, who: str) -> None:
     """And each has one that does, also where the former one is heard but does not hear."""
-    sim, oracle, _, fleet = cluster(seed=322, cores=5, sites=5, minions=30)
+    sim, oracle, _, fleet = cluster(seed=322, cores=5, zones=5, minions=30)
     core = bystander(sim) if who == "bystander" else settled(sim)
     assert any(core in ips for ips in owners(sim).values())
     island(sim, [core], way=way)
@@ -95,7 +97,7 @@
     """Its lease is renewed by an answer only once it has all that the answer tells of."""
     sim = LinkSim(seed=323, mbps=100.0, cores=5)
     sim.run(seconds=1.0)
-    put(sim, method="PUT", doc=config(version=3), base=0)
+    put(sim, method="PUT", document=config(version=3), base=0)
     sim.run(seconds=2.0)
     core = bystander(sim)
 
@@ -109,12 +111,12 @@
     while sim.now < since + 10.0:
         node = sim.core(core)
         node.now = sim.now
-        assert "z0" not in node.evac and not node.trusted()
+        assert "z0" not in node.evacuated_zones and not node.trusted()
         sim.run(seconds=0.1)
     sim.lose = lambda src, dst, kind, m: False
     sim.run(seconds=1.0)
     node = sim.core(core)
-    assert "z0" in node.evac and node.trusted()
+    assert "z0" in node.evacuated_zones and node.trusted()
 
 
 def test_nothing_starts_in_a_site_that_was_evacuated_while_its_agent_was_cut_off() -> None:
@@ -133,7 +135,7 @@
 
     for n in range(100):
         sim.run(seconds=0.1)
-        assert not any(busy(m) for m in fleet if m.site == "z0")
+        assert not any(busy(m) for m in fleet if m.zone == "z0")
         if n == 50:
             sim.heal()
     assert any(busy(m) for m in fleet) and oracle.broken == []
@@ -146,12 +148,12 @@
     sim.cut(a=primary, b=placing)
     base = 3
     for version in range(9, 90, 9):
-        change(sim, doc=config(version=version, more=version), base=base, away=[])
+        change(sim, document=config(version=version, more=version), base=base, away=[])
         base = version
         sim.run(seconds=APPLY_S)
         node = sim.core(placing)
         node.now = sim.now
-        assert node.stamp() == version and node.freshness.age(now=sim.now) < APPLY_S / 2
+        assert node.config_version() == version and node.freshness.age(now=sim.now) < APPLY_S / 2
 
 
 @pytest.mark.parametrize("cores", [3, 5])
@@ -160,7 +162,7 @@
     core = bystander(sim) if cores > 3 else next(ip for ip in sim.core_ips if not {ip} & {*sim.serving(group_id=0)})
     away = [core, sim.edge_ips[0]]
     island(sim, away)
-    change(sim, doc=config(version=4, more=50), base=3, away=away)
+    change(sim, document=config(version=4, more=50), base=3, away=away)
     base = 4
     for version in range(5, 305):
         patch = {
@@ -175,20 +177,24 @@
         for n in range(40):
             if (
                 sim.ask(
-                    ip=side[n % len(side)], method="PATCH", path="/config", doc=patch, headers={"if-match": str(base)}
+                    ip=side[n % len(side)],
+                    method="PATCH",
+                    path="/config",
+                    document=patch,
+                    headers={"if-match": str(base)},
                 )[0]
                 == 200
             ):
                 break
         base = version
-    assert edge(sim, 1).table is not None and edge(sim, 1).table.stamp == 304  # type: ignore[union-attr]
-    assert sim.core(core).stamp() == 3 and edge(sim).table.stamp == 3  # type: ignore[union-attr]
+    assert edge(sim, 1).table is not None and edge(sim, 1).table.config_version == 304  # type: ignore[union-attr]
+    assert sim.core(core).config_version() == 3 and edge(sim).table.config_version == 3  # type: ignore[union-attr]
     sim.heal()
     sim.run(seconds=APPLY_S)
     for n in range(3):
         node = edge(sim, n)
         assert node.ready() and node.sure() and node.table is not None and len(node.table.routes) == 352
-    assert sim.core(core).stamp() == 304
+    assert sim.core(core).config_version() == 304
     assert sim.ask(ip=sim.edge_ips[0], method="GET", path="/n304/", headers={"host": HOST})[0] == 200
 
 
@@ -197,7 +203,7 @@
     sim, _, _, _ = cluster(seed=327, minions=1)
     node = edge(sim)
     node.now = 100.0
-    node.eps[0] = {**node.eps[0], "n": 5}
+    node.epochs[0] = {**node.epochs[0], "n": 5}
     node.freshness = Freshness(apply_ms=2000)
     node.freshness.prove(at=99.9, epoch=5)
     return node
@@ -234,7 +240,7 @@
 
 
 def _heard(node: EdgeNode) -> dict[str, Any]:
-    node.have["x"] = {**node.mine(), "ep": {str(group_id): e["n"] for group_id, e in node.eps.items()}}
+    node.have["x"] = {**node.mine(), "ep": {str(group_id): e["n"] for group_id, e in node.epochs.items()}}
     return {}
 
 
@@ -267,18 +273,20 @@
     job = {"task-spec": "s", "stages": [{"task-count": 1, "cpus": 10, "mem-mb": 1}]}
     oracle.jobs[job_id] = job
     for _ in range(12):
-        accepted = sim.ask(ip=sim.edge_ips[1], method="POST", path=f"/fast/{job_id}", doc=job, headers=head)[0] == 200
+        accepted = (
+            sim.ask(ip=sim.edge_ips[1], method="POST", path=f"/fast/{job_id}", document=job, headers=head)[0] == 200
+        )
         if accepted:
             break
     assert accepted
     end = sim.now + CUT_S
     while sim.now < end:
         for method, path in (("GET", f"/fast/{job_id}"), ("DELETE", f"/fast/{job_id}"), ("POST", f"/slow/{job_id}")):
-            doc = job if method == "POST" else None
-            status, _ = sim.ask(ip=sim.edge_ips[0], method=method, path=path, doc=doc, headers=head)
+            document = job if method == "POST" else None
+            status, _ = sim.ask(ip=sim.edge_ips[0], method=method, path=path, document=document, headers=head)
             assert status in (503, 504), (method, status)
         assert sim.ask(ip=placing, method="GET", path=f"/jobs/{job_id}")[0] in (0, 307, 503)
     sim.heal()
     sim.run(seconds=APPLY_S)
     assert sim.ask(ip=sim.edge_ips[0], method="GET", path=f"/fast/{job_id}", headers=head)[0] == 200
-    assert sim.ask(ip=sim.edge_ips[0], method="POST", path=f"/slow/{job_id}", doc=job, headers=head)[0] == 409
+    assert sim.ask(ip=sim.edge_ips[0], method="POST", path=f"/slow/{job_id}", document=job, headers=head)[0] == 409
--- a/tests/node/test_controller.py
+++ b/tests/node/test_controller.py
@@ -70,7 +70,7 @@
 
 
 def test_picks_keep_racks_together_and_spread_them() -> None:
-    pick = Picker(owners=Owners(rows={}), sites={"a": "z0", "b": "z0", "c": "z1"})
+    pick = Picker(owners=Owners(rows={}), zones={"a": "z0", "b": "z0", "c": "z1"})
     got = [pick.pick(spot=Place("z0", f"r{i // 12}")) for i in range(48)]
     assert [got.count(u) for u in "abc"] == [24, 24, 0] and all(len(set(got[i : i + 12])) == 1 for i in (0, 12, 24, 36))
     assert {pick.pick(spot=Place("z9", f"q{i}")) for i in range(60)} == {"a", "b", "c"}
@@ -84,11 +84,11 @@
             for i in range(k)
         }
 
-    sites = {"a": "z0", "b": "z0"}
+    zones = {"a": "z0", "b": "z0"}
     for a, b, some in ((7, 0, False), (40, 31, False), (9, 0, True), (60, 44, True)):
-        got = Picker(owners=Owners(rows=rows(a=a, b=b)), sites=sites).uneven(most=16)
+        got = Picker(owners=Owners(rows=rows(a=a, b=b)), zones=zones).uneven(most=16)
         assert bool(got) is some and all(minion_id[0] == "a" and to == "b" for minion_id, to in got)
-    assert Picker(owners=Owners(rows=rows(a=60, b=44)), sites={"a": "z0"}).uneven(most=16) == []
+    assert Picker(owners=Owners(rows=rows(a=60, b=44)), zones={"a": "z0"}).uneven(most=16) == []
 
 
 def test_a_storm_of_new_minions_makes_few_commits(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -227,8 +227,8 @@
     def uneven(self: Picker, *, most: int) -> list[tuple[str, str]]:
         there = sim.rng.choice(list(self.owners.spots.values()))
         was = sim.rng.choice(list(there))
-        to = sim.rng.choice(list(self.sites))
-        return [(minion_id, to) for minion_id in list(there[was])[:most]] if to != was and was in self.sites else []
+        to = sim.rng.choice(list(self.zones))
+        return [(minion_id, to) for minion_id in list(there[was])[:most]] if to != was and was in self.zones else []
 
     monkeypatch.setattr(Picker, "uneven", uneven)
     made = watch(sim=sim, monkeypatch=monkeypatch)
--- a/tests/node/test_edge.py
+++ b/tests/node/test_edge.py
@@ -16,7 +16,7 @@
 def ready(*, seed: int, **kw: Any) -> tuple[LinkSim, EdgeNode]:
     sim = LinkSim(seed=seed, mbps=100.0, **kw)
     sim.run(seconds=1.0)
-    put(sim, method="PUT", doc=config(version=3), base=0)
+    put(sim, method="PUT", document=config(version=3), base=0)
     sim.run(seconds=2.0)
     return sim, sim.edges()[0]
 
@@ -33,7 +33,7 @@
     n: int,
     method: str = "POST",
     deadline: object = 3000,
-    doc: Any = None,
+    document: Any = None,
 ) -> str:
     """Send a call to the first edge; its answer and when it came go to `got` under the job's ID."""
     job_id = f"{n:016x}"
@@ -42,9 +42,9 @@
         src="caller",
         method=method,
         path=f"/fast/{job_id}",
-        doc=(doc or JOB) if method == "POST" else None,
+        document=(document or JOB) if method == "POST" else None,
         headers={"host": HOST, "x-deadline-ms": str(deadline)},
-        back=lambda res: got.setdefault(job_id, (sim.now, res)) and None,
+        back=lambda response: got.setdefault(job_id, (sim.now, response)) and None,
     )
     return job_id
 
@@ -74,9 +74,9 @@
     sim, node = ready(seed=2)
     cut(sim)
     got: dict[str, tuple[float, Response]] = {}
-    doc = {"task-spec": "s" * 3900, "stages": [{**JOB["stages"][0], "affinity": "r" * 600} for _ in range(250)]}
+    document = {"task-spec": "s" * 3900, "stages": [{**JOB["stages"][0], "affinity": "r" * 600} for _ in range(250)]}
     for n in range(200):
-        call(sim, got, n=n, doc=doc)
+        call(sim, got, n=n, document=document)
     sim.run(seconds=0.1)
     assert 0 < len(node.calls.open) < 200 and node.hand <= 256 << 16
     assert len(got) == 200 - len(node.calls.open) and {r.status for _, r in got.values()} == {503}
--- a/tests/node/test_recovery.py
+++ b/tests/node/test_recovery.py
@@ -48,7 +48,7 @@
             ip=sim.core_ips[0],
             method="PUT",
             path="/config",
-            doc=config(version=version + 1),
+            document=config(version=version + 1),
             headers={"if-match": str(version)},
             limit=1.0,
         )
@@ -68,7 +68,7 @@
 def replayed(sim: RingSim, ip: str) -> CoreNode:
     """What a process of this machine would start with now."""
     return recover(
-        startup=sim.startup(ip=ip, first=False),
+        settings=sim.settings(ip=ip, first=False),
         records=sim._ring(ip).load(),
         now=sim.now,
         rand=0.5,
@@ -114,8 +114,8 @@
         assert isinstance(self, Replica)
         queued = sum(event is not None for event, _ in self.queue)
         return [
-            {**rec, "applied": rec["applied"] - queued} if rec["k"] == "st" else rec
-            for rec in records(self, whole=whole)
+            {**record, "applied": record["applied"] - queued} if record["k"] == "st" else record
+            for record in records(self, whole=whole)
         ]
 
     monkeypatch.setattr(StoredCopy, "records", sent)
@@ -154,7 +154,7 @@
     sim.run(seconds=8.0)
     quiet(sim)
     agree(sim)
-    assert sim.core(sim.serving(group_id=0)[0]).registry.stamp == version
+    assert sim.core(sim.serving(group_id=0)[0]).registry.config_version == version
     jobs = sim.core(sim.serving(group_id=1)[0]).jobs[1].jobs
     assert set(oracle.accepted) <= set(jobs) and not oracle.broken
 
@@ -200,7 +200,7 @@
     quiet(sim)
     journal += sim.disks[ip].synced[begin:]
     again = CoreNode(
-        startup=sim.startup(ip=ip, first=False),
+        settings=sim.settings(ip=ip, first=False),
         node_id=node.node_id,
         incarnation=2,
         log=Lines(),
@@ -209,11 +209,11 @@
     )
     if old:
         with pytest.raises(ReplayError) as caught:
-            again.restore(recs=journal)
+            again.restore(records=journal)
         assert isinstance(caught.value.__cause__, AssertionError)
         assert traceback.extract_tb(caught.value.__cause__.__traceback__)[-1].name == "_start"
     else:
-        again.restore(recs=journal)
+        again.restore(records=journal)
         assert states(again)[1] == states(node)[1]
 
 
@@ -223,9 +223,9 @@
     if how == "gap":
         del disk[batches[-2]]
     elif how == "reducer":
-        rec = orjson.loads(disk[batches[-1]])
-        rec["evs"][-1]["t"] = "nothing"
-        disk[batches[-1]] = orjson.dumps(rec)
+        record = orjson.loads(disk[batches[-1]])
+        record["evs"][-1]["t"] = "nothing"
+        disk[batches[-1]] = orjson.dumps(record)
     elif how == "malformed":
         disk[batches[-1]] = b'{"k":"lg","g":1}'
     elif how == "no json":
@@ -256,7 +256,7 @@
     spoil(sim.disks[ip].synced, how=how)
     log = Lines()
     found = recover(
-        startup=sim.startup(ip=ip, first=True),
+        settings=sim.settings(ip=ip, first=True),
         records=sim.disks[ip].synced,
         now=sim.now,
         rand=0.5,
@@ -285,7 +285,7 @@
     for group_id in (0, 1):
         replica = sim.core(sim.serving(group_id=group_id)[0]).replicas[group_id]
         assert replica.epoch is not None and node.node_id in replica.epoch["w"] and old not in replica.epoch["w"]
-    assert node.table is not None and node.table.stamp == version and not oracle.broken
+    assert node.table is not None and node.table.config_version == version and not oracle.broken
     sim.kill(ip=ip)
     sim.boot(ip=ip)
     assert sim.node_ids[ip] == node.node_id  # the new identity is in the journal: it is no newcomer again
@@ -299,7 +299,7 @@
 
     def start(*, records: list[bytes], first: bool) -> str:
         return recover(
-            startup=sim.startup(ip=ip, first=first),
+            settings=sim.settings(ip=ip, first=first),
             records=records,
             now=1.0,
             rand=0.5,
--- a/tests/node/test_refused_calls.py
+++ b/tests/node/test_refused_calls.py
@@ -20,7 +20,7 @@
         src="caller",
         method="POST",
         path=f"/fast/{JOB_ID}",
-        doc=JOB,
+        document=JOB,
         headers={"host": HOST, "x-deadline-ms": "3000"},
         back=answers.append,
     )
@@ -82,9 +82,9 @@
         def primary(self, *, group_id: int) -> tuple[str, int] | None:
             return self.serves
 
-        def learn(self, *, eps: list[Any]) -> None: ...
+        def learn(self, *, epochs: list[Any]) -> None: ...
 
-        def called(self, *, done: tuple[Any, ...], status: int, doc: Any, sent: bool) -> None:
+        def called(self, *, done: tuple[Any, ...], status: int, document: Any, sent: bool) -> None:
             ended.append((status, sent))
 
     caller = Caller()
--- a/tests/prediction/test_warm_plan.py
+++ b/tests/prediction/test_warm_plan.py
@@ -137,7 +137,7 @@
         least=0.5,
     )
     w = Warm(bounds=bounds)
-    t, wall = 0.0, 10**12
+    t, wall_now = 0.0, 10**12
     log: list[tuple[float, float, float]] = []  # from, to, cores
     open_rooms: dict[str, Room] = {}
 
@@ -150,10 +150,10 @@
 
     for _ in range(600):
         t += rng.choice([0.0, 1.0, 50.0, 50.0, 50.0, 300.0, 3000.0])
-        wall += rng.choice([50, 50, 50, -(10**6), 10**6])
+        wall_now += rng.choice([50, 50, 50, -(10**6), 10**6])
         preds = []
         for _ in range(rng.choice([0, 1, 5, 80])):
-            early = wall + rng.randint(-10_000, 1_000)
+            early = wall_now + rng.randint(-10_000, 1_000)
             late = early + rng.choice([0, 100, 10**7])
             preds.append(
                 pred(
@@ -169,7 +169,7 @@
                     form=Form(rng.choice([0, 500, 32_000, 1 << 31]), 1, rng.choice([0, 8]), ""),
                 )
             )
-        w.plan(now_ms=wall, steady=t, preds=preds)
+        w.plan(now_ms=wall_now, steady=t, preds=preds)
         follow(now=t)
         for service in ("s0", "s1"):
             assert sum(r.n for r in w.rooms.values() if r.service == service) <= bounds.tasks
--- a/tests/replication/test_handover.py
+++ b/tests/replication/test_handover.py
@@ -28,8 +28,8 @@
 def version(sim: Sim) -> int:
     """The configuration that a running core tells; 0: none does."""
     ip = next(ip for ip in sim.core_ips if sim.procs[ip].up)
-    status, doc = sim.ask(ip=ip, method="GET", path="/config")
-    return int(doc["config-version"]) if status == 200 else 0
+    status, document = sim.ask(ip=ip, method="GET", path="/config")
+    return int(document["config-version"]) if status == 200 else 0
 
 
 def served(sim: Sim) -> bool:
@@ -38,7 +38,9 @@
 
 def change(sim: Sim, *, to: int) -> None:
     ip = next(ip for ip in sim.core_ips if sim.procs[ip].up)
-    status, _ = sim.ask(ip=ip, method="PUT", path="/config", doc=config(version=to), headers={"if-match": str(to - 1)})
+    status, _ = sim.ask(
+        ip=ip, method="PUT", path="/config", document=config(version=to), headers={"if-match": str(to - 1)}
+    )
     assert status == 200
 
 
@@ -125,7 +127,7 @@
 
 
 def test_lone_core_says_that_it_leaves_the_only_copy() -> None:
-    sim, _, _, _ = cluster(seed=9, cores=1, sites=1)
+    sim, _, _, _ = cluster(seed=9, cores=1, zones=1)
     node = sim.core(sim.core_ips[0])
     assert leave(sim, ip=sim.core_ips[0]) < 1.0
     assert node.only_copies() == list(range(JOB_GROUPS + 1))
@@ -138,7 +140,7 @@
     and one more loss right after the catch-up time leaves all that was acknowledged."""
     sim, _, _, _ = cluster(seed=seed, cores=cores)
     sim.run(seconds=SETTLE_S)
-    stamp = 3
+    config_version = 3
     for i, old in enumerate(list(sim.core_ips)):
         spare = f"10.{old.split('.')[1]}.0.{20 + i}"
         leave(sim, ip=old)
@@ -146,8 +148,8 @@
         sim.core_ips[sim.core_ips.index(old)] = spare
         sim.boot(ip=spare)
         sim.run(seconds=CATCH_UP_S)
-        stamp += 1
-        change(sim, to=stamp)
+        config_version += 1
+        change(sim, to=config_version)
     sim.run(seconds=CATCH_UP_S)
     live = {sim.node_ids[ip] for ip in sim.core_ips}
     for group_id in range(JOB_GROUPS + 1):
@@ -157,4 +159,4 @@
     sim.kill(ip=lost, power=True)
     sim.wipe(ip=lost)
     assert sim.until(cond=lambda: served(sim), limit=CATCH_UP_S)
-    assert version(sim) == stamp
+    assert version(sim) == config_version
--- a/tests/replication/test_model_found.py
+++ b/tests/replication/test_model_found.py
@@ -38,7 +38,9 @@
 def head(w: World, *, src: int, dst: int, kind: str) -> Line | None:
     """The line whose next message is of this kind."""
     rows = (line for line, waiting in w.lines.items() if waiting[0].kind == kind)
-    return next((line for line in rows if (line.src, line.dst) == (w.members[src].addr, w.members[dst].addr)), None)
+    return next(
+        (line for line in rows if (line.src, line.dst) == (w.members[src].address, w.members[dst].address)), None
+    )
 
 
 def test_one_value_is_decided_although_a_candidate_restarts() -> None:
--- a/tests/replication/test_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -48,19 +48,19 @@
     """What waits for a sync is said before it."""
     real = Member.write
 
-    def write(self: Member, *, rec: dict[str, Any], done: tuple[Any, ...]) -> None:
+    def write(self: Member, *, record: dict[str, Any], done: tuple[Any, ...]) -> None:
         if done[0] == "send" and Kind(done[2]) in kinds:
-            real(self, rec=rec, done=("none",))
+            real(self, record=record, done=("none",))
             self.effect(effect=done)
         else:
-            real(self, rec=rec, done=done)
+            real(self, record=record, done=done)
 
     p.setattr(Member, "write", write)
 
 
 def an_acceptor_forgets_its_promise_over_a_restart(p: Patch) -> None:
-    def load(self: Acceptor, doc: dict[str, Any]) -> None:
-        self.seen, self.promised, self.voted, self.value = doc["e"], None, None, None
+    def load(self: Acceptor, document: dict[str, Any]) -> None:
+        self.seen, self.promised, self.voted, self.value = document["e"], None, None, None
 
     p.setattr(Acceptor, "load", load)
 
@@ -113,7 +113,7 @@
     real = Replica._unpack
 
     def unpack(self: Replica, *, epoch: Epoch) -> bool:
-        rows = [tag for tag, rec in self.spares.items() if rec["inst"] == epoch["n"]]
+        rows = [tag for tag, record in self.spares.items() if record["inst"] == epoch["n"]]
         named: Epoch = {**epoch, "t": rows[-1]} if rows else epoch
         return real(self, epoch=named)
 
@@ -154,7 +154,9 @@
 
     def checkpoint(self: Replica) -> list[dict[str, Any]]:
         waiting = sum(1 for event, _ in self.queue if event is not None)
-        return [{**rec, "applied": self.applied - waiting} if rec["k"] == "st" else rec for rec in real(self)]
+        return [
+            {**record, "applied": self.applied - waiting} if record["k"] == "st" else record for record in real(self)
+        ]
 
     p.setattr(Replica, "checkpoint", checkpoint)
 
--- a/tests/replication/test_quorum_contact.py
+++ b/tests/replication/test_quorum_contact.py
@@ -46,7 +46,7 @@
     split(sim, left=small)
     sim.run(seconds=2.0)
     primary = small[0]
-    status, _ = sim.ask(ip=primary, method="PUT", path="/config", doc=config(version=4), headers={"if-match": "3"})
+    status, _ = sim.ask(ip=primary, method="PUT", path="/config", document=config(version=4), headers={"if-match": "3"})
     assert status in (0, 503)
     assert sim.ask(ip=primary, method="GET", path="/config")[0] in (0, 503)
     assert sim.serving(group_id=0) == []
@@ -54,7 +54,7 @@
     sim.run(seconds=SETTLE_S)
     assert all(len(sim.serving(group_id=group_id)) == 1 for group_id in range(JOB_GROUPS + 1))
     status, _ = sim.ask(
-        ip=sim.core_ips[0], method="PUT", path="/config", doc=config(version=4), headers={"if-match": "3"}
+        ip=sim.core_ips[0], method="PUT", path="/config", document=config(version=4), headers={"if-match": "3"}
     )
     assert status == 200
     assert sim.ask(ip=primary, method="GET", path="/config")[1]["config-version"] == 4
@@ -84,7 +84,7 @@
     for other in {*sim.core_ips} - {primary, backup}:
         sim.cut(a=primary, b=other)
     assert sim.until(cond=lambda: sim.serving(group_id=0) == [backup], limit=4.0)
-    status, _ = sim.ask(ip=backup, method="PUT", path="/config", doc=config(version=4), headers={"if-match": "3"})
+    status, _ = sim.ask(ip=backup, method="PUT", path="/config", document=config(version=4), headers={"if-match": "3"})
     assert status == 200
 
 
--- a/tests/replication/test_single_core.py
+++ b/tests/replication/test_single_core.py
@@ -10,7 +10,7 @@
 
 
 def test_hanging_disk_of_a_lone_core_sends_nothing_to_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    sim, oracle, caller, _ = cluster(seed=1, cores=1, sites=1)
+    sim, oracle, caller, _ = cluster(seed=1, cores=1, zones=1)
     whole = sim._send
 
     def send(ip: str, proc: Proc, dst: str, kind: Kind, body: bytes) -> None:
--- a/tests/replication/test_snapshot.py
+++ b/tests/replication/test_snapshot.py
@@ -46,7 +46,7 @@
     primary.journal += primary.snapshot()
     cell.commit(x=3)
     cell.settle(seconds=0.3)
-    batches = [rec["first"] for rec in map(orjson.loads, primary.journal) if rec["k"] == "lg"]
+    batches = [record["first"] for record in map(orjson.loads, primary.journal) if record["k"] == "lg"]
     assert batches[-1] == primary.replica.applied - 1  # events 2 and 3 are one batch
     _, replayed = primary.replayed(journal=primary.journal)
     assert replayed.rows == primary.state.rows == [1, 2, 3]
@@ -76,7 +76,7 @@
     cell.commit(x=1)
     cell.settle(seconds=0.3)
     records = [orjson.loads(raw) for raw in [*before, *spare, *primary.snapshot()[1:-1]]]
-    replica, replayed = primary.replayed(journal=[orjson.dumps(rec) for rec in records])
+    replica, replayed = primary.replayed(journal=[orjson.dumps(record) for record in records])
     assert replayed.rows == [1] and replica.base == primary.replica.base
 
 
@@ -114,7 +114,7 @@
     assert [kind for _, _, kind, _ in cell.wire] == [Kind.CKPTOK]  # the backup has synced the copy
     backup.rotate(count=0)
     backup.restart()
-    assert [rec["inst"] for rec in backup.replica.spares.values()] == [2]
+    assert [record["inst"] for record in backup.replica.spares.values()] == [2]
     assert cell.settle(seconds=10.0, until=lambda: len(cell.decided) >= 2 and bool(cell.serving()))
     assert all(member.state.rows == [1] for member in holders(cell))
 
--- a/tests/replication/test_snapshot_any_order.py
+++ b/tests/replication/test_snapshot_any_order.py
@@ -150,7 +150,7 @@
     def sent(self: StoredCopy, *, whole: bool) -> list[dict[str, object]]:
         out = records(self, whole=whole)
         queued = sum(event is not None for event, _ in self.queue)  # type: ignore[attr-defined]
-        return [{**rec, "applied": self.applied - queued} if rec["k"] == "st" else rec for rec in out]
+        return [{**record, "applied": self.applied - queued} if record["k"] == "st" else record for record in out]
 
     with monkeypatch.context() as patch:
         if guard == "replay passes over what it has":
--- a/tests/replication/test_stalled_process.py
+++ b/tests/replication/test_stalled_process.py
@@ -48,7 +48,9 @@
 
 
 def put(sim: Sim, *, ip: str, to: int) -> int:
-    return sim.ask(ip=ip, method="PUT", path="/config", doc=config(version=to), headers={"if-match": str(to - 1)})[0]
+    return sim.ask(ip=ip, method="PUT", path="/config", document=config(version=to), headers={"if-match": str(to - 1)})[
+        0
+    ]
 
 
 def scene(*, seed: int) -> tuple[Sim, str, str, list[SimMinion]]:
@@ -69,13 +71,13 @@
     still = Standstill(
         sim=sim, ip=primary, when=lambda kind, m: kind is Kind.LOG and m["g"] == 0, monkeypatch=monkeypatch
     )
-    first = later(sim, ip=primary, method="PUT", path="/config", doc=config(version=4), headers={"if-match": "3"})
+    first = later(sim, ip=primary, method="PUT", path="/config", document=config(version=4), headers={"if-match": "3"})
     sim.run(seconds=3.0)
     rival = config(version=4, tries=2)
-    status = sim.ask(ip=other, method="PUT", path="/config", doc=rival, headers={"if-match": "3"})[0]
+    status = sim.ask(ip=other, method="PUT", path="/config", document=rival, headers={"if-match": "3"})[0]
     assert status == 200
     sim.run(seconds=STILL_S)
-    assert still.begun and not [res for res in first if res.status == 200]
+    assert still.begun and not [response for response in first if response.status == 200]
     for ip in (primary, other):
         assert sim.ask(ip=ip, method="GET", path="/config")[1]["route-table"] == rival["route-table"]
 
@@ -97,7 +99,11 @@
     second = sim.ask(ip=other, method="GET", path="/config")
     sim.run(seconds=STILL_S)
     assert called < still.begun < confirmed and len(first) <= 1
-    assert [orjson.loads(res.body)["config-version"] for res in first if res.status == 200] in ([], [3], [4])
+    assert [orjson.loads(response.body)["config-version"] for response in first if response.status == 200] in (
+        [],
+        [3],
+        [4],
+    )
     assert second[0] == 200 and second[1]["config-version"] == 4
     for ip in sim.core_ips:
         assert sim.ask(ip=ip, method="GET", path="/config")[1]["config-version"] == 4
@@ -112,7 +118,7 @@
     assert put(sim, ip=other, to=4) == 200
     late = later(sim, ip=primary, method="GET", path="/config")
     sim.run(seconds=STILL_S)
-    assert [orjson.loads(res.body)["config-version"] for res in late if res.status == 200] in ([], [4])
+    assert [orjson.loads(response.body)["config-version"] for response in late if response.status == 200] in ([], [4])
 
 
 @pytest.mark.parametrize("seed", [10, 11, 12])
--- a/tests/replication/test_successive_losses.py
+++ b/tests/replication/test_successive_losses.py
@@ -126,7 +126,7 @@
     """Members are lost with their disks, as many at once as the budget names, and come back empty at the same
     address; each time when the last ones have had their time to catch up."""
     sim = start(monkeypatch, seed=seed, cores=cores, losses=losses)
-    stamp = 4
+    config_version = 4
     for _ in range(6):
         lost = holders(newest(sim, group_id=0))[:losses]
         for ip in lost:
@@ -135,11 +135,11 @@
         for ip in lost:
             sim.boot(ip=ip)
         sim.run(seconds=CATCH_UP_S)
-        stamp += 1
-        change(sim, to=stamp)
+        config_version += 1
+        change(sim, to=config_version)
     live = {sim.node_ids[ip] for ip in sim.core_ips}
     sim.run(seconds=CATCH_UP_S)
     for group_id in range(JOB_GROUPS + 1):
         epoch = newest(sim, group_id=group_id)
         assert {epoch["p"], *epoch["b"], *epoch["w"]} <= live
-    assert version(sim) == stamp
+    assert version(sim) == config_version
--- a/tests/replication/test_two_disks_lost.py
+++ b/tests/replication/test_two_disks_lost.py
@@ -41,7 +41,7 @@
     """Seen on akat-yl-grown trouble-2: primary and backup of group 0 lost their disks after an acknowledgement."""
     sim, _oracle, _caller, _fleet = cluster(seed=seed, minions=6, cores=5, losses=2)
     status, _ = sim.ask(
-        ip=sim.core_ips[0], method="PUT", path="/config", doc=config(version=4), headers={"if-match": "3"}
+        ip=sim.core_ips[0], method="PUT", path="/config", document=config(version=4), headers={"if-match": "3"}
     )
     assert status == 200
     strike(sim, group_id=0, which=which)
@@ -60,10 +60,10 @@
     assert sim.until(cond=lambda: job_id in oracle.accepted, limit=3.0)
     strike(sim, group_id=1, which=which)
     sim.run(seconds=6.0)
-    status, doc = sim.ask(
+    status, document = sim.ask(
         ip=sim.edge_ips[0], method="GET", path=f"/fast/{job_id}", headers={"host": HOST, "x-deadline-ms": "3000"}
     )
-    assert status == 200, (status, doc)
+    assert status == 200, (status, document)
 
 
 @pytest.mark.parametrize("seed", range(4))
--- a/tests/replication/test_zones.py
+++ b/tests/replication/test_zones.py
@@ -67,7 +67,7 @@
     assert {zone(ip) for ip in holders(newest(sim, group_id=0))} == {first}
     sim.run(seconds=MEND_S)
     check(sim)
-    status, _ = sim.ask(ip=stay[0], method="PUT", path="/config", doc=config(version=4), headers={"if-match": "3"})
+    status, _ = sim.ask(ip=stay[0], method="PUT", path="/config", document=config(version=4), headers={"if-match": "3"})
     assert status == 200
     for ip in stay:
         sim.kill(ip=ip, power=True)
--- a/tests/scheduling/test_binding.py
+++ b/tests/scheduling/test_binding.py
@@ -168,9 +168,9 @@
     sim.run(seconds=2.0)
     got: list[tuple[int, Any]] = [sim.ask(ip=ip, method="GET", path=f"/jobs/{job_id}") for ip in sim.core_ips]
     assert sorted(status for status, _ in got) == [200, 307, 307]
-    doc = next(doc for status, doc in got if status == 200)
-    assert doc["state"] == "pending" and doc["groups"][0]["members-waiting"] == 0
-    assert "never" in doc["groups"][0]["last"] and doc["groups"][0]["cycles-failed"] > 1
+    document = next(document for status, document in got if status == 200)
+    assert document["state"] == "pending" and document["groups"][0]["members-waiting"] == 0
+    assert "never" in document["groups"][0]["last"] and document["groups"][0]["cycles-failed"] > 1
     home = sim.serving(group_id=1)[0]
     assert sim.ask(ip=home, method="GET", path="/jobs/0000000000000001")[0] == 410
     assert sim.ask(ip=home, method="GET", path="/jobs/zz")[0] == 400
--- a/tests/scheduling/test_scheduling_cycle.py
+++ b/tests/scheduling/test_scheduling_cycle.py
@@ -25,7 +25,7 @@
                 fence=1,
                 seq=i,
                 service="s",
-                site="z",
+                zone="z",
                 labels=(rng.choice("ab"), rng.choice(RACKS)),
                 cap=cap,
             )
@@ -118,7 +118,7 @@
                 fence=1,
                 seq=1,
                 service="s",
-                site="z",
+                zone="z",
                 labels=("k", rack),
                 cap=Size(4000, 9, 4),
             )
@@ -142,7 +142,7 @@
                 fence=1,
                 seq=1,
                 service="s",
-                site="z",
+                zone="z",
                 labels=("k", "r"),
                 cap=Size(1000, 1, 0),
             )
@@ -183,7 +183,7 @@
                     fence=1,
                     seq=step,
                     service="s",
-                    site="z",
+                    zone="z",
                     labels=("a", "r0"),
                     cap=Size(4000, 4000, 4),
                 )
@@ -236,7 +236,7 @@
                 fence=1,
                 seq=1,
                 service="s",
-                site="z",
+                zone="z",
                 labels=("k", f"r{i // 12}"),
                 cap=Size(32000, 64000, 8),
             )
--- a/tests/scheduling/test_warm_capacity.py
+++ b/tests/scheduling/test_warm_capacity.py
@@ -106,7 +106,7 @@
     elif what == "drain":
         victim.state = "draining"
     elif what == "evacuate":
-        assert sim.ask(ip=sim.core_ips[0], method="POST", path=f"/evacuation/{victim.site}")[0] == 200
+        assert sim.ask(ip=sim.core_ips[0], method="POST", path=f"/evacuation/{victim.zone}")[0] == 200
     else:
         change = {
             "config-version": 5,
@@ -129,7 +129,8 @@
             },
         }
         assert (
-            sim.ask(ip=sim.core_ips[0], method="PATCH", path="/config", doc=change, headers={"if-match": "3"})[0] == 200
+            sim.ask(ip=sim.core_ips[0], method="PATCH", path="/config", document=change, headers={"if-match": "3"})[0]
+            == 200
         )
     sim.run(seconds=8.0)
     placer = placer_of(sim)
@@ -182,7 +183,7 @@
             if i == 20:
                 fleet[seed].crash()
         ended(sim=sim, oracle=oracle, caller=caller, limit=90.0)
-        gangs = {j for j, doc in oracle.jobs.items() if doc["stages"][0].get("gang")}
+        gangs = {j for j, document in oracle.jobs.items() if document["stages"][0].get("gang")}
         done = {t.split(".")[0] if t.split(".")[0] in gangs else t for t in oracle.done}  # one stands for all
         got.append((len(oracle.accepted), len(done)))
     assert got[0] == got[1]
--- a/tests/simulator/test_cluster_faults.py
+++ b/tests/simulator/test_cluster_faults.py
@@ -15,7 +15,7 @@
 from yarrowloom.simulator.faults.model import MORE_KINDS, RULES, Fault, FaultKind, Role, check
 from yarrowloom.simulator.faulty_cluster import TroubledSim
 from yarrowloom.simulator.machines.processor import QUOTA_PERIOD_S, Quota
-from yarrowloom.simulator.run import Run, Settings, play
+from yarrowloom.simulator.run import Run, RunSettings, play
 
 SIZES = (3, 4, 5, 7)
 SHAPE = Shape(cores=3, edges=1, minions=9, losses=1, seconds=30.0)
@@ -28,7 +28,7 @@
 
 
 def run_of(*faults: Fault, seconds: float = 4.0, size: int = 3, seed: int = 3) -> Run:
-    return Run(settings=Settings(seed=seed, seconds=seconds, size=size, faults=faults))
+    return Run(settings=RunSettings(seed=seed, seconds=seconds, size=size, faults=faults))
 
 
 def begin(run: Run) -> None:
@@ -202,7 +202,7 @@
 )
 def test_a_place_or_share_that_does_not_fit_is_refused(kind: FaultKind, where: str, place: str) -> None:
     with pytest.raises(FaultsError) as got:
-        check(doc={"faults": [{"kind": str(kind), "at-s": 1, "where": where}]})
+        check(document={"faults": [{"kind": str(kind), "at-s": 1, "where": where}]})
     assert place in [finding.place for finding in got.value.findings]
 
 
@@ -211,7 +211,7 @@
     row = {"kind": str(kind), "at-s": 1, "for-s": 2, "where": str(RULES[kind].roles[0])}
     if kind is FaultKind.CPU_QUOTA:
         row |= {"where": "all-cores", "strength": 0.5}
-    (planned,) = check(doc={"faults": [row]}).faults
+    (planned,) = check(document={"faults": [row]}).faults
     assert planned.kind is kind
 
 
@@ -221,7 +221,7 @@
 @pytest.mark.parametrize("seed", range(60))
 def test_these_kinds_are_drawn_on_request_only(seed: int) -> None:
     assert not any(f.kind in MORE_KINDS for f in draw(seed=seed, shape=SHAPE))
-    settings = Settings(seed=seed)
+    settings = RunSettings(seed=seed)
     assert settings.planned() == draw(seed=seed, shape=settings.shape)
     assert replace(settings, more_faults=True).planned() == draw_more(seed=seed, shape=settings.shape)
 
@@ -297,7 +297,7 @@
 
 def run_after(*, kind: FaultKind, method: str, size: int, seed: int) -> Run:
     trigger = AfterAcknowledgement(kind=kind, after_s=5.0, method=method)
-    run = Run(settings=Settings(seed=seed, seconds=10.0, size=size, faults=()), checks=(trigger,))
+    run = Run(settings=RunSettings(seed=seed, seconds=10.0, size=size, faults=()), checks=(trigger,))
     trigger.run = run
     assert run.play().breaches == ()
     assert trigger.begun_s >= 5.0
@@ -316,7 +316,7 @@
 
 @pytest.mark.parametrize("seed", [1000, 1001, 1002, 1003])
 def test_drawn_runs_with_more_faults_break_no_rule(seed: int) -> None:
-    report = play(settings=Settings(seed=seed, seconds=20.0, size=5, more_faults=True))
+    report = play(settings=RunSettings(seed=seed, seconds=20.0, size=5, more_faults=True))
     assert any(f.kind in MORE_KINDS for f in report.faults)
     assert report.breaches == ()
 
--- a/tests/simulator/test_faults.py
+++ b/tests/simulator/test_faults.py
@@ -10,7 +10,7 @@
 from yarrowloom.simulator.faults.generator import CATCH_UP_S, Shape, draw
 from yarrowloom.simulator.faults.model import RULES, Fault, FaultKind, Plan, Role, check, dump, load
 from yarrowloom.simulator.machines.network import Cut, Cuts
-from yarrowloom.simulator.run import Run, Settings
+from yarrowloom.simulator.run import Run, RunSettings
 
 LOST = {k for k, rule in RULES.items() if Role.CORE in rule.roles} - {FaultKind.CLOCK_STEP, FaultKind.CLOCK_DRIFT}
 
@@ -20,12 +20,12 @@
 
 
 def run_of(*faults: Fault, seconds: float = 4.0, size: int = 3, seed: int = 3) -> Run:
-    return Run(settings=Settings(seed=seed, seconds=seconds, size=size, faults=faults))
+    return Run(settings=RunSettings(seed=seed, seconds=seconds, size=size, faults=faults))
 
 
 def findings(text: str) -> list[str]:
     with pytest.raises(FaultsError) as got:
-        check(doc=tomllib.loads(text))
+        check(document=tomllib.loads(text))
     assert got.value.exit_code == 78
     return [str(f) for f in got.value.findings]
 
@@ -90,7 +90,7 @@
     and what is drawn can be written down and read again."""
     shape = Shape(cores=3 + seed % 3 * 3, edges=2, minions=9, losses=1 + (seed % 3 == 2), seconds=30.0)
     faults = draw(seed=seed, shape=shape)
-    assert check(doc=tomllib.loads(dump(plan=Plan(faults=faults, seed=seed)))).faults == faults
+    assert check(document=tomllib.loads(dump(plan=Plan(faults=faults, seed=seed)))).faults == faults
     lost = [f for f in faults if f.kind in LOST and f.where.startswith("core-")]
     for one in lost:
         together = {f.where for f in lost if f.at_s <= one.at_s < f.end_s + CATCH_UP_S}
--- a/tests/simulator/test_found_plans.py
+++ b/tests/simulator/test_found_plans.py
@@ -5,7 +5,7 @@
 import pytest
 
 from yarrowloom.simulator.faults.model import load
-from yarrowloom.simulator.run import Settings, play
+from yarrowloom.simulator.run import RunSettings, play
 
 FOUND = sorted((Path(__file__).parent / "found").glob("*.toml"))
 
@@ -14,5 +14,5 @@
 def test_what_a_hunt_found_breaks_no_rule_any_more(path: Path) -> None:
     plan = load(path=str(path))
     assert plan.seed is not None and plan.seconds is not None and plan.size is not None
-    report = play(settings=Settings(seed=plan.seed, seconds=plan.seconds, size=plan.size, faults=plan.faults))
+    report = play(settings=RunSettings(seed=plan.seed, seconds=plan.seconds, size=plan.size, faults=plan.faults))
     assert report.breaches == ()
--- a/tests/simulator/test_history_runs.py
+++ b/tests/simulator/test_history_runs.py
@@ -45,15 +45,15 @@
         self.number += 1
         number, invoked_s, open_ = self.number, self.sim.now, [True]
 
-        def ended(res: Response | None) -> None:
+        def ended(response: Response | None) -> None:
             if not open_:
                 return
             open_.clear()
-            status = res.status if res is not None else 0
-            doc = orjson.loads(res.body) if res is not None and status == 200 and res.body else {}
-            shows = "state" in doc  # only the answer to SHOW does
+            status = response.status if response is not None else 0
+            document = orjson.loads(response.body) if response is not None and status == 200 and response.body else {}
+            shows = "state" in document  # only the answer to SHOW does
             echo = None if status != 200 else "shows" if shows else "does"
-            state = doc["state"] if shows and verb is JobVerb.SHOW else ""
+            state = document["state"] if shows and verb is JobVerb.SHOW else ""
             operation = Operation(
                 number=number,
                 process="client",
@@ -77,7 +77,7 @@
             src="client",
             method=METHODS[verb],
             path=f"/fast/{job_id}",
-            doc=self.oracle.jobs[job_id] if verb is JobVerb.SUBMIT else None,
+            document=self.oracle.jobs[job_id] if verb is JobVerb.SUBMIT else None,
             headers={"host": HOST, "x-deadline-ms": "3000"},
             back=ended,
         )
--- a/tests/simulator/test_job_rules.py
+++ b/tests/simulator/test_job_rules.py
@@ -34,7 +34,7 @@
     m = day.fleet[at]
     m.end(task=f"{JID}.0.0.{i}", how=how)
     if noted:
-        m.answer(doc={"fence-no": 9, "last-seen": m.num}, sent=day.sim.now)
+        m.answer(document={"fence-no": 9, "last-seen": m.num}, sent=day.sim.now)
 
 
 def limit(day: Day) -> None:
@@ -62,7 +62,7 @@
     begin(day, 0)
     over(day, 0, noted=False)
     begin(day, 1, run=2)
-    day.fleet[0].answer(doc={"fence-no": 9, "last-seen": 1}, sent=day.sim.now)
+    day.fleet[0].answer(document={"fence-no": 9, "last-seen": 1}, sent=day.sim.now)
 
 
 def budget(day: Day) -> None:
@@ -103,7 +103,7 @@
 
 
 def evacuated(day: Day) -> None:
-    day.judge.evac["z0"] = day.sim.now - 5.1
+    day.judge.evacuated_zones["z0"] = day.sim.now - 5.1
     begin(day)
 
 
@@ -188,8 +188,8 @@
     over(day)
     begin(day, s=1)
     assert day.judge.rules() == {"ORDER"}
-    wall = int((day.sim.wall0 + day.sim.now) * 1000)
-    day = lone(task(), more={"first-run-ms": wall, "period-ms": 1000, "repeat-count": 3})
+    wall_now = int((day.sim.wall0 + day.sim.now) * 1000)
+    day = lone(task(), more={"first-run-ms": wall_now, "period-ms": 1000, "repeat-count": 3})
     begin(day, k=0)
     assert day.judge.broken == []
     begin(day, k=1)
@@ -209,7 +209,7 @@
     over(day, 0, noted=False)
     day.fleet[0].lapsed = day.sim.now + 0.1
     begin(day, 1, run=2)
-    day.fleet[0].answer(doc={"fence-no": 9, "last-seen": 1}, sent=day.sim.now)
+    day.fleet[0].answer(document={"fence-no": 9, "last-seen": 1}, sent=day.sim.now)
     assert day.judge.broken == []
     day = lone(task(n=5))
     day.fleet[0].guards = True
--- a/tests/simulator/test_simulator.py
+++ b/tests/simulator/test_simulator.py
@@ -14,7 +14,7 @@
 from yarrowloom.simulator.faults import shrink as shrinking
 from yarrowloom.simulator.faults.model import Fault, FaultKind, Plan, load
 from yarrowloom.simulator.hunt import hunt, plan_of, tale
-from yarrowloom.simulator.run import Report, Run, Settings, play
+from yarrowloom.simulator.run import Report, Run, RunSettings, play
 
 ROOT = Path(__file__).resolve().parents[2]
 ASK = "from tests.simulator.test_simulator import digest; print(digest())"
@@ -25,7 +25,7 @@
 
 
 def digest() -> str:
-    report = play(settings=Settings(seed=11, seconds=12.0, size=5))
+    report = play(settings=RunSettings(seed=11, seconds=12.0, size=5))
     return hashlib.sha256("\n".join(map(str, [*report.story.events, *report.lines()])).encode()).hexdigest()
 
 
@@ -60,7 +60,7 @@
 
 def test_a_check_sees_each_call_with_its_answer_in_order_of_time() -> None:
     check = Recorder()
-    report = play(settings=Settings(seed=2, seconds=4.0, faults=()), checks=(check,))
+    report = play(settings=RunSettings(seed=2, seconds=4.0, faults=()), checks=(check,))
     assert report.breaches == ()
     load_begun = check.events
     assert load_begun == sorted(load_begun, key=lambda e: e.at_s)
@@ -72,17 +72,17 @@
 
 
 def test_a_breach_of_a_check_ends_the_run() -> None:
-    report = play(settings=Settings(seed=2, seconds=8.0, faults=()), checks=(Recorder(breach="REGISTER odd"),))
+    report = play(settings=RunSettings(seed=2, seconds=8.0, faults=()), checks=(Recorder(breach="REGISTER odd"),))
     assert report.rules == {"REGISTER"} and report.simulated_s < 4.0
 
 
 def test_a_process_that_raises_has_ended_by_itself(monkeypatch: pytest.MonkeyPatch) -> None:
-    run = Run(settings=Settings(seed=4, seconds=6.0, faults=()))
+    run = Run(settings=RunSettings(seed=4, seconds=6.0, faults=()))
     ip = run.sim.core_ips[1]
     real = CoreNode.tick
 
     def tick(self: CoreNode) -> None:
-        if self.startup.ip == ip and self.now > run.sim.started_s + 2.0:
+        if self.settings.ip == ip and self.now > run.sim.started_s + 2.0:
             raise ValueError("made up")
         real(self)
 
@@ -93,14 +93,14 @@
 
 
 def test_two_that_serve_one_group_are_a_breach(monkeypatch: pytest.MonkeyPatch) -> None:
-    run = Run(settings=Settings(seed=4, seconds=6.0, faults=()))
+    run = Run(settings=RunSettings(seed=4, seconds=6.0, faults=()))
     both = run.sim.core_ips[:2]
     monkeypatch.setattr(run.sim, "serving", lambda *, group_id: both)
     assert run.play().rules == {"PRIMARY"}
 
 
 def test_a_confirmed_configuration_that_is_gone_is_a_breach() -> None:
-    run = Run(settings=Settings(seed=4, seconds=4.0, faults=()))
+    run = Run(settings=RunSettings(seed=4, seconds=4.0, faults=()))
     real = run.operator.read_back
 
     def forget() -> None:
@@ -114,7 +114,7 @@
 def test_jobs_that_never_end_are_a_breach() -> None:
     """Two of three core machines go for good: nothing is served any more, and that is said."""
     faults = tuple(Fault(kind=FaultKind.REMOVE, at_s=1.0, for_s=0.0, where=f"core-{i}") for i in range(2))
-    report = play(settings=Settings(seed=4, seconds=4.0, faults=faults))
+    report = play(settings=RunSettings(seed=4, seconds=4.0, faults=faults))
     assert report.rules & {"UNFINISHED", "LOST"}
 
 
@@ -127,7 +127,7 @@
     assert [e.text for e in kept] == ["starts j1.0.0.0", "starts j1.0.0.0", "begins"]
 
 
-def fake_report(settings: Settings) -> Report:
+def fake_report(settings: RunSettings) -> Report:
     """A run that breaks a rule exactly if core-1 is killed for half a second or more."""
     faults = settings.faults or ()
     hit = any(f.where == "core-1" and f.for_s >= 0.5 for f in faults)
@@ -146,23 +146,23 @@
 def test_shrinking_leaves_what_the_breach_needs(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(shrinking, "play", lambda *, settings: fake_report(settings))
     faults = tuple(kill(at_s=float(i), where=f"core-{i % 3}", for_s=8.0) for i in range(9))
-    small = shrinking.shrink(report=fake_report(Settings(faults=faults)))
+    small = shrinking.shrink(report=fake_report(RunSettings(faults=faults)))
     assert [(f.where, f.for_s) for f in small.faults] == [("core-1", 0.5)]
 
 
 def test_shrinking_keeps_to_the_rule_that_was_broken(monkeypatch: pytest.MonkeyPatch) -> None:
-    def other(*, settings: Settings) -> Report:
+    def other(*, settings: RunSettings) -> Report:
         return replace(fake_report(settings), breaches=("OTHER",))
 
     monkeypatch.setattr(shrinking, "play", other)
-    first = fake_report(Settings(faults=(kill(at_s=1.0, where="core-1"), kill(at_s=2.0))))
+    first = fake_report(RunSettings(faults=(kill(at_s=1.0, where="core-1"), kill(at_s=2.0))))
     assert shrinking.shrink(report=first) is first
 
 
 def test_a_hunt_plays_every_seed_once() -> None:
     seen: list[int] = []
     found = hunt(
-        settings=Settings(seed=50, seconds=2.0),
+        settings=RunSettings(seed=50, seconds=2.0),
         runs=5,
         jobs=2,
         progress=lambda report: seen.append(report.settings.seed),
@@ -171,7 +171,7 @@
 
 
 def test_what_a_hunt_tells_can_be_played_again(tmp_path: Path) -> None:
-    report = play(settings=Settings(seed=7, seconds=5.0, faults=(kill(at_s=1.5),)))
+    report = play(settings=RunSettings(seed=7, seconds=5.0, faults=(kill(at_s=1.5),)))
     rows = tale(report=report)
     begin = rows.index("seed = 7")
     path = tmp_path / "again.toml"
--- a/tests/storage/stored_data.py
+++ b/tests/storage/stored_data.py
@@ -16,7 +16,7 @@
 from yarrowloom.cluster_state.registry import Registry
 from yarrowloom.common.defaults import SHIPPED, Defaults
 from yarrowloom.common.log import Log
-from yarrowloom.common.settings import Startup
+from yarrowloom.common.settings import NodeSettings
 from yarrowloom.jobs.state_machine import Jobs
 from yarrowloom.node.core import NODE_RECORDS, CoreNode
 from yarrowloom.node.recovery import recover
@@ -51,14 +51,14 @@
     job_events: frozenset[str]
 
 
-def startup(*, ip: str) -> Startup:
+def settings(*, ip: str) -> NodeSettings:
     """The settings of a core process of three, with two backups for each group."""
-    return Startup(
+    return NodeSettings(
         name=ip,
         role="core",
         ip=ip,
-        site=f"z{ip.split('.')[1]}",
-        sites={"z0": "r", "z1": "r", "z2": "r"},
+        zone=f"z{ip.split('.')[1]}",
+        zones={"z0": "r", "z1": "r", "z2": "r"},
         binds={"control": f"{ip}:8000"},
         ports=(7000, 7015),
         seeds=tuple(f"{seed}:8000" for seed in SEEDS),
@@ -75,7 +75,7 @@
     """A core node that starts with these records; `learn`: it keeps the history for predictions."""
     defaults: Defaults = {**SHIPPED, "learn": {"on": learn}}
     return recover(
-        startup=startup(ip=ip),
+        settings=settings(ip=ip),
         records=records,
         blank=blank,
         log=Log(name="stored-data", level="error"),
--- a/tests/storage/test_ring_journal.py
+++ b/tests/storage/test_ring_journal.py
@@ -81,12 +81,12 @@
     ring.append(bodies=big)
     rotations = 0
     for i in range(50):
-        rec = [b"%04d" % i * 10]
-        if ring.full(extra=ring.room(bodies=rec)):
+        record = [b"%04d" % i * 10]
+        if ring.full(extra=ring.room(bodies=record)):
             rotations += 1
             ring.rotate(need=ring.room(bodies=big))
             ring.append(bodies=big)
-        ring.append(bodies=rec)
+        ring.append(bodies=record)
     assert rotations == 0 and ring.size == 16384
     again = Ring(folder=str(tmp_path), files=4, size=4096, most=32768)
     assert again.load()[:2] == [b"old", big[0]]
--- a/tests/storage/test_storage.py
+++ b/tests/storage/test_storage.py
@@ -9,7 +9,7 @@
 from tests.support.storage_proof import FILE_BYTES, FOLDER, Life, Oracle, Process, checkpoint, make_ring, play, replay
 from yarrowloom.common.errors import StoreError
 from yarrowloom.common.log import Log
-from yarrowloom.common.settings import Startup
+from yarrowloom.common.settings import NodeSettings
 from yarrowloom.node.runtime import Shell, open_core
 from yarrowloom.simulator.machines.disk import Operation, Outcome, PowerCutError, SimDisk, Trouble
 from yarrowloom.storage import END, Ring, Verdict, file_sizes, until_taken
@@ -218,13 +218,13 @@
 # -- the node
 
 
-def startup(*, bootstrap: bool) -> Startup:
-    return Startup(
+def settings(*, bootstrap: bool) -> NodeSettings:
+    return NodeSettings(
         name="n",
         role="r",
         ip="10.0.0.1",
-        site="z",
-        sites={"z": "r"},
+        zone="z",
+        zones={"z": "r"},
         binds={"control": "10.0.0.1:8000"},
         ports=(7000, 7015),
         seeds=("10.0.0.1:8000",),
@@ -237,7 +237,7 @@
 
 
 def start_node(*, disk: SimDisk, bootstrap: bool = True) -> Shell:
-    return open_core(startup=startup(bootstrap=bootstrap), log=LOG, file_system=disk)
+    return open_core(settings=settings(bootstrap=bootstrap), log=LOG, file_system=disk)
 
 
 FIRST_UID = "10.0.0.1:7000#0"
--- a/tests/storage/test_stored_data.py
+++ b/tests/storage/test_stored_data.py
@@ -25,7 +25,9 @@
 
 def all_events(*, registry: bool) -> list[dict[str, Any]]:
     """Every event that stands in a log record of the registry, or of the job groups."""
-    batches = [rec for rec in all_records() if rec["k"] == "lg" and (rec["g"] == REGISTRY_GROUP) is registry]
+    batches = [
+        stored for stored in all_records() if stored["k"] == "lg" and (stored["g"] == REGISTRY_GROUP) is registry
+    ]
     return [event for batch in batches for event in batch["evs"]]
 
 
@@ -96,7 +98,7 @@
 
 
 def test_data_holds_a_full_history_of_predictions() -> None:
-    states = [rec["st"] for rec in all_records() if rec["k"] == "st" and rec["g"] != REGISTRY_GROUP]
+    states = [stored["st"] for stored in all_records() if stored["k"] == "st" and stored["g"] != REGISTRY_GROUP]
     pasts = [state["past"] for state in states if state.get("past")]
     assert any(state.get("past") == {} for state in states)  # where no history is kept
     for part in ("fresh", "kinds", "timers", "clock"):
@@ -109,7 +111,7 @@
 
 def test_data_holds_votes_and_proposed_copies() -> None:
     witnesses = [record for record in all_records() if record["k"] == "w"]
-    assert {(rec["pb"] is None, rec["ab"] is None) for rec in witnesses} == {
+    assert {(stored["pb"] is None, stored["ab"] is None) for stored in witnesses} == {
         (True, True),
         (False, True),
         (False, False),
--- a/tests/storage/write_data.py
+++ b/tests/storage/write_data.py
@@ -65,25 +65,25 @@
 
 def configuration(*, version: int, rank: int = 0, more: int = 8) -> dict[str, Any]:
     """A valid configuration."""
-    doc = minions.config(version=version, more=more)
-    doc["route-table"][0]["rank"] = rank
-    return doc
+    document = minions.config(version=version, more=more)
+    document["route-table"][0]["rank"] = rank
+    return document
 
 
 def registry_events() -> Iterator[list[dict[str, Any]]]:
     """Batches with every event of the registry."""
     registry = Registry()
 
-    def order(*, method: str, base: int, doc: dict[str, Any]) -> dict[str, Any]:
-        event = registry.judge(method=method, base=str(base), body=orjson.dumps(doc))
+    def order(*, method: str, base: int, document: dict[str, Any]) -> dict[str, Any]:
+        event = registry.judge(method=method, base=str(base), body=orjson.dumps(document))
         assert event is not None
         registry.apply(event)
         return event
 
-    yield [order(method="PUT", base=0, doc=configuration(version=3))]
-    yield [order(method="PUT", base=3, doc=configuration(version=4, rank=5))]
+    yield [order(method="PUT", base=0, document=configuration(version=3))]
+    yield [order(method="PUT", base=3, document=configuration(version=4, rank=5))]
     change = {"config-version": 9, "upserts": {"service-table": [{"name": "other", "conn-limit": 2.5}]}}
-    yield [order(method="PATCH", base=4, doc={**change, "removals": {"route-table": ["x1", "x2"]}})]
+    yield [order(method="PATCH", base=4, document={**change, "removals": {"route-table": ["x1", "x2"]}})]
     members = [
         {"t": "enrol", "uid": node_id, "info": {"site": f"z{i}", "name": SEEDS[i], "ctl": f"{SEEDS[i]}:8000"}}
         for i, node_id in enumerate(UIDS)
@@ -338,8 +338,8 @@
         jobs = [caller.submit(stages=stages) for stages in (PLAIN, GANG, [{"task-count": 2, "cpus": 100}])]
         sim.run(seconds=1.0)
         caller.cancel(job_id=jobs[turn % 3])
-        doc, match = minions.config(version=version + 1), {"if-match": str(version)}
-        status, _ = sim.ask(ip=sim.core_ips[turn], method="PUT", path="/config", doc=doc, headers=match)
+        document, match = minions.config(version=version + 1), {"if-match": str(version)}
+        status, _ = sim.ask(ip=sim.core_ips[turn], method="PUT", path="/config", document=document, headers=match)
         version += status == 200
         sim.kill(ip=sim.core_ips[turn], power=True)
         sim.run(seconds=1.5)
--- a/tests/support/binding_explorer.py
+++ b/tests/support/binding_explorer.py
@@ -193,13 +193,15 @@
 def digest(w: World) -> bytes:
     """The same for the same state, whatever way led there. Of messages' numbers only the order counts."""
     nums = {n: i for i, n in enumerate(sorted(n for rows in w.lines.values() for n, _, _ in rows))}
-    doc = {
+    document = {
         "w": {k: plain(v, set()) for k, v in vars(w).items() if k not in ("lines", "serial")},
         "q": {group_id: plain(w.replica(group_id=group_id).queue, set()) for group_id in w.placers},
         "l": {f"{a}>{b}": [[nums[n], what, body] for n, what, body in rows] for (a, b), rows in w.lines.items()},
         "p": {node_id: a.environment.prims for node_id, a in w.agents.items()},  # type: ignore[attr-defined]
     }
-    return blake2b(orjson.dumps(doc, option=orjson.OPT_SORT_KEYS | orjson.OPT_NON_STR_KEYS), digest_size=16).digest()
+    return blake2b(
+        orjson.dumps(document, option=orjson.OPT_SORT_KEYS | orjson.OPT_NON_STR_KEYS), digest_size=16
+    ).digest()
 
 
 @dataclass(kw_only=True)
--- a/tests/support/binding_model.py
+++ b/tests/support/binding_model.py
@@ -90,15 +90,17 @@
         return self.w.now
 
     @property
-    def wall(self) -> float:
+    def wall_now(self) -> float:
         return self.w.now
 
     def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
         self.w.send(src=self.node_id, dst=node_id, kind=kind, body=body)
 
-    def respond(self, *, call: Any, res: Response) -> None:
-        doc = orjson.loads(res.body) if res.body else {}
-        self.w.push(src=self.node_id, dst=call[0], what="ANSWER", body={"seq": call[1], "s": res.status, "d": doc})
+    def respond(self, *, call: Any, response: Response) -> None:
+        document = orjson.loads(response.body) if response.body else {}
+        self.w.push(
+            src=self.node_id, dst=call[0], what="ANSWER", body={"seq": call[1], "s": response.status, "d": document}
+        )
 
     def trusted(self) -> bool:
         return True
@@ -106,7 +108,7 @@
     def primary(self, *, group_id: int) -> tuple[str, int] | None:
         return self.prims[group_id]
 
-    def evacuated(self, *, site: str) -> bool:
+    def evacuated(self, *, zone: str) -> bool:
         return False
 
     def groups(self) -> range:
@@ -127,8 +129,8 @@
     def route(self, *, name: str) -> dict[str, Any] | None:
         return {"backend": "s", "max-tries": 3, "target-ms": 2000, "rank": 0, "stretch": 2.0}
 
-    def reply(self, *, node_id: str, request_id: int, status: int, doc: Any) -> None:
-        need(status == 200, "REFUSED", status, doc)
+    def reply(self, *, node_id: str, request_id: int, status: int, document: Any) -> None:
+        need(status == 200, "REFUSED", status, document)
 
     def ranks(self) -> dict[str, int]:
         return {"q": 0}
@@ -161,7 +163,7 @@
         self.w.agents[self.agent].beat(
             minion_id=self.minion_id,
             call=(self.minion_id, self.seq),
-            doc={
+            document={
                 "backend": "s",
                 "zone": "z",
                 "state": "ready",
@@ -176,23 +178,23 @@
     def answer(self, *, b: dict[str, Any]) -> None:
         if b["seq"] != self.seq or self.sent < 0:
             return
-        sent, self.sent, doc = self.sent, -1.0, b["d"]
-        self.due = self.w.now + (doc.get("retry-after-ms", 100) if b["s"] == 200 else 100) / 1000
-        if b["s"] != 200 or doc["fence-no"] < self.fence:
+        sent, self.sent, document = self.sent, -1.0, b["d"]
+        self.due = self.w.now + (document.get("retry-after-ms", 100) if b["s"] == 200 else 100) / 1000
+        if b["s"] != 200 or document["fence-no"] < self.fence:
             return
-        self.fence = doc["fence-no"]
-        if "hold-ms" in doc:
-            self.hold = max(self.hold, sent + doc["hold-ms"] / 1000)
-        for n in [n for n in self.ends if n <= doc.get("last-seen", 0)]:
+        self.fence = document["fence-no"]
+        if "hold-ms" in document:
+            self.hold = max(self.hold, sent + document["hold-ms"] / 1000)
+        for n in [n for n in self.ends if n <= document.get("last-seen", 0)]:
             task, _, how, _ = self.ends.pop(n)
             if how == "done":
                 self.w.noted.add(task)
                 need(self.w.durable(task=task), "LOST", task, "was noted and is not in the record")
-        for task, run in doc.get("stopped", []):
+        for task, run in document.get("stopped", []):
             self.top[task] = max(self.top.get(task, 0), run)
             if task in self.running and self.running[task][0] == run:
                 self.running[task][2] = True
-        for task, run, spec, _ in doc.get("started", []):
+        for task, run, spec, _ in document.get("started", []):
             if run > self.top.get(task, 0):
                 self.top[task] = run
                 need(spec == f"spec-{task.split('.')[0]}", "UNASKED", task)
--- a/tests/support/replica_cell.py
+++ b/tests/support/replica_cell.py
@@ -33,8 +33,8 @@
     def dump(self) -> Any:
         return {"rows": self.rows}
 
-    def load(self, doc: Any) -> None:
-        self.rows = list(doc["rows"])
+    def load(self, document: Any) -> None:
+        self.rows = list(document["rows"])
 
 
 class Member:
@@ -60,8 +60,8 @@
     def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
         self.cell.wire.append((self.node_id, node_id, kind, orjson.dumps(body)))
 
-    def write(self, *, rec: dict[str, Any], done: Effect) -> None:
-        self.unsynced.append((orjson.dumps(rec), done))
+    def write(self, *, record: dict[str, Any], done: Effect) -> None:
+        self.unsynced.append((orjson.dumps(record), done))
 
     def effect(self, *, effect: Effect) -> None:
         if effect[0] == "near":
@@ -122,7 +122,9 @@
 
     def snapshot(self) -> list[bytes]:
         """The head of a ring file."""
-        return [orjson.dumps(rec) for rec in ({"k": "id", "uid": self.node_id}, *self.replica.checkpoint())] + [END]
+        return [orjson.dumps(record) for record in ({"k": "id", "uid": self.node_id}, *self.replica.checkpoint())] + [
+            END
+        ]
 
     def rotate(self, *, count: int) -> None:
         """As the writer does: a snapshot of what is now, then records that waited all along."""
@@ -132,12 +134,12 @@
     def replayed(self, *, journal: list[bytes], built: Built = Replica) -> tuple[Replica, Rows]:
         """A replica that has what a journal tells, from its last whole snapshot on."""
         begin = last_snapshot(records=journal)
-        recs = [orjson.loads(raw) for raw in counted(records=journal, begin=max(begin, 0))]
+        records = [orjson.loads(raw) for raw in counted(records=journal, begin=max(begin, 0))]
         state = Rows()
         replica = built(group_id=0, environment=self, state=state, epoch=None)
-        for rec in recs:
-            if rec["k"] not in ("id", "none"):
-                replica.restore(rec)
+        for record in records:
+            if record["k"] not in ("id", "none"):
+                replica.restore(record)
         replica.settle()
         return replica, state
 
--- a/tests/support/replication_adapter.py
+++ b/tests/support/replication_adapter.py
@@ -37,8 +37,8 @@
     def dump(self) -> Any:
         return list(self.numbers)
 
-    def load(self, doc: Any) -> None:
-        self.numbers = list(doc)
+    def load(self, document: Any) -> None:
+        self.numbers = list(document)
 
 
 def event(*, number: int, registry: bool) -> dict[str, Any]:
@@ -50,13 +50,13 @@
     """The events that a state holds; one applied twice is there twice."""
     if isinstance(state, Registry):
         out = [int(node_id) for node_id in state.members]
-        return out + out[-1:] * (state.mods - len(out))
+        return out + out[-1:] * (state.registry_version - len(out))
     assert isinstance(state, Book)
     return state.numbers
 
 
-def copy_of(doc: Any) -> Any:
-    return orjson.loads(orjson.dumps(doc))
+def copy_of(document: Any) -> Any:
+    return orjson.loads(orjson.dumps(document))
 
 
 @dataclass(kw_only=True)
@@ -67,7 +67,7 @@
 
     w: "World"
     index: int
-    addr: str
+    address: str
     node_id: str
     rate: float
     registry: bool
@@ -96,10 +96,10 @@
         self.w.check_send(member=self, kind=kind, body=body)
         self.w.send(src=self, dst=addr_of(node_id=node_id), kind=kind.name, body=body, copy=LANES[kind] is Lane.COPY)
 
-    def write(self, *, rec: dict[str, Any], done: tuple[Any, ...]) -> None:
+    def write(self, *, record: dict[str, Any], done: tuple[Any, ...]) -> None:
         if done[0] == "send" and Kind(done[2]) is Kind.LOGOK:
             self.w.check_left(member=self, n=done[3]["n"])
-        self.pending.append((self.w.next_serial(), copy_of(rec), done))
+        self.pending.append((self.w.next_serial(), copy_of(record), done))
 
     def effect(self, *, effect: tuple[Any, ...]) -> None:
         what = effect[0]
@@ -153,7 +153,7 @@
     def elected(self, *, group_id: int) -> None:
         for other in self.w.members:
             if other is not self and self.epoch is not None:
-                self.w.send(src=self, dst=other.addr, kind="NEWS", body={"e": self.epoch}, copy=False)
+                self.w.send(src=self, dst=other.address, kind="NEWS", body={"e": self.epoch}, copy=False)
 
     def deposed(self, *, group_id: int) -> None:
         pass
@@ -202,9 +202,9 @@
             group_id=GROUP, environment=self.environment, state=Registry() if self.registry else Book(), epoch=epoch
         )
         try:
-            for rec in copy_of(records):
-                if rec["k"] != "none":
-                    replica.restore(rec)
+            for record in copy_of(records):
+                if record["k"] != "none":
+                    replica.restore(record)
         except ReplayError as err:
             raise Broken(f"REPLAY {self.node_id} {err.text}") from err
         if records:
--- a/tests/support/replication_explorer.py
+++ b/tests/support/replication_explorer.py
@@ -97,10 +97,10 @@
         out += [("disk", index), ("replace", index)]
     if m.awake:
         out += [("freeze", index, s) for s in FREEZES_S]
-    rest = [x.addr for x in w.members if x is not m and not x.gone]
+    rest = [x.address for x in w.members if x is not m and not x.gone]
     if not w.cuts:
         out += [("cut", index, way, loses) for way in ("in", "out", "both") for loses in (True, False)]
-        out += [("cut", index, addr, loses) for addr in rest for loses in (True, False)]
+        out += [("cut", index, address, loses) for address in rest for loses in (True, False)]
     return out
 
 
@@ -159,8 +159,10 @@
 def cut(w: World, c: Choice) -> None:
     """Ways to and from a member carry nothing for a while."""
     _, index, way, loses = c
-    me = w.members[index].addr
-    for other in (x.addr for x in w.members if x.addr != me and (way in ("in", "out", "both") or x.addr == way)):
+    me = w.members[index].address
+    for other in (
+        x.address for x in w.members if x.address != me and (way in ("in", "out", "both") or x.address == way)
+    ):
         pairs = {"in": [(other, me)], "out": [(me, other)]}.get(way, [(other, me), (me, other)])
         w.cuts.update({pair: Cut(until=w.now + CUT_S, loses=loses) for pair in pairs})
     if loses:
@@ -207,9 +209,9 @@
     members = []
     for m in w.members:
         own = {k: v for k, v in vars(m).items() if k not in LINKS | {"pending", "synced"}}
-        waiting = [[place[n], rec, list(done)] for n, rec, done in m.pending]
+        waiting = [[place[n], record, list(done)] for n, record, done in m.pending]
         members.append([m.synced, flat([own, m.replica, waiting], m.now, set())])
-    doc = [
+    document = [
         lines,
         members,
         w.next_op,
@@ -226,7 +228,7 @@
     names: dict[bytes, bytes] = {}
     raw = _TAG.sub(
         lambda hit: names.setdefault(hit.group(), b"tag%d" % len(names)),
-        orjson.dumps(doc, option=orjson.OPT_SORT_KEYS | orjson.OPT_NON_STR_KEYS),
+        orjson.dumps(document, option=orjson.OPT_SORT_KEYS | orjson.OPT_NON_STR_KEYS),
     )
     return blake2b(raw, digest_size=16).digest()
 
--- a/tests/support/replication_model.py
+++ b/tests/support/replication_model.py
@@ -82,8 +82,8 @@
         self.lines: dict[Line, list[Message]] = {}
         self.cuts: dict[tuple[str, str], Cut] = {}
         self.members: list[Member] = []
-        addrs = [f"10.0.0.{i + 1}:7000" for i in range(size)]
-        node_ids = [f"{a}#0" for a in addrs]
+        addresses = [f"10.0.0.{i + 1}:7000" for i in range(size)]
+        node_ids = [f"{a}#0" for a in addresses]
         order = node_ids[primary:] + node_ids[:primary]
         first: Epoch = {
             "n": 0,
@@ -93,11 +93,11 @@
             "t": "",
         }
         self.decided[0] = first
-        for i, (addr, node_id) in enumerate(zip(addrs, node_ids, strict=True)):
+        for i, (address, node_id) in enumerate(zip(addresses, node_ids, strict=True)):
             member = Member(
                 w=self,
                 index=i,
-                addr=addr,
+                address=address,
                 node_id=node_id,
                 rate=rates[i] if rates else 1.0,
                 registry=registry,
@@ -114,21 +114,21 @@
         return self.serial
 
     def send(self, *, src: Member, dst: str, kind: str, body: dict[str, Any], copy: bool) -> None:
-        cut = self.cuts.get((src.addr, dst))
-        there = self.at(addr=dst)
+        cut = self.cuts.get((src.address, dst))
+        there = self.at(address=dst)
         if there is None or not there.running or (cut is not None and cut.loses):
             return
-        line = Line(src=src.addr, incarnation=src.incarnation, dst=dst, copy=copy)
+        line = Line(src=src.address, incarnation=src.incarnation, dst=dst, copy=copy)
         self.lines.setdefault(line, []).append(
             Message(serial=self.next_serial(), node_id=src.node_id, kind=kind, body=copy_of(body))
         )
 
-    def at(self, *, addr: str) -> Member | None:
-        return next((m for m in self.members if m.addr == addr and not m.gone), None)
+    def at(self, *, address: str) -> Member | None:
+        return next((m for m in self.members if m.address == address and not m.gone), None)
 
     def open(self, *, line: Line) -> bool:
         """Whether its next message may arrive now."""
-        there = self.at(addr=line.dst)
+        there = self.at(address=line.dst)
         return there is not None and there.awake and (line.src, line.dst) not in self.cuts
 
     def deliver(self, *, line: Line, keep: bool = False) -> None:
@@ -136,7 +136,7 @@
         message = self.lines[line][0]
         if not keep:
             self.drop(line=line)
-        there = self.at(addr=line.dst)
+        there = self.at(address=line.dst)
         assert there is not None
         for old in [
             x for x in self.lines if (x.src, x.dst) == (line.src, line.dst) and x.incarnation < line.incarnation
@@ -154,7 +154,7 @@
     def sync(self, *, member: Member, count: int) -> None:
         """The oldest records reach the disk, and what waited for them follows."""
         rows, member.pending = member.pending[:count], member.pending[count:]
-        member.synced += [rec for _, rec, _ in rows]
+        member.synced += [record for _, record, _ in rows]
         member.done(effects=[done for *_, done in rows])
 
     def rotate(self, *, member: Member) -> None:
@@ -164,11 +164,11 @@
 
     def crash(self, *, member: Member, kept: int, down_s: float) -> None:
         """The process ends. Of what was not synced `kept` records are there."""
-        member.synced += [rec for _, rec, _ in member.pending[:kept]]
+        member.synced += [record for _, record, _ in member.pending[:kept]]
         member.pending.clear()
         member.down_until = self.now + down_s
         member.frozen_until = member.leaving_since = -1.0
-        self.lines = {line: rows for line, rows in self.lines.items() if line.dst != member.addr}
+        self.lines = {line: rows for line, rows in self.lines.items() if line.dst != member.address}
         self.check_replay(member=member)
 
     def restart(self, *, member: Member) -> None:
@@ -188,7 +188,7 @@
             fresh = Member(
                 w=self,
                 index=len(self.members),
-                addr=f"10.0.0.{len(self.members) + 1}:7000",
+                address=f"10.0.0.{len(self.members) + 1}:7000",
                 node_id="",
                 rate=member.rate,
                 registry=member.registry,
@@ -198,7 +198,7 @@
             member = fresh
         member.synced = []
         member.left = member.asked_votes = -1
-        member.node_id = f"{member.addr}#{member.incarnation + 1}"
+        member.node_id = f"{member.address}#{member.incarnation + 1}"
         member.begin(epoch=None)
         member.synced = []
 
@@ -208,7 +208,7 @@
     def tick_member(self, member: Member) -> None:
         """Time goes on for one process; hearts and the epochs that they carry are simplified."""
         for other in self.members:
-            if other is not member and other.awake and (other.addr, member.addr) not in self.cuts:
+            if other is not member and other.awake and (other.address, member.address) not in self.cuts:
                 member.last_heard[other.node_id] = member.now
                 member.view = self.current()
         member.tick()
@@ -216,10 +216,10 @@
         for other in self.members:
             if mine is None or other is member or not other.awake:
                 continue
-            line = Line(src=member.addr, incarnation=member.incarnation, dst=other.addr, copy=False)
+            line = Line(src=member.address, incarnation=member.incarnation, dst=other.address, copy=False)
             waits = any(m.kind == "NEWS" for m in self.lines.get(line, []))
             if (other.epoch is None or other.epoch["n"] < mine["n"]) and not waits:
-                self.send(src=member, dst=other.addr, kind="NEWS", body={"e": mine}, copy=False)
+                self.send(src=member, dst=other.address, kind="NEWS", body={"e": mine}, copy=False)
 
     # -- clients
 
--- a/tests/support/two_operators.py
+++ b/tests/support/two_operators.py
@@ -39,11 +39,11 @@
         body: bytes,
         answer: Callable[[Answer], None],
     ) -> None:
-        def back(res: Response) -> None:
+        def back(response: Response) -> None:
             for watch in self.on_answer:
-                watch(method, Answer(status=res.status, body=res.body))
+                watch(method, Answer(status=response.status, body=response.body))
             if self.rng.random() >= self.lost:
-                answer(Answer(status=res.status, body=res.body))
+                answer(Answer(status=response.status, body=response.body))
 
         self.sim.http(ip=node, src=source, method=method, path=path, headers=headers, body=body, back=back)
 
@@ -61,7 +61,7 @@
                 name=name,
                 network=self.network,
                 nodes=self.sim.core_ips,
-                zones=self.sim.sites,
+                zones=self.sim.zones,
                 template=config(version=1),
                 recorder=self.recorder,
                 rng=random.Random(f"{seed}/{name}"),
@@ -96,7 +96,7 @@
             operator.close()
         lead = self.primary()
         assert lead is not None
-        final = {zone: zone in sim.core(lead).registry.evac for zone in sim.sites}
+        final = {zone: zone in sim.core(lead).registry.evacuated_zones for zone in sim.zones}
         return check_configuration(history=self.recorder.history) or check_evacuations(
             history=self.recorder.history, final=final, at_s=sim.now
         )
--- a/tests/testbed/test_plan.py
+++ b/tests/testbed/test_plan.py
@@ -11,21 +11,21 @@
 GOOD: dict[str, Any] = {"name": "one", "duration-s": 20}
 
 
-def places(doc: Any, **kw: Any) -> list[str]:
+def places(document: Any, **kw: Any) -> list[str]:
     with pytest.raises(PlanError) as got:
-        check(doc=doc, **kw)
+        check(document=document, **kw)
     assert got.value.exit_code == 78
     return sorted(f.place for f in got.value.findings)
 
 
 def test_defaults_stand_for_what_is_left_out() -> None:
-    plan = check(doc=GOOD)
+    plan = check(document=GOOD)
     assert plan.cluster["cores"] == 3 and plan.jobs == 0
     assert [q.name for q in plan.queues] == ["urgent", "usual", "bulk"]
 
 
 @pytest.mark.parametrize(
-    ("doc", "want"),
+    ("document", "want"),
     [
         ([], ["(file)", "duration-s", "name"]),
         ({}, ["duration-s", "name"]),
@@ -58,11 +58,11 @@
         ),
     ],
 )
-def test_all_findings_with_their_places(doc: Any, want: list[str]) -> None:
+def test_all_findings_with_their_places(document: Any, want: list[str]) -> None:
     if want:
-        assert places(doc) == want
+        assert places(document) == want
     else:
-        assert check(doc=doc).cluster["cores"] == 100
+        assert check(document=document).cluster["cores"] == 100
 
 
 def test_more_than_half_of_memory_is_refused() -> None:
@@ -72,7 +72,7 @@
 
 def test_faults_are_put_in_order() -> None:
     rows = [{"at-s": 9, "what": "crash", "count": 1}, {"at-s": 2, "what": "kill", "node": "edge-1"}]
-    assert [f["what"] for f in check(doc={**GOOD, "faults": rows}).faults] == ["kill", "crash"]
+    assert [f["what"] for f in check(document={**GOOD, "faults": rows}).faults] == ["kill", "crash"]
 
 
 @pytest.mark.parametrize("path", sorted((ROOT / "docs" / "experiments").glob("*.toml")), ids=lambda p: p.stem)
--- a/tests/testbed/test_simulated_minion.py
+++ b/tests/testbed/test_simulated_minion.py
@@ -25,7 +25,7 @@
 
     def started(self, *, m: Hollow, task: str, run: int, spec: str, saved: str) -> None:
         job_id = task.split(".")[0]
-        self.judge.sent(job_id=job_id, doc=self.oracle.jobs[job_id], tries=self.oracle.tries)
+        self.judge.sent(job_id=job_id, document=self.oracle.jobs[job_id], tries=self.oracle.tries)
         self.oracle.started(m=m, task=task, run=run, spec=spec, saved=saved)  # type: ignore[arg-type]
         self.judge.started(m=m, task=task, run=run, spec=spec, saved=saved)
 
@@ -56,13 +56,13 @@
 
     def beat(self) -> None:
         sim, m, sent = self.sim, self.m, self.sim.now
-        doc = m.beat(now=sent)
+        document = m.beat(now=sent)
         seq = m.seq
         dst = m.target.split(":")[0] or sim.core_ips[self.at % len(sim.core_ips)]
 
-        def back(res: Response) -> None:
-            if res.status == 200:
-                m.answer(seq=seq, doc=orjson.loads(res.body), sent=sent, now=sim.now)
+        def back(response: Response) -> None:
+            if response.status == 200:
+                m.answer(seq=seq, document=orjson.loads(response.body), sent=sent, now=sim.now)
             elif seq == m.open:
                 self.at += 1
                 m.miss(seq=seq, now=sim.now)
@@ -73,7 +73,7 @@
                 m.miss(seq=seq, now=sim.now)
 
         sim.at(delay=1.0, fn=late)
-        sim.http(ip=dst, src=m.minion_id, method="PUT", path=f"/minions/{m.minion_id}", doc=doc, back=back)
+        sim.http(ip=dst, src=m.minion_id, method="PUT", path=f"/minions/{m.minion_id}", document=document, back=back)
 
 
 def hollow_cluster(
@@ -89,9 +89,9 @@
                 yard=yard,
                 minion_id=f"i-{i}",
                 service="svc",
-                site=f"z{i % len(sim.sites)}",
+                zone=f"z{i % len(sim.zones)}",
                 cap=(4000, 8000, 0),
-                labels=("a", f"r{i % len(sim.sites)}"),
+                labels=("a", f"r{i % len(sim.zones)}"),
                 due=sim.now,
             ),
         )
@@ -143,23 +143,25 @@
         {"task-count": 1, "cpus": 500, "checkpoints": True},
         {"task-count": 1, "cpus": 9000},
     ]
-    judge.sent(job_id=JID, doc={"task-spec": write(stages=stages, ms=[500, 500, 9000, 500]), "stages": stages}, tries=3)
+    judge.sent(
+        job_id=JID, document={"task-spec": write(stages=stages, ms=[500, 500, 9000, 500]), "stages": stages}, tries=3
+    )
     yard = Yard(seed=1, bounds=Bounds(drift=0.0, **bounds), watcher=judge)
     return Hollow(
-        yard=yard, minion_id="i-1", service="svc", site="z", cap=(4000, 8000, 0), labels=("a", "r1"), guards=guards
+        yard=yard, minion_id="i-1", service="svc", zone="z", cap=(4000, 8000, 0), labels=("a", "r1"), guards=guards
     )
 
 
 def spec(m: Hollow) -> str:
     watcher = m.yard.watcher
     assert isinstance(watcher, Judge)
-    return str(watcher.jobs[JID].doc["task-spec"])
+    return str(watcher.jobs[JID].document["task-spec"])
 
 
-def tell(m: Hollow, *, now: float, lag: float = 0.0, **doc: Any) -> None:
+def tell(m: Hollow, *, now: float, lag: float = 0.0, **document: Any) -> None:
     """One beat and its answer."""
     m.beat(now=now)
-    m.answer(seq=m.seq, doc={k.replace("_", "-"): v for k, v in doc.items()}, sent=now, now=now + lag)
+    m.answer(seq=m.seq, document={k.replace("_", "-"): v for k, v in document.items()}, sent=now, now=now + lag)
 
 
 def order(m: Hollow, *, step: int = 0, idx: int = 0, run: int = 1, saved: str = "") -> list[Any]:
@@ -204,7 +206,7 @@
     first = m.beat(now=0.55)["finished"]
     m.miss(seq=m.seq, now=1.55)
     assert [row[0] for row in first] == [1, 2, 3, 4] and m.beat(now=1.7)["finished"] == first
-    m.answer(seq=m.seq, doc={"last-seen": 3}, sent=1.7, now=1.7)
+    m.answer(seq=m.seq, document={"last-seen": 3}, sent=1.7, now=1.7)
     assert list(m.ends) == [4]
 
 
@@ -275,10 +277,10 @@
         for _ in range(4):
             m.advance(now=now)
         assert not m.running or now < hold, "runs beyond its hold"
-        doc = m.beat(now=now)
-        nums = [row[0] for row in doc["finished"]]
+        document = m.beat(now=now)
+        nums = [row[0] for row in document["finished"]]
         assert nums == sorted(nums) and all(n > seen for n in nums)
-        for row in doc["finished"]:
+        for row in document["finished"]:
             assert listed.setdefault(row[0], row) == row, "an end changed"
         assert [n for n in sorted(listed) if n > seen] == nums, "an end was forgotten"
         task, run = f"{JID}.0.{rng.randrange(3)}.0", rng.randrange(1, 40)
@@ -294,7 +296,7 @@
             ans["last-seen"] = rng.choice(nums)
         lag = rng.choice([0.0, 0.1, 0.9, 1.2])
         before = {t: r.run for t, r in m.running.items()}
-        m.answer(seq=m.seq, doc=ans, sent=now, now=now + lag)
+        m.answer(seq=m.seq, document=ans, sent=now, now=now + lag)
         if lag > 1.0 or ans["fence-no"] < fence:
             assert {t: r.run for t, r in m.running.items()}.items() <= before.items(), "acted on a void answer"
             now += lag
@@ -318,7 +320,7 @@
     judge = Judge()
     m = one(judge=judge)
     stages = [{"task-count": 1}, {"task-count": 2, "depends-on": [0], "requires": "big", "anti-affinity": 1}]
-    judge.sent(job_id="a" * 16, doc={"task-spec": "s", "stages": stages}, tries=1)
+    judge.sent(job_id="a" * 16, document={"task-spec": "s", "stages": stages}, tries=1)
     judge.jobs["a" * 16].refused = True
 
     def start(task: str, run: int = 1, text: str = "s", saved: str = "") -> list[str]:
--- a/tests/testbed/test_testbed.py
+++ b/tests/testbed/test_testbed.py
@@ -106,7 +106,7 @@
 
 
 def test_missing_dependency_is_named() -> None:
-    res = subprocess.run(
+    response = subprocess.run(
         [sys.executable, "-S", "-c", "import sys; sys.argv = ['y', 'local']; from yarrowloom.cli import main; main()"],
         cwd=ROOT,
         capture_output=True,
@@ -115,4 +115,4 @@
         timeout=BOUND_S,
         env={"PATH": os.environ["PATH"]},
     )
-    assert res.returncode == 64 and "missing dependency fire" in res.stderr
+    assert response.returncode == 64 and "missing dependency fire" in response.stderr
--- a/tests/testbed/test_virtual_testbed.py
+++ b/tests/testbed/test_virtual_testbed.py
@@ -43,4 +43,4 @@
 
 def test_unknown_run_is_wrong_use() -> None:
     with pytest.raises(UsageError):
-        slopes(replicas=1, out="", only=("nonsense",))
+        slopes(repetitions=1, out="", only=("nonsense",))
--- a/tests/transport/test_codec.py
+++ b/tests/transport/test_codec.py
@@ -14,17 +14,17 @@
 from yarrowloom.transport.envelope import Frame, Lane, Sealer, Splitter, pack
 
 
-def noise(*, rng: random.Random, doc: Any, depth: int = 0) -> Any:
+def noise(*, rng: random.Random, document: Any, depth: int = 0) -> Any:
     """The document with some parts replaced, dropped or doubled."""
     if rng.random() < 0.08:
         return rng.choice([None, True, -1, 0, 1.5, 1 << 62, "", "x", [], {}, [[]], {"a": 1}])
-    if isinstance(doc, dict):
-        out = {k: noise(rng=rng, doc=v, depth=depth + 1) for k, v in doc.items() if rng.random() > 0.05}
+    if isinstance(document, dict):
+        out = {k: noise(rng=rng, document=v, depth=depth + 1) for k, v in document.items() if rng.random() > 0.05}
         return out if rng.random() > 0.05 else {**out, "strange": 1}
-    if isinstance(doc, list):
-        rows = [noise(rng=rng, doc=v, depth=depth + 1) for v in doc if rng.random() > 0.05]
+    if isinstance(document, list):
+        rows = [noise(rng=rng, document=v, depth=depth + 1) for v in document if rng.random() > 0.05]
         return rows + rows[:1] if rng.random() < 0.05 else rows
-    return doc
+    return document
 
 
 JOB = {
@@ -102,7 +102,7 @@
 @pytest.mark.parametrize("seed", range(300))
 def test_jobs_are_whole_or_refused_with_places(seed: int) -> None:
     rng = random.Random(seed)
-    body = orjson.dumps(noise(rng=rng, doc=JOB)) if seed % 10 else rng.randbytes(40)
+    body = orjson.dumps(noise(rng=rng, document=JOB)) if seed % 10 else rng.randbytes(40)
     try:
         job = parse(body=body)
     except InvalidError as err:
@@ -115,13 +115,13 @@
 @pytest.mark.parametrize("seed", range(300))
 def test_configurations_are_valid_or_refused_with_places(seed: int) -> None:
     rng = random.Random(seed)
-    doc = noise(rng=rng, doc=CONF)
+    document = noise(rng=rng, document=CONF)
     try:
-        good = config.check(doc=doc)
+        good = config.check(document=document)
     except InvalidError as err:
         assert err.findings
         return
-    table = config.Table(doc=good)
+    table = config.Table(document=good)
     names = {s["name"] for s in good["service-table"]}
     assert all(r["backend"] in names and r["deadline-ms"] > 0 for r in table.routes.values())
     assert len({(r["host-name"], r["path-prefix"]) for r in table.routes.values()}) == len(table.routes)
@@ -139,17 +139,17 @@
     ],
 )
 def test_each_clause_of_validity(change: dict[str, Any]) -> None:
-    config.check(doc=CONF)
+    config.check(document=CONF)
     with pytest.raises(InvalidError):
-        config.check(doc={**CONF, **change})
+        config.check(document={**CONF, **change})
 
 
 def test_registry_races_repeats_and_rising_versions() -> None:
     registry = Registry()
 
-    def put(*, base: str, doc: Any, method: str = "PUT") -> str:
+    def put(*, base: str, document: Any, method: str = "PUT") -> str:
         try:
-            event = registry.judge(method=method, base=base, body=orjson.dumps(doc))
+            event = registry.judge(method=method, base=base, body=orjson.dumps(document))
         except (InvalidError, StampError) as err:
             return err.code
         if event is None:
@@ -157,16 +157,19 @@
         registry.apply(event)
         return "ok"
 
-    assert put(base="x", doc=CONF) == "invalid"
-    assert put(base="1", doc=CONF) == "stale-base"
-    assert put(base="0", doc=CONF) == "ok"
-    assert put(base="0", doc=CONF) == "again"
-    assert put(base="0", doc={**CONF, "config-version": 9}) == "stale-base"
-    assert put(base="4", doc=CONF) == "invalid"
-    assert put(base="4", doc={"config-version": 6, "removals": {"route-table": ["b"]}}, method="PATCH") == "ok"
-    assert registry.conf is not None and [r["name"] for r in registry.conf["route-table"]] == ["a"]
-    assert put(base="4", doc={"config-version": 7, "removals": {"route-table": ["a"]}}, method="PATCH") == "stale-base"
-    assert put(base="0", doc=CONF) == "again"
+    assert put(base="x", document=CONF) == "invalid"
+    assert put(base="1", document=CONF) == "stale-base"
+    assert put(base="0", document=CONF) == "ok"
+    assert put(base="0", document=CONF) == "again"
+    assert put(base="0", document={**CONF, "config-version": 9}) == "stale-base"
+    assert put(base="4", document=CONF) == "invalid"
+    assert put(base="4", document={"config-version": 6, "removals": {"route-table": ["b"]}}, method="PATCH") == "ok"
+    assert registry.config is not None and [r["name"] for r in registry.config["route-table"]] == ["a"]
+    assert (
+        put(base="4", document={"config-version": 7, "removals": {"route-table": ["a"]}}, method="PATCH")
+        == "stale-base"
+    )
+    assert put(base="0", document=CONF) == "again"
     twin = Registry()
     twin.load(registry.dump())
     assert twin.dump() == registry.dump()
@@ -189,7 +192,7 @@
 @pytest.mark.parametrize("seed", range(100))
 def test_settings_are_read_or_refused_with_all_findings(seed: int) -> None:
     rng = random.Random(seed)
-    doc = {
+    document = {
         "node-name": "n",
         "role": "r",
         "ip": "10.0.0.1",
@@ -204,9 +207,9 @@
         "beat-interval-ms": 1000,
         "bounds": {"drain-ms": 5},
     }
-    check_startup(doc=doc)
+    check_startup(document=document)
     try:
-        check_startup(doc=noise(rng=rng, doc=doc))
+        check_startup(document=noise(rng=rng, document=document))
     except StartupError as err:
         assert err.findings and err.exit_code == 78
     except YarrowError as err:
--- a/tests/transport/test_http_exchange.py
+++ b/tests/transport/test_http_exchange.py
@@ -23,8 +23,8 @@
     """An edge's shell behind a listening socket; the test answers in the node's place."""
 
     def __init__(self) -> None:
-        doc = settings(binds={"front": f"{HOST}:1"}, inner=7000, seed=f"{HOST}:2", data=None)
-        self.shell: Shell = open_edge(startup=check(doc=doc), log=Log(name="t", level="error"))
+        document = settings(binds={"front": f"{HOST}:1"}, inner=7000, seed=f"{HOST}:2", data=None)
+        self.shell: Shell = open_edge(settings=check(document=document), log=Log(name="t", level="error"))
         self.shell.credit = 1e9
         self.asked: dict[str, int] = {}  # the node's key of each call, by path
         self._arrivals: dict[str, trio.Event] = {}
@@ -55,8 +55,8 @@
 
     def answer(self, path: str) -> None:
         """The node answers; the body tells which call it is for."""
-        res = Response.of(200, {"for": path})
-        self.shell.step(lambda: self.shell.node.respond(call=self.asked[path], res=res))
+        response = Response.of(200, {"for": path})
+        self.shell.step(lambda: self.shell.node.respond(call=self.asked[path], response=response))
 
     def time_out(self) -> None:
         """All calls in hand have waited too long."""
@@ -195,7 +195,7 @@
         await bench.asks("/a")
         await bench.asks("/b")
         big = Response(status=200, body=b"x" * (32 << 20))
-        bench.shell.step(lambda: bench.shell.node.respond(call=bench.asked["/a"], res=big))
+        bench.shell.step(lambda: bench.shell.node.respond(call=bench.asked["/a"], response=big))
         assert await first.receive_some(1000)
         reset(first)
         bench.answer("/b")
@@ -234,7 +234,7 @@
 
         def twice() -> None:
             for n in (1, 2):
-                node.respond(call=bench.asked["/a"], res=Response.of(200, {"n": n}))
+                node.respond(call=bench.asked["/a"], response=Response.of(200, {"n": n}))
 
         bench.shell.step(twice)
         assert b'{"n":1}' in await answers(stream, count=1)
--- a/tests/transport/test_incarnations.py
+++ b/tests/transport/test_incarnations.py
@@ -16,13 +16,13 @@
     """A configuration is accepted and in force everywhere within two seconds."""
     ip = sim.serving(group_id=0)[0]
     status, _ = sim.ask(
-        ip=ip, method="PUT", path="/config", doc=config(version=version), headers={"if-match": str(base)}
+        ip=ip, method="PUT", path="/config", document=config(version=version), headers={"if-match": str(base)}
     )
     assert status == 200
 
     def applied() -> bool:
         tables = [proc.node.table for proc in sim.procs.values()]
-        return all(table is not None and table.stamp == version for table in tables)
+        return all(table is not None and table.config_version == version for table in tables)
 
     assert sim.until(cond=applied, limit=2.0), {ip: proc.node.mine()["conf"] for ip, proc in sim.procs.items()}
 
--- a/tests/transport/test_incarnations_wire.py
+++ b/tests/transport/test_incarnations_wire.py
@@ -118,7 +118,7 @@
 
     def __init__(self, nursery: trio.Nursery) -> None:
         self.got: list[tuple[str, Any]] = []
-        self.peers = Peers(addr="10.0.0.9:7000", node_id="10.0.0.9:7000#0", incarnation=1, sink=self.sink, log=LOG)
+        self.peers = Peers(address="10.0.0.9:7000", node_id="10.0.0.9:7000#0", incarnation=1, sink=self.sink, log=LOG)
         self.nursery = nursery
 
     def sink(self, node_id: str, lane: Lane, rows: list[tuple[Kind, Any]], lost: bool) -> None:
@@ -194,9 +194,9 @@
 def test_a_core_s_incarnation_rises_with_each_start_and_is_on_disk_before_the_first_frame(
     tmp_path: pathlib.Path,
 ) -> None:
-    doc = settings(binds={"control": f"{HOST}:1"}, inner=7000, seed=f"{HOST}:1", data=str(tmp_path / "d"))
+    document = settings(binds={"control": f"{HOST}:1"}, inner=7000, seed=f"{HOST}:1", data=str(tmp_path / "d"))
     for life in range(1, 5):
-        shell = open_core(startup=check(doc=doc), log=LOG)
+        shell = open_core(settings=check(document=document), log=LOG)
         assert shell.node.incarnation == life and shell.peers.incarnation == life
         known = last_life(records=Ring(folder=str(tmp_path / "d"), size=2 << 20).load())
         assert known is not None and (known.node_id, known.incarnation) == (shell.node.node_id, life)
@@ -210,8 +210,8 @@
 
 
 def test_no_two_lives_of_an_edge_share_a_uid() -> None:
-    doc = settings(binds={"front": f"{HOST}:1"}, inner=7000, seed=f"{HOST}:2", data=None)
-    shells = [open_edge(startup=check(doc={**doc, "role": "edge"}), log=LOG) for _ in range(20)]
+    document = settings(binds={"front": f"{HOST}:1"}, inner=7000, seed=f"{HOST}:2", data=None)
+    shells = [open_edge(settings=check(document={**document, "role": "edge"}), log=LOG) for _ in range(20)]
     assert len({shell.node.node_id for shell in shells}) == 20 and {shell.node.incarnation for shell in shells} == {1}
 
 
@@ -228,7 +228,7 @@
         async with trio.open_nursery() as life:
             await life.start(peers.run)
             for message in messages:
-                peers.send(addr=to, kind=Kind.ORDER, body=b"%d" % message)
+                peers.send(address=to, kind=Kind.ORDER, body=b"%d" % message)
             got = [await arrivals.receive() for _ in messages]
             life.cancel_scope.cancel()
         return got
@@ -236,12 +236,12 @@
     async def main() -> None:
         with reserved_ports(2) as ports, trio.fail_after(20):
             here, there = (f"{HOST}:{port}" for port in ports)
-            receiver = Peers(addr=there, node_id=f"{there}#0", incarnation=1, sink=sink, log=LOG)
+            receiver = Peers(address=there, node_id=f"{there}#0", incarnation=1, sink=sink, log=LOG)
             async with trio.open_nursery() as receiving:
                 await receiving.start(receiver.run)
                 for number, node_id in enumerate((f"{here}#a", f"{here}#b", f"{here}#c")):
                     messages = range(100 * number, 100 * number + 20)
-                    peers = Peers(addr=here, node_id=node_id, incarnation=1, sink=lambda *_: None, log=LOG)
+                    peers = Peers(address=here, node_id=node_id, incarnation=1, sink=lambda *_: None, log=LOG)
                     assert await live(peers=peers, to=there, messages=messages) == [(node_id, m) for m in messages]
                 receiving.cancel_scope.cancel()
 
--- a/tests/transport/test_lanes.py
+++ b/tests/transport/test_lanes.py
@@ -107,15 +107,15 @@
         log = Log(name="t", level="error")
         with reserved_ports(2) as ports, trio.fail_after(20):
             here, there = (f"{HOST}:{port}" for port in ports)
-            a = Peers(addr=here, node_id=here + "#0", incarnation=1, sink=lambda *_: None, log=log)
-            b = Peers(addr=there, node_id=there + "#0", incarnation=1, sink=sink, log=log)
+            a = Peers(address=here, node_id=here + "#0", incarnation=1, sink=lambda *_: None, log=log)
+            b = Peers(address=there, node_id=there + "#0", incarnation=1, sink=sink, log=log)
             async with trio.open_nursery() as nursery:
                 await nursery.start(a.run)
                 await nursery.start(b.run)
                 for i in range(300):
-                    a.send(addr=there, kind=Kind.ORDER, body=b"%d" % i)
-                    a.send(addr=there, kind=Kind.PING, body=b"%d" % i)
-                a.send(addr=there, kind=Kind.CKPT, body=b'"st"')
+                    a.send(address=there, kind=Kind.ORDER, body=b"%d" % i)
+                    a.send(address=there, kind=Kind.PING, body=b"%d" % i)
+                a.send(address=there, kind=Kind.CKPT, body=b'"st"')
                 await all_arrived.wait()
                 b._deliver(
                     Frame(lane=2, src=here, node_id=here + "#0", incarnation=1, seq=999, body=b"[[46"), connection=9
@@ -143,7 +143,11 @@
 
     async def main() -> None:
         node = Peers(
-            addr="10.0.0.1:7000", node_id="10.0.0.1:7000#0", incarnation=1, sink=sink, log=Log(name="t", level="error")
+            address="10.0.0.1:7000",
+            node_id="10.0.0.1:7000#0",
+            incarnation=1,
+            sink=sink,
+            log=Log(name="t", level="error"),
         )
         ours, theirs = trio.testing.memory_stream_pair()
         with pytest.raises(ExceptionGroup) as raised:
@@ -224,10 +228,10 @@
     def primary(self, *, group_id: int) -> tuple[str, int] | None:
         return self.at
 
-    def learn(self, *, eps: list[Any]) -> None:
-        self.at = eps[0]
+    def learn(self, *, epochs: list[Any]) -> None:
+        self.at = epochs[0]
 
-    def called(self, *, done: tuple[Any, ...], status: int, doc: Any, sent: bool) -> None:
+    def called(self, *, done: tuple[Any, ...], status: int, document: Any, sent: bool) -> None:
         self.ended.append(status)
 
 
--- a/tests/transport/test_listener.py
+++ b/tests/transport/test_listener.py
@@ -47,7 +47,7 @@
 
 
 def test_as_many_are_accepted_at_once_as_wait_up_to_a_bound() -> None:
-    with accept.open_listener(addr="127.0.0.1:0") as listener:
+    with accept.open_listener(address="127.0.0.1:0") as listener:
         clients = dialled(listener=listener, count=accept.ACCEPTS_MOST + 10)
         taken = [accept.accept_waiting(listener=listener) for _ in range(3)]
         assert [len(rows) for rows in taken] == [accept.ACCEPTS_MOST, 10, 0]
@@ -71,7 +71,7 @@
             await trio.lowlevel.checkpoint()
 
     async def main() -> None:
-        with accept.open_listener(addr="127.0.0.1:0") as listener:
+        with accept.open_listener(address="127.0.0.1:0") as listener:
             clients = dialled(listener=listener, count=RUSH)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(partial(accept.serve, listener=listener, handler=handler))
--- a/tests/transport/test_malformed_frames.py
+++ b/tests/transport/test_malformed_frames.py
@@ -84,7 +84,9 @@
     def __init__(self, nursery: trio.Nursery) -> None:
         self.got: list[Any] = []
         self.log = Lines()
-        self.peers = Peers(addr="10.0.0.9:7000", node_id="10.0.0.9:7000#0", incarnation=1, sink=self.sink, log=self.log)
+        self.peers = Peers(
+            address="10.0.0.9:7000", node_id="10.0.0.9:7000#0", incarnation=1, sink=self.sink, log=self.log
+        )
         self.nursery = nursery
 
     def sink(self, node_id: str, lane: Lane, rows: list[tuple[Kind, Any]], lost: bool) -> None:
--- a/yarrowloom/agent/agent.py
+++ b/yarrowloom/agent/agent.py
@@ -57,13 +57,13 @@
         if old is not None and old.fence >= fence:
             return
         if old is not None and old.call is not None:
-            self.environment.respond(call=old.call.key, res=Response(status=503))
+            self.environment.respond(call=old.call.key, response=Response(status=503))
         self.minions[minion_id] = Minion(
             minion_id=minion_id,
             fence=fence,
             heard=self.environment.now,
             service=info.get("svc", ""),
-            site=info.get("site", ""),
+            zone=info.get("site", ""),
             labels=info.get("labels", []),
         )
         self.share.stale.add(minion_id)
@@ -73,7 +73,7 @@
         """Group 0 gave it to another, or took it off the list."""
         m = self.minions.pop(minion_id, None)
         if m is not None and m.call is not None:
-            self.environment.respond(call=m.call.key, res=Response(status=503))
+            self.environment.respond(call=m.call.key, response=Response(status=503))
         self.share.stale.add(minion_id)
         self.watch.discard(minion_id)
 
@@ -84,26 +84,26 @@
 
     # -- beats
 
-    def beat(self, *, minion_id: str, doc: dict[str, Any], call: Any) -> None:
+    def beat(self, *, minion_id: str, document: dict[str, Any], call: Any) -> None:
         """A beat of an owned minion."""
         environment, m = self.environment, self.minions[minion_id]
         if not environment.trusted() or m.phase is Phase.LOST:
             m.heard = environment.now  # it lives, though it may not hold on to what it runs
-            environment.respond(call=call, res=Response(status=503))
+            environment.respond(call=call, response=Response(status=503))
             return
-        if int(doc.get("call-seq", m.seq + 1)) <= m.seq:
-            environment.respond(call=call, res=Response.of(200, {"fence-no": m.fence}))
+        if int(document.get("call-seq", m.seq + 1)) <= m.seq:
+            environment.respond(call=call, response=Response.of(200, {"fence-no": m.fence}))
             return
         if m.call is not None:
-            environment.respond(call=m.call.key, res=Response(status=503))
+            environment.respond(call=m.call.key, response=Response(status=503))
             m.call = None
         cap, was = m.cap, m.draining
-        m.take(doc=doc, now=environment.now)
+        m.take(document=document, now=environment.now)
         if m.phase is Phase.NEW:
             m.move(Phase.FENCED)
             environment.respond(
                 call=call,
-                res=Response.of(
+                response=Response.of(
                     200, {"fence-no": m.fence, "hold-ms": self.hold_ms, "last-seen": m.seen, "retry-after-ms": 1}
                 ),
             )
@@ -130,7 +130,7 @@
                 m.leave = self.environment.now + self.drain_ms / 1000
             m.draining = True
             self.share.stale.add(minion_id)
-        self.environment.respond(call=call, res=Response.of(200, {}))
+        self.environment.respond(call=call, response=Response.of(200, {}))
 
     def tell(self, *, m: Minion) -> None:
         """Report ends that no group has acknowledged."""
@@ -271,7 +271,7 @@
             and not m.draining
             and not self.overdue(m=m)
             and self.environment.now >= m.grey
-            and not self.environment.evacuated(site=m.site)
+            and not self.environment.evacuated(zone=m.zone)
             and self.attached(m=m)
         )
 
--- a/yarrowloom/agent/environment.py
+++ b/yarrowloom/agent/environment.py
@@ -15,7 +15,7 @@
     def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
         """To another node, or to itself."""
 
-    def respond(self, *, call: Any, res: Response) -> None:
+    def respond(self, *, call: Any, response: Response) -> None:
         """Answer a beat."""
 
     def trusted(self) -> bool:
@@ -24,7 +24,7 @@
     def primary(self, *, group_id: int) -> tuple[str, int] | None:
         """Uid of a group's primary and its epoch's number."""
 
-    def evacuated(self, *, site: str) -> bool:
+    def evacuated(self, *, zone: str) -> bool:
         """Nothing may start there."""
 
     def groups(self) -> range:
--- a/yarrowloom/agent/failure_detector.py
+++ b/yarrowloom/agent/failure_detector.py
@@ -73,7 +73,7 @@
         if group_id not in m.att and now - m.claimed.get(group_id, -9.0) > CLAIM_S * (1 + m.asked):
             m.claimed[group_id] = now
             m.asked = min(m.asked + 1, 4)
-            claims.setdefault(group_id, []).append([m.minion_id, m.fence, m.service, m.site, m.labels, list(m.cap)])
+            claims.setdefault(group_id, []).append([m.minion_id, m.fence, m.service, m.zone, m.labels, list(m.cap)])
     for lease_id, les in list(m.leases.items()):
         if les.until and not les.task and now > les.until:
             m.reclaim(lease_id=lease_id)
--- a/yarrowloom/agent/heartbeat_response.py
+++ b/yarrowloom/agent/heartbeat_response.py
@@ -90,9 +90,9 @@
     now = environment.now
     if not environment.trusted() or m.phase is not Phase.KNOWN:
         m.call = None
-        environment.respond(call=call.key, res=Response(status=503))
+        environment.respond(call=call.key, response=Response(status=503))
         return
-    shut = m.draining or environment.evacuated(site=m.site)
+    shut = m.draining or environment.evacuated(zone=m.zone)
     attached = agent.attached(m=m)
     if shut:
         for r in [r for r in m.runs.values() if not r.sent and not r.live]:
@@ -110,7 +110,7 @@
         return
     m.call = None
     if now - call.at > LATE_S:
-        environment.respond(call=call.key, res=Response(status=503))
+        environment.respond(call=call.key, response=Response(status=503))
         return
     out: dict[str, Any] = {"hold-ms": agent.hold_ms, "fence-no": m.fence, "last-seen": m.seen}
     if todo:
@@ -128,4 +128,4 @@
         wait = BUSY_MS if cpu * 8 > m.cap[0] and mem * 16 > m.cap[1] else FULL_MS
     out["retry-after-ms"] = wait
     m.pause = now + wait / 1000 - m.heard
-    environment.respond(call=call.key, res=Response.of(200, out))
+    environment.respond(call=call.key, response=Response.of(200, out))
--- a/yarrowloom/agent/minion.py
+++ b/yarrowloom/agent/minion.py
@@ -82,7 +82,7 @@
     fence: int
     heard: float
     service: str = ""
-    site: str = ""
+    zone: str = ""
     labels: list[str] = field(default_factory=list)
     cap: tuple[int, int, int] = (0, 0, 0)
     phase: Phase = Phase.NEW
@@ -135,23 +135,23 @@
             self.used[i] -= part
         return True
 
-    def take(self, *, doc: dict[str, Any], now: float) -> None:
+    def take(self, *, document: dict[str, Any], now: float) -> None:
         """Take note of a beat's account; lists of the wrong shape count as empty."""
         self.heard, self.pause = now, 0.0
-        self.seq = int(doc.get("call-seq", self.seq + 1))
-        self.service = str(doc.get("backend", self.service))
-        self.site = str(doc.get("zone", self.site))
-        self.labels = [str(x) for x in doc.get("labels", self.labels)]
-        cap = doc.get("capacity", {})
+        self.seq = int(document.get("call-seq", self.seq + 1))
+        self.service = str(document.get("backend", self.service))
+        self.zone = str(document.get("zone", self.zone))
+        self.labels = [str(x) for x in document.get("labels", self.labels)]
+        cap = document.get("capacity", {})
         self.cap = (int(cap.get("cpus", 0)), int(cap.get("mem-mb", 0)), int(cap.get("gpus", 0)))
-        if doc.get("state") == "draining":
+        if document.get("state") == "draining":
             self.draining = self.warned = True
-            self.leave = now + float(doc.get("leave-at-ms", 0) or 0) / 1000
+            self.leave = now + float(document.get("leave-at-ms", 0) or 0) / 1000
         self.running = {}
-        for row in doc.get("running", []):
+        for row in document.get("running", []):
             task, run = str(row[0]), int(row[1])
             self.running[task] = (run, str(row[2]) if len(row) > 2 else "", float(row[3]) if len(row) > 3 else 0.0)
-        for row in doc.get("finished", []):
+        for row in document.get("finished", []):
             num = int(row[0])
             if num > self.seen:
                 self.ends[num] = (str(row[1]), int(row[2]), str(row[3]), str(row[4]) if len(row) > 4 else "")
--- a/yarrowloom/cli.py
+++ b/yarrowloom/cli.py
@@ -64,7 +64,9 @@
 
         if not addrs or jobs < 1 or rate <= 0 or not str(prefix).startswith("/"):
             raise UsageError(text="give front addresses, --host, a --prefix that begins with /, jobs and rate above 0")
-        load = Load(addrs=tuple(map(str, addrs)), host=str(host), prefix=str(prefix), jobs=jobs, rate=rate, seed=seed)
+        load = Load(
+            addresses=tuple(map(str, addrs)), host=str(host), prefix=str(prefix), jobs=jobs, rate=rate, seed=seed
+        )
         trio.run(load.run)
         return " ".join(pair(key=k, val=v) for k, v in report(load=load).items())
 
@@ -145,12 +147,12 @@
             )
         )
 
-    def slopes(self, *runs: str, replicas: int = 5, out: str = "") -> None:
+    def slopes(self, *runs: str, reps: int = 5, out: str = "") -> None:
         """Measure on this machine what a beat, a start, a change, a checkpoint and a job cost; all runs, or some."""
         from .testbed.local import lines
         from .testbed.slopes import slopes
 
-        print("\n".join(lines(out=slopes(replicas=replicas, out=str(out), only=tuple(map(str, runs))))))
+        print("\n".join(lines(out=slopes(repetitions=reps, out=str(out), only=tuple(map(str, runs))))))
 
 
 def _show(doc: Any) -> str:
--- a/yarrowloom/cluster_state/config.py
+++ b/yarrowloom/cluster_state/config.py
@@ -29,8 +29,8 @@
     return isinstance(val, (int, float)) and not isinstance(val, bool)
 
 
-def _table(*, doc: dict[str, Any], key: str, bad: list[Finding]) -> list[dict[str, Any]]:
-    rows = doc.get(key)
+def _table(*, document: dict[str, Any], key: str, bad: list[Finding]) -> list[dict[str, Any]]:
+    rows = document.get(key)
     if not isinstance(rows, list):
         bad.append(Finding(place=key, text="missing or not a list"))
         return []
@@ -83,28 +83,28 @@
     return True
 
 
-def check(*, doc: Any) -> dict[str, Any]:
+def check(*, document: Any) -> dict[str, Any]:
     """Return the document if it is a valid configuration, else raise with every finding.
 
     >>> try:
-    ...     check(doc={"config-version": 1, "route-table": [{"name": "r"}], "service-table": []})
+    ...     check(document={"config-version": 1, "route-table": [{"name": "r"}], "service-table": []})
     ... except InvalidError as err:
     ...     [f.place for f in err.findings][:2]
     ['route-table[0].host-name', 'route-table[0].path-prefix']
     """
     bad: list[Finding] = []
-    if not isinstance(doc, dict):
+    if not isinstance(document, dict):
         raise InvalidError(text="not an object", findings=[Finding(place="(body)", text="not an object")])
-    if _deeper(value=doc, most=DEPTH_MOST):
+    if _deeper(value=document, most=DEPTH_MOST):
         raise InvalidError(
             text="nested too deeply",
             findings=[Finding(place="(body)", text=f"more than {DEPTH_MOST} levels of lists and objects")],
         )
-    version = doc.get("config-version")
+    version = document.get("config-version")
     if not isinstance(version, int) or isinstance(version, bool) or not 1 <= version <= NUMBER_MOST:
         bad.append(Finding(place="config-version", text=f"missing or not a whole number from 1 to {NUMBER_MOST}"))
-    services = _table(doc=doc, key="service-table", bad=bad)
-    routes = _table(doc=doc, key="route-table", bad=bad)
+    services = _table(document=document, key="service-table", bad=bad)
+    routes = _table(document=document, key="route-table", bad=bad)
     backends = {str(s.get("name")) for s in services}
     places: dict[tuple[str, str], int] = {}
     for i, row in enumerate(routes):
@@ -113,7 +113,7 @@
         if key in places:
             bad.append(Finding(place=f"route-table[{i}]", text=f"shares host and prefix with [{places[key]}]"))
         places.setdefault(key, i)
-    limits = doc.get("limits", {})
+    limits = document.get("limits", {})
     if not isinstance(limits, dict):
         bad.append(Finding(place="limits", text="not an object"))
     else:
@@ -124,7 +124,7 @@
         ]
     if bad:
         raise InvalidError(text="configuration is invalid", findings=bad)
-    return doc
+    return document
 
 
 def patch(*, base: dict[str, Any], change: Any) -> dict[str, Any]:
@@ -172,13 +172,13 @@
 
     Invariant: `hosts` holds, by host, the routes by prefix and the prefixes' lengths, longest first."""
 
-    def __init__(self, *, doc: dict[str, Any]) -> None:
-        self.stamp: int = doc["config-version"]
-        self.routes: dict[str, dict[str, Any]] = {r["name"]: r for r in doc["route-table"]}
-        self.services: dict[str, dict[str, Any]] = {s["name"]: s for s in doc["service-table"]}
-        self.limits: dict[str, Any] = doc.get("limits", {})
+    def __init__(self, *, document: dict[str, Any]) -> None:
+        self.config_version: int = document["config-version"]
+        self.routes: dict[str, dict[str, Any]] = {r["name"]: r for r in document["route-table"]}
+        self.services: dict[str, dict[str, Any]] = {s["name"]: s for s in document["service-table"]}
+        self.limits: dict[str, Any] = document.get("limits", {})
         hosts: dict[str, dict[str, dict[str, Any]]] = {}
-        for row in doc["route-table"]:
+        for row in document["route-table"]:
             hosts.setdefault(row["host-name"].lower(), {}).setdefault(row["path-prefix"], row)
         self.hosts = {h: (rows, sorted({len(p) for p in rows}, reverse=True)) for h, rows in hosts.items()}
 
--- a/yarrowloom/cluster_state/config_delta.py
+++ b/yarrowloom/cluster_state/config_delta.py
@@ -40,9 +40,9 @@
     return a is b or (a == b and _raw(a) == _raw(b))
 
 
-def digest(*, doc: Doc) -> str:
+def digest(*, document: Doc) -> str:
     """Names a whole configuration; the order of keys does not count, that of rows does."""
-    return hashlib.blake2b(_raw(doc), digest_size=12).hexdigest()
+    return hashlib.blake2b(_raw(document), digest_size=12).hexdigest()
 
 
 def _part(*, old: list[Doc], new: list[Doc]) -> Part:
@@ -65,7 +65,7 @@
     >>> new = {"config-version": 4, "route-table": [{"name": "b"}, {"name": "c"}], "service-table": []}
     >>> diff(old=old, new=new)["tables"]
     {'route-table': {'drop': ['a'], 'rows': [(1, {'name': 'c'})]}}
-    >>> merge(doc=old, delta=diff(old=old, new=new)) == new
+    >>> merge(document=old, delta=diff(old=old, new=new)) == new
     True
     """
     tables: dict[str, Part] = {}
@@ -77,16 +77,16 @@
     return {
         "base": old["config-version"],
         "to": new["config-version"],
-        "sum": digest(doc=new),
+        "sum": digest(document=new),
         "top": {k: new[k] for k in rest if k not in old or not same(old[k], new[k])},
         "gone": [k for k in old if k not in new],
         "tables": tables,
     }
 
 
-def merge(*, doc: Doc, delta: Delta) -> Doc:
+def merge(*, document: Doc, delta: Delta) -> Doc:
     """The configuration that a change makes of `doc`; rows that stay are shared with it. The digest is unchecked."""
-    out = {k: v for k, v in doc.items() if k not in delta["gone"]}
+    out = {k: v for k, v in document.items() if k not in delta["gone"]}
     out.update(delta["top"])
     for key, part in delta["tables"].items():
         away = {*part["drop"], *(r["name"] for _, r in part["rows"])}
@@ -97,9 +97,9 @@
     return out
 
 
-def small(*, delta: Delta, doc: Doc) -> bool:
+def small(*, delta: Delta, document: Doc) -> bool:
     """Whether a change carries less than half of the rows of the whole."""
-    return 2 * sum(len(p["rows"]) for p in delta["tables"].values()) <= sum(len(doc[k]) for k in TABLES)
+    return 2 * sum(len(p["rows"]) for p in delta["tables"].values()) <= sum(len(document[k]) for k in TABLES)
 
 
 class History:
@@ -117,39 +117,41 @@
         self._made: dict[int, Delta | None] = {}
         self.bytes = 0  # of the newest as JSON
 
-    def add(self, *, doc: Doc) -> Doc:
+    def add(self, *, document: Doc) -> Doc:
         """Keep a newer configuration; returns it with equal rows shared with the one before."""
         if self.docs:
             last, old = next(reversed(self.docs.items()))
-            doc = dict(doc)
+            document = dict(document)
             for key in TABLES:
                 was = {r["name"]: r for r in old[key]}
-                doc[key] = [was[r["name"]] if r["name"] in was and same(was[r["name"]], r) else r for r in doc[key]]
-                held = {id(r) for r in doc[key]}
+                document[key] = [
+                    was[r["name"]] if r["name"] in was and same(was[r["name"]], r) else r for r in document[key]
+                ]
+                held = {id(r) for r in document[key]}
                 self._own[last] = self._own.get(last, 0) + sum(id(r) not in held for r in old[key])
-        self.docs[doc["config-version"]] = doc
+        self.docs[document["config-version"]] = document
         while len(self.docs) > self.STAMPS or (len(self.docs) > 1 and sum(self._own.values()) > self.ROWS):
             first = next(iter(self.docs))
             del self.docs[first]
             self._own.pop(first, None)
         self._made.clear()
-        self.bytes = len(orjson.dumps(doc))
-        return doc
+        self.bytes = len(orjson.dumps(document))
+        return document
 
-    def since(self, *, stamp: int) -> Delta | None:
+    def since(self, *, config_version: int) -> Delta | None:
         """The change from a version to the newest; None: not known any more, or not small."""
-        if stamp not in self.docs:
+        if config_version not in self.docs:
             return None
-        if stamp not in self._made:
+        if config_version not in self._made:
             new = next(reversed(self.docs.values()))
-            made = diff(old=self.docs[stamp], new=new)
-            self._made[stamp] = made if small(delta=made, doc=new) else None
-        return self._made[stamp]
+            made = diff(old=self.docs[config_version], new=new)
+            self._made[config_version] = made if small(delta=made, document=new) else None
+        return self._made[config_version]
 
     def taken(self, *, delta: Delta) -> Doc | None:
         """The configuration that a change makes of a version held here; None: none is held, or the digest differs."""
         base = self.docs.get(delta["base"])
         if base is None:
             return None
-        doc = merge(doc=base, delta=delta)
-        return doc if digest(doc=doc) == delta["sum"] else None
+        document = merge(document=base, delta=delta)
+        return document if digest(document=document) == delta["sum"] else None
--- a/yarrowloom/cluster_state/minion_ownership.py
+++ b/yarrowloom/cluster_state/minion_ownership.py
@@ -12,7 +12,7 @@
 class Place(NamedTuple):
     """Where a minion stands: its site and its rack ("" where it has none)."""
 
-    site: str
+    zone: str
     rack: str
 
 
@@ -82,18 +82,18 @@
 
     `sites`: the live agents and the sites they stand in."""
 
-    def __init__(self, *, owners: Owners, sites: dict[str, str]) -> None:
+    def __init__(self, *, owners: Owners, zones: dict[str, str]) -> None:
         self.owners = owners
-        self.sites = sites
-        self.load = {u: owners.load(node_id=u) for u in sites}
+        self.zones = zones
+        self.load = {u: owners.load(node_id=u) for u in zones}
         self.near: dict[str, list[str]] = {}
-        for node_id, site in sites.items():
-            self.near.setdefault(site, []).append(node_id)
+        for node_id, zone in zones.items():
+            self.near.setdefault(zone, []).append(node_id)
         self.picked: dict[Place, str] = {}
 
     def pick(self, *, spot: Place) -> str:
         """The agent for a minion: in its site, where its rack already is, else the least loaded."""
-        near = self.near.get(spot.site) or list(self.sites)
+        near = self.near.get(spot.zone) or list(self.zones)
         held = self.owners.spots.get(spot, {}) if spot.rack else {}
         pool = [u for u in near if u in held]
         if spot.rack and not pool and spot in self.picked:
@@ -108,8 +108,8 @@
         the lesser part of a rack joins the greater, and the fullest agent of a site gives a rack to the emptiest."""
         out: list[tuple[str, str]] = []
         for spot, there in self.owners.spots.items():
-            home = self.near.get(spot.site, [])
-            parts = sorted((len(minion_ids), node_id) for node_id, minion_ids in there.items() if node_id in self.sites)
+            home = self.near.get(spot.zone, [])
+            parts = sorted((len(minion_ids), node_id) for node_id, minion_ids in there.items() if node_id in self.zones)
             best = max((p for p in parts if p[1] in home), default=None)
             for size, node_id in parts if home else ():
                 stray = node_id not in home or (spot.rack and best is not None and node_id != best[1])
@@ -120,12 +120,12 @@
                     ]
         if out:
             return out
-        for site, node_ids in self.near.items():
+        for zone, node_ids in self.near.items():
             full, bare = max(node_ids, key=lambda u: self.load[u]), min(node_ids, key=lambda u: self.load[u])
             gap = self.load[full] - self.load[bare]
             half = gap // 2 if gap >= GAP and 4 * gap >= self.load[full] else 0
             for spot, there in self.owners.spots.items() if half > 0 else ():
                 held = list(there.get(full, ()))
-                if spot.site == site and held and (not spot.rack or len(held) <= min(half, most)):
+                if spot.zone == zone and held and (not spot.rack or len(held) <= min(half, most)):
                     return [(minion_id, bare) for minion_id in held[: min(half, most)]]
         return []
--- a/yarrowloom/cluster_state/operator_requests.py
+++ b/yarrowloom/cluster_state/operator_requests.py
@@ -46,11 +46,11 @@
         return {"forgotten": self.forgotten, "taken": list(self._digests.items())}
 
     @classmethod
-    def load(cls, *, doc: dict[str, Any]) -> "AcceptedChanges":
+    def load(cls, *, document: dict[str, Any]) -> "AcceptedChanges":
         """The inverse of `dump`."""
         changes = cls()
-        changes.forgotten = doc["forgotten"]
-        changes._digests.update((version, digest) for version, digest in doc["taken"])
+        changes.forgotten = document["forgotten"]
+        changes._digests.update((version, digest) for version, digest in document["taken"])
         return changes
 
 
@@ -85,9 +85,9 @@
         return {"forgotten": self.forgotten, "zones": list(self._versions.items())}
 
     @classmethod
-    def load(cls, *, doc: dict[str, Any]) -> "ZoneVersions":
+    def load(cls, *, document: dict[str, Any]) -> "ZoneVersions":
         """The inverse of `dump`."""
         zones = cls()
-        zones.forgotten = doc["forgotten"]
-        zones._versions.update((zone, version) for zone, version in doc["zones"])
+        zones.forgotten = document["forgotten"]
+        zones._versions.update((zone, version) for zone, version in document["zones"])
         return zones
--- a/yarrowloom/cluster_state/registry.py
+++ b/yarrowloom/cluster_state/registry.py
@@ -34,9 +34,9 @@
     return int(match.group(2))
 
 
-def _own_version(*, doc: Any) -> int:
+def _own_version(*, document: Any) -> int:
     """The version that an order wants to make; 0 if it names none that could be accepted."""
-    version = doc.get("config-version") if isinstance(doc, dict) else None
+    version = document.get("config-version") if isinstance(document, dict) else None
     return version if isinstance(version, int) and not isinstance(version, bool) else 0
 
 
@@ -46,42 +46,50 @@
     is taken; `owners` follows `minions`; `changes` and `zones` know what orders were taken."""
 
     def __init__(self) -> None:
-        self.conf: dict[str, Any] | None = None
+        self.config: dict[str, Any] | None = None
         self.changes = AcceptedChanges()
         self.zones = ZoneVersions()
-        self.evac: list[str] = []
+        self.evacuated_zones: list[str] = []
         self.members: dict[str, dict[str, Any]] = {}
         self.minions: dict[str, dict[str, Any]] = {}
         self.owners = Owners(rows=self.minions)
         self.fence = 0
-        self.mods = 0
+        self.registry_version = 0
 
     @property
-    def stamp(self) -> int:
+    def config_version(self) -> int:
         """The current configuration's version, 0 before the first."""
-        return int(self.conf["config-version"]) if self.conf else 0
+        return int(self.config["config-version"]) if self.config else 0
 
     def dump(self) -> Any:
         """All of it."""
         return {
-            "conf": self.conf,
+            "conf": self.config,
             "changes": self.changes.dump(),
-            "evac": self.evac,
+            "evac": self.evacuated_zones,
             "zones": self.zones.dump(),
             "members": self.members,
             "minions": self.minions,
             "fence": self.fence,
-            "mods": self.mods,
+            "mods": self.registry_version,
         }
 
-    def load(self, doc: Any) -> None:
+    def load(self, document: Any) -> None:
         """Replace all of it."""
-        doc = orjson.loads(orjson.dumps(doc))
-        for key in ("conf", "evac", "members", "minions", "fence", "mods"):
-            setattr(self, key, doc[key])
+        document = orjson.loads(orjson.dumps(document))
+        self.config = document["conf"]
+        self.evacuated_zones = document["evac"]
+        self.members = document["members"]
+        self.minions = document["minions"]
+        self.fence = document["fence"]
+        self.registry_version = document["mods"]
         # A state written by an older version doesn't hold the two memories: nothing before it is known.
-        self.changes = AcceptedChanges.load(doc=doc.get("changes", {"forgotten": self.stamp, "taken": []}))
-        self.zones = ZoneVersions.load(doc=doc.get("zones", {"forgotten": self.mods, "zones": []}))
+        self.changes = AcceptedChanges.load(
+            document=document.get("changes", {"forgotten": self.config_version, "taken": []})
+        )
+        self.zones = ZoneVersions.load(
+            document=document.get("zones", {"forgotten": self.registry_version, "zones": []})
+        )
         self.owners = Owners(rows=self.minions)
 
     def apply(self, event: dict[str, Any]) -> None:
@@ -89,20 +97,22 @@
         kind = event["t"]
         if kind == "conf":
             if "d" in event:
-                assert self.conf is not None
-                self.conf = delta.merge(doc=self.conf, delta=event["d"])
+                assert self.config is not None
+                self.config = delta.merge(document=self.config, delta=event["d"])
             else:
-                self.conf = event["doc"]
-            self.changes.add(version=self.stamp, digest=event["h"])
+                self.config = event["doc"]
+            self.changes.add(version=self.config_version, digest=event["h"])
         elif kind == "evac":
-            self.mods += 1
-            self.evac = sorted({*self.evac, event["site"]} if event["on"] else set(self.evac) - {event["site"]})
-            self.zones.add(zone=event["site"], version=self.mods)
+            self.registry_version += 1
+            self.evacuated_zones = sorted(
+                {*self.evacuated_zones, event["site"]} if event["on"] else set(self.evacuated_zones) - {event["site"]}
+            )
+            self.zones.add(zone=event["site"], version=self.registry_version)
         elif kind == "enrol":
-            self.mods += 1
+            self.registry_version += 1
             self.members[event["uid"]] = event["info"]
         elif kind == "drop":
-            self.mods += 1
+            self.registry_version += 1
             self.members.pop(event["uid"], None)
         elif kind == "own":
             for minion_id, owner, info in event["ms"]:
@@ -122,7 +132,7 @@
         An order that would change the zone's state, but was taken by its node before that node knew of the zone's
         last order, may be a copy that was delayed: it is left without a clear answer. An order that asks for the
         present state makes an event too, since it must fence what was sent before it."""
-        if (zone in self.evac) is not on and known < self.zones.last(zone=zone):
+        if (zone in self.evacuated_zones) is not on and known < self.zones.last(zone=zone):
             raise UnclearError(text=f"another order for {zone} came meanwhile")
         return {"t": "evac", "site": zone, "on": on}
 
@@ -135,30 +145,31 @@
         built_on = base_version(header=base)
         mark = digest(base=built_on, body=method.encode() + body)
         try:
-            doc = orjson.loads(body)
+            document = orjson.loads(body)
         except orjson.JSONDecodeError as err:
             raise InvalidError(text="unreadable", findings=[Finding(place="(body)", text=str(err))]) from err
-        version = _own_version(doc=doc)
+        version = _own_version(document=document)
         if self.changes.accepted(version=version, digest=mark):
             return None
-        if built_on != self.stamp:
+        if built_on != self.config_version:
             if version > built_on and self.changes.unknown(version=version):
                 raise UnclearError(text=f"orders up to version {self.changes.forgotten} aren't known any more")
-            raise StampError(text=f"version {self.stamp} is current")
+            raise StampError(text=f"version {self.config_version} is current")
         if method == "PATCH":
-            if self.conf is None:
+            if self.config is None:
                 raise StampError(text="there is no configuration yet")
-            doc = config.patch(base=self.conf, change=doc)
-        return self._change(doc=config.check(doc=doc), mark=mark)
+            document = config.patch(base=self.config, change=document)
+        return self._change(document=config.check(document=document), mark=mark)
 
-    def _change(self, *, doc: dict[str, Any], mark: str) -> dict[str, Any]:
+    def _change(self, *, document: dict[str, Any], mark: str) -> dict[str, Any]:
         """The event that makes a valid configuration the current one; raises if its version doesn't rise."""
-        if doc["config-version"] <= self.stamp:
+        if document["config-version"] <= self.config_version:
             raise InvalidError(
-                text="version does not rise", findings=[Finding(place="config-version", text=f"not above {self.stamp}")]
+                text="version does not rise",
+                findings=[Finding(place="config-version", text=f"not above {self.config_version}")],
             )
-        if self.conf is not None:
-            change = delta.diff(old=self.conf, new=doc)
-            if delta.small(delta=change, doc=doc):
+        if self.config is not None:
+            change = delta.diff(old=self.config, new=document)
+            if delta.small(delta=change, document=document):
                 return {"t": "conf", "d": change, "h": mark}
-        return {"t": "conf", "doc": doc, "h": mark}
+        return {"t": "conf", "doc": document, "h": mark}
--- a/yarrowloom/common/defaults.py
+++ b/yarrowloom/common/defaults.py
@@ -58,20 +58,20 @@
 }
 
 
-def check(*, doc: dict[str, Any]) -> Defaults:
+def check(*, document: dict[str, Any]) -> Defaults:
     """The settings with what is not named as shipped, or every finding with its place.
 
-    >>> check(doc={"warm": {"on": True, "tasks": 4}})["warm"]["tasks"]
+    >>> check(document={"warm": {"on": True, "tasks": 4}})["warm"]["tasks"]
     4
     >>> try:
-    ...     check(doc={"warm": {"least": 7, "lots": 1}, "worm": {}})
+    ...     check(document={"warm": {"least": 7, "lots": 1}, "worm": {}})
     ... except StartupError as err:
     ...     [str(f) for f in err.findings]
     ['warm.least: not a number from 0 to 1', 'warm.lots: unknown', 'worm: unknown']
     """
     bad: list[Finding] = []
     out: dict[str, dict[str, Any]] = {"learn": dict(SHIPPED["learn"]), "warm": dict(SHIPPED["warm"])}
-    for table, rows in doc.items():
+    for table, rows in document.items():
         keys = _KEYS.get(table)
         if keys is None or not isinstance(rows, dict):
             bad.append(Finding(place=table, text="unknown" if keys is None else "not a table"))
@@ -96,9 +96,9 @@
 def load(*, path: Path = PATH) -> Defaults:
     """Read the file; without one, what ships."""
     try:
-        doc = tomllib.loads(path.read_text())
+        document = tomllib.loads(path.read_text())
     except FileNotFoundError:
-        doc = {}
+        document = {}
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as err:
         raise StartupError(text=f"{path.name}: {err}", findings=[Finding(place=path.name, text=str(err))]) from err
-    return check(doc=doc)
+    return check(document=document)
