--- a/yarrowloom/common/settings.py
+++ b/yarrowloom/common/settings.py
@@ -27,14 +27,14 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Startup:
+class NodeSettings:
     """What a process is told. `seeds` are control addresses; ports are the same on all machines."""
 
     name: str
     role: str
     ip: str
-    site: str
-    sites: dict[str, str]
+    zone: str
+    zones: dict[str, str]
     binds: dict[str, str]
     ports: tuple[int, int]
     seeds: tuple[str, ...]
@@ -64,37 +64,37 @@
     return bool(host) and port.isdigit() and 0 < int(port) < 65536
 
 
-def check(*, doc: Any) -> Startup:
-    """Build a Startup or raise with every finding.
+def check(*, document: Any) -> NodeSettings:
+    """Build a NodeSettings or raise with every finding.
 
     >>> try:
-    ...     check(doc={"node-name": "a"})
+    ...     check(document={"node-name": "a"})
     ... except StartupError as err:
     ...     len(err.findings) > 3
     True
     """
     bad: list[Finding] = []
-    if not isinstance(doc, dict):
+    if not isinstance(document, dict):
         raise StartupError(text="settings are not an object", findings=[Finding(place="(file)", text="not an object")])
 
     def want(key: str, kind: type | tuple[type, ...], default: Any = None) -> Any:
-        val = doc.get(key, default)
-        if key not in doc and default is None:
+        val = document.get(key, default)
+        if key not in document and default is None:
             bad.append(Finding(place=key, text="missing"))
         elif not isinstance(val, kind) or (isinstance(val, bool) and kind is not bool):
             bad.append(Finding(place=key, text=f"has the wrong type ({type(val).__name__})"))
         return val
 
     name, role = want("node-name", str), want("role", str, "")
-    ip, site = want("ip", str), want("zone", str)
-    sites = want("zones", dict, {})
+    ip, zone = want("ip", str), want("zone", str)
+    zones = want("zones", dict, {})
     binds = want("bind-addrs", dict)
     ports = want("internal-ports", list)
     seeds = want("seed-nodes", list)
     beat = want("beat-interval-ms", (int, float), 1500)
     bounds = want("bounds", dict, {})
     limits = want("limits", dict, {})
-    boot = doc.get("bootstrap", False)
+    boot = document.get("bootstrap", False)
     budget = want("fault-budget", dict, {})
     losses = budget.get("machines", 1) if isinstance(budget, dict) else 1
     if not isinstance(losses, int) or isinstance(losses, bool) or losses < 0:
@@ -111,7 +111,7 @@
     link = limits.get("link-mbps", 1000.0) if isinstance(limits, dict) else 1000.0
     if isinstance(link, bool) or not isinstance(link, (int, float)) or link <= 0:
         bad.append(Finding(place="limits.link-mbps", text="not a number above 0"))
-    data = doc.get("data-dir")
+    data = document.get("data-dir")
     if data is not None and not isinstance(data, str):
         bad.append(Finding(place="data-dir", text="not a path"))
     if not isinstance(boot, bool):
@@ -119,12 +119,12 @@
     if bad:
         raise StartupError(text="; ".join(str(f) for f in bad), findings=bad)
     figs = {k: float(v) for k, v in bounds.items() if isinstance(v, (int, float))}
-    return Startup(
+    return NodeSettings(
         name=name,
         role=role,
         ip=ip,
-        site=site,
-        sites=sites,
+        zone=zone,
+        zones=zones,
         binds=binds,
         ports=(ports[0], ports[1]),
         seeds=tuple(seeds),
@@ -139,16 +139,16 @@
     )
 
 
-def load(*, path: str | None = None) -> Startup:
+def load(*, path: str | None = None) -> NodeSettings:
     """Read the file named by the environment (or `path`)."""
     where = path or os.environ.get(ENV) or DEFAULT_PATH
     try:
         with open(where, "rb") as fh:
-            doc = orjson.loads(fh.read())
+            document = orjson.loads(fh.read())
     except OSError as err:
         raise StartupError(
             text=f"{where}: {err.strerror}", findings=[Finding(place=where, text=str(err.strerror))]
         ) from err
     except orjson.JSONDecodeError as err:
         raise StartupError(text=f"{where}: {err}", findings=[Finding(place=where, text=str(err))]) from err
-    return check(doc=doc)
+    return check(document=document)
--- a/yarrowloom/jobs/state_machine.py
+++ b/yarrowloom/jobs/state_machine.py
@@ -69,16 +69,16 @@
         """All of it."""
         return {"jobs": self.jobs, "past": self.past.dump() if self.learn else {}}
 
-    def load(self, doc: Any) -> None:
+    def load(self, document: Any) -> None:
         """Replace all of it; indexes are derived. `doc` is its own from now on. Checkpoints older than the history are
         the jobs alone."""
         past: Any = {}
-        if "jobs" in doc and "past" in doc:
-            doc, past = doc["jobs"], doc["past"]
+        if "jobs" in document and "past" in document:
+            document, past = document["jobs"], document["past"]
         self.past = History()
         if self.learn and past:
             self.past.load(past)
-        self.jobs = doc
+        self.jobs = document
         self.on, self.pending = {}, {}
         for job_id, job in self.jobs.items():
             if job["st"] == State.PENDING:
--- a/yarrowloom/jobs/submission.py
+++ b/yarrowloom/jobs/submission.py
@@ -109,18 +109,18 @@
     'stages[0].task-count: not from 1 to 20000'
     """
     try:
-        doc = orjson.loads(body)
+        document = orjson.loads(body)
     except orjson.JSONDecodeError as err:
         raise InvalidError(text="unreadable", findings=[Finding(place="(body)", text=str(err))]) from err
     bad: list[Finding] = []
-    if not isinstance(doc, dict):
+    if not isinstance(document, dict):
         raise InvalidError(text="not an object", findings=[Finding(place="(body)", text="not an object")])
-    spec = doc.get("task-spec", "")
-    if not isinstance(spec, str) or "task-spec" not in doc:
+    spec = document.get("task-spec", "")
+    if not isinstance(spec, str) or "task-spec" not in document:
         bad.append(Finding(place="task-spec", text="missing or not a text"))
     elif len(spec.encode()) > MAX_SPEC:
         bad.append(Finding(place="task-spec", text=f"longer than {MAX_SPEC} bytes"))
-    rows = doc.get("stages")
+    rows = document.get("stages")
     if not isinstance(rows, list) or not rows or len(rows) > MAX_STEPS:
         bad.append(Finding(place="stages", text=f"not a list of 1 to {MAX_STEPS}"))
         rows = []
@@ -129,7 +129,7 @@
         bad.append(Finding(place="stages", text=f"more than {MAX_TASKS} tasks"))
     nums: dict[str, int] = {}
     for key in ("first-run-ms", "period-ms", "repeat-count"):
-        val = doc.get(key, 0)
+        val = document.get(key, 0)
         if isinstance(val, float) and val.is_integer():
             val = int(val)
         if not isinstance(val, int) or isinstance(val, bool) or val < 0:
--- a/yarrowloom/loadgen/generator.py
+++ b/yarrowloom/loadgen/generator.py
@@ -29,7 +29,7 @@
 class Load:
     """What is to be sent. Invariant: the seed alone fixes the jobs."""
 
-    addrs: tuple[str, ...]
+    addresses: tuple[str, ...]
     host: str
     prefix: str
     jobs: int = 50
@@ -64,25 +64,25 @@
     async def run(self) -> None:
         """Send all, wait for all."""
         rng = random.Random(self.seed)
-        rows = [(self.job(rng=rng), rng.choice(self.addrs)) for _ in range(self.jobs)]
+        rows = [(self.job(rng=rng), rng.choice(self.addresses)) for _ in range(self.jobs)]
         async with httpcore.AsyncConnectionPool(max_connections=100, network_backend=None) as pool:
             async with trio.open_nursery() as nursery:
-                for (job_id, doc), addr in rows:
-                    nursery.start_soon(self._one, pool, addr, job_id, doc)
+                for (job_id, document), address in rows:
+                    nursery.start_soon(self._one, pool, address, job_id, document)
                     await trio.sleep(1 / self.rate)
         if self.unreached and not self.accept_ms and not self.refused:
             raise UsageError(
                 text="no target answered",
-                findings=[Finding(place=a, text="not reached or no such queue") for a in self.addrs],
+                findings=[Finding(place=a, text="not reached or no such queue") for a in self.addresses],
             )
 
     async def _call(
-        self, *, pool: httpcore.AsyncConnectionPool, addr: str, method: str, job_id: str, body: bytes = b""
+        self, *, pool: httpcore.AsyncConnectionPool, address: str, method: str, job_id: str, body: bytes = b""
     ) -> tuple[int, Any]:
         try:
-            res = await pool.request(
+            response = await pool.request(
                 method,
-                f"http://{addr}{self.prefix}{job_id}",
+                f"http://{address}{self.prefix}{job_id}",
                 content=body,
                 headers={
                     "Host": self.host,
@@ -91,16 +91,18 @@
                 },
                 extensions={"timeout": dict.fromkeys(("connect", "read", "write", "pool"), DEADLINE_S)},
             )
-            return res.status, orjson.loads(res.content) if res.content else None
+            return response.status, orjson.loads(response.content) if response.content else None
         except (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError, orjson.JSONDecodeError):
             return 0, None
 
-    async def _one(self, pool: httpcore.AsyncConnectionPool, addr: str, job_id: str, doc: dict[str, Any]) -> None:
+    async def _one(
+        self, pool: httpcore.AsyncConnectionPool, address: str, job_id: str, document: dict[str, Any]
+    ) -> None:
         begun = trio.current_time()
-        body = orjson.dumps(doc)
+        body = orjson.dumps(document)
         for again in range(TRIES):
             self.repeats += again > 0
-            status, _ = await self._call(pool=pool, addr=addr, method="POST", job_id=job_id, body=body)
+            status, _ = await self._call(pool=pool, address=address, method="POST", job_id=job_id, body=body)
             if status not in (0, 502, 504):
                 break
         if status != 200:
@@ -109,7 +111,7 @@
             return
         self.accept_ms.append((trio.current_time() - begun) * 1000)
         while trio.current_time() - begun < self.wait_s:
-            status, got = await self._call(pool=pool, addr=addr, method="GET", job_id=job_id)
+            status, got = await self._call(pool=pool, address=address, method="GET", job_id=job_id)
             if status == 410:
                 self.lost.append(job_id)
                 return
--- a/yarrowloom/node/controller.py
+++ b/yarrowloom/node/controller.py
@@ -127,7 +127,7 @@
     def _picker(self) -> Picker:
         members = self.node.registry.members
         live = {u: str(row.get("site", "")) for u, row in members.items() if self.live(node_id=u)}
-        return Picker(owners=self.node.registry.owners, sites=live or {self.node.node_id: self.node.startup.site})
+        return Picker(owners=self.node.registry.owners, zones=live or {self.node.node_id: self.node.settings.zone})
 
     def _give(self, *, rows: list[list[Any]]) -> None:
         """Commit new owners, (minion, owner, what is new of its row); they are told once it is durable."""
--- a/yarrowloom/node/core.py
+++ b/yarrowloom/node/core.py
@@ -6,7 +6,7 @@
 from ..cluster_state.minion_ownership import total
 from ..common.defaults import Defaults
 from ..common.log import Log
-from ..common.settings import Startup
+from ..common.settings import NodeSettings
 from ..replication.handover import copied_elsewhere, may_end
 from ..replication.log_replay import ReplayError
 from ..replication.messages import RECORD_KINDS
@@ -31,7 +31,7 @@
     def __init__(
         self,
         *,
-        startup: Startup,
+        settings: NodeSettings,
         node_id: str,
         incarnation: int,
         log: Log,
@@ -41,7 +41,7 @@
         defaults: Defaults | None = None,
     ) -> None:
         super().__init__(
-            startup=startup,
+            settings=settings,
             node_id=node_id,
             incarnation=incarnation,
             log=log,
@@ -86,18 +86,18 @@
     def _sendeff(self, node_id: str, kind: int, body: dict[str, Any]) -> None:
         self.send(node_id=node_id, kind=Kind(kind), body=body)
 
-    def _reply(self, node_id: str, request_id: int, status: int, doc: Any) -> None:
-        self.reply(node_id=node_id, request_id=request_id, status=status, doc=doc)
+    def _reply(self, node_id: str, request_id: int, status: int, document: Any) -> None:
+        self.reply(node_id=node_id, request_id=request_id, status=status, document=document)
 
-    def _news(self, doc: dict[str, Any]) -> None:
-        self.take_news(doc=doc)
+    def _news(self, document: dict[str, Any]) -> None:
+        self.take_news(document=document)
 
     def _owned(self, minion_ids: list[str]) -> None:
         if self.chief is not None:
             self.chief.owned(minion_ids=minion_ids)
 
-    def _selfown(self, doc: dict[str, Any]) -> None:
-        self._heartok(node_id=self.node_id, m=doc)
+    def _selfown(self, document: dict[str, Any]) -> None:
+        self._heartok(node_id=self.node_id, m=document)
 
     def _stops(self, group_id: int, rows: list[Any]) -> None:
         if group_id in self.placers:
@@ -144,7 +144,7 @@
         elif kind is Kind.HEARTOK:
             self._heartok(node_id=node_id, m=m)
         elif kind is Kind.NEWS:
-            self.take_news(doc=m)
+            self.take_news(document=m)
         elif kind is Kind.CALL:
             self._call(node_id=node_id, m=m)
         elif kind is Kind.REPLY:
@@ -167,19 +167,22 @@
         group_id, request_id, op, b = m["g"], m["rid"], m["op"], m["b"]
         refusal = self.hand.refusal(node_id=node_id, request_id=request_id)
         if refusal is not None:
-            super().reply(node_id=node_id, request_id=request_id, status=refusal.status, doc=refusal.doc)
+            super().reply(node_id=node_id, request_id=request_id, status=refusal.status, document=refusal.document)
             return
         if not self.hand.take(node_id=node_id, request_id=request_id, group_id=group_id, now=self.now):
             return
         if (
             group_id < 0 and m["to"] != self.node_id
         ):  # for the agent of a node that is no more; groups know who serves them
-            self.reply(node_id=node_id, request_id=request_id, status=503, doc={})
+            self.reply(node_id=node_id, request_id=request_id, status=503, document={})
         elif group_id < 0:
             self._handed(node_id=node_id, request_id=request_id, op=op, b=b)
         elif not self.replicas[group_id].serving():
             self.reply(
-                node_id=node_id, request_id=request_id, status=NOT_PRIMARY, doc=[[k, e] for k, e in self.eps.items()]
+                node_id=node_id,
+                request_id=request_id,
+                status=NOT_PRIMARY,
+                document=[[k, e] for k, e in self.epochs.items()],
             )
         elif group_id == 0:
             self._serve0(node_id=node_id, request_id=request_id, op=op, b=b)
@@ -196,22 +199,25 @@
         if m["op"] == "put" and m["b"]["id"] in self.jobs[m["g"]].jobs:
             self._call(node_id=node_id, m=m)
             return
-        self.hand.refuse(node_id=node_id, request_id=request_id, status=503, doc=OVERLOADED, now=self.now)
-        super().reply(node_id=node_id, request_id=request_id, status=503, doc=OVERLOADED)
+        self.hand.refuse(node_id=node_id, request_id=request_id, status=503, document=OVERLOADED, now=self.now)
+        super().reply(node_id=node_id, request_id=request_id, status=503, document=OVERLOADED)
 
-    def reply(self, *, node_id: str, request_id: int, status: int, doc: Any) -> None:
+    def reply(self, *, node_id: str, request_id: int, status: int, document: Any) -> None:
         """Answer a call of another node."""
         group_id = self.hand.drop(node_id=node_id, request_id=request_id)
         if group_id > 0 and status in REFUSALS:
-            self.hand.refuse(node_id=node_id, request_id=request_id, status=status, doc=doc, now=self.now)
-        super().reply(node_id=node_id, request_id=request_id, status=status, doc=doc)
+            self.hand.refuse(node_id=node_id, request_id=request_id, status=status, document=document, now=self.now)
+        super().reply(node_id=node_id, request_id=request_id, status=status, document=document)
 
     def deposed(self, *, group_id: int) -> None:
         """Calls in hand are not answered here any more: their callers look for the next primary at once."""
         super().deposed(group_id=group_id)
         for node_id, request_id in self.hand.leave(group_id=group_id):
             self.reply(
-                node_id=node_id, request_id=request_id, status=NOT_PRIMARY, doc=[[k, e] for k, e in self.eps.items()]
+                node_id=node_id,
+                request_id=request_id,
+                status=NOT_PRIMARY,
+                document=[[k, e] for k, e in self.epochs.items()],
             )
 
     def _jobs(self, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
@@ -269,12 +275,14 @@
         for u in m.get("up", []):
             self.roster[u] = self.now
         if "news" in m:
-            self.take_news(doc=m["news"])
+            self.take_news(document=m["news"])
         if "t" in m:
             self.told(node_id=node_id, m=m)
             if "at" in m:
                 self.echo = [m.get("by"), m["at"]]
-            if m.get("lease") and m.get("mods", -1) <= self.mods:  # with all evacuations that the primary knew of
+            if (
+                m.get("lease") and m.get("mods", -1) <= self.registry_version
+            ):  # with all evacuations that the primary knew of
                 self.lease = max(self.lease, m["t"] + LEASE_S)
         for minion_id, fence, info in m.get("own", []):
             self.agent.own(minion_id=minion_id, fence=fence, info=info)
@@ -383,25 +391,25 @@
 
     # -- disk
 
-    def restore(self, *, recs: list[bytes]) -> None:
+    def restore(self, *, records: list[bytes]) -> None:
         """Replay the journal from a whole snapshot on. Where that raises, the node is of no use any more."""
-        for number, raw in enumerate(recs):
+        for number, raw in enumerate(records):
             try:
-                self._replay(rec=self.load(body=raw))
+                self._replay(record=self.load(body=raw))
             except Exception as err:  # a reducer may raise anything
                 raise ReplayError(text=f"{type(err).__name__}: {err}", number=number) from err
         for group_id, replica in self.replicas.items():
             replica.settle()
             if replica.epoch is not None:
-                NodeBase.learn(self, eps=[[group_id, replica.epoch]])
+                NodeBase.learn(self, epochs=[[group_id, replica.epoch]])
 
-    def _replay(self, *, rec: dict[str, Any]) -> None:
-        if rec["k"] not in NODE_RECORDS:
-            self.replicas[rec["g"]].restore(rec)
+    def _replay(self, *, record: dict[str, Any]) -> None:
+        if record["k"] not in NODE_RECORDS:
+            self.replicas[record["g"]].restore(record)
 
     def checkpoint(self) -> list[bytes]:
         """Records that stand for all that this node keeps."""
         out = [dump(body={"k": "id", "uid": self.node_id, "inc": self.incarnation})]
         for replica in self.replicas.values():
-            out += [dump(body=rec) for rec in replica.checkpoint()]
+            out += [dump(body=record) for record in replica.checkpoint()]
         return out
--- a/yarrowloom/node/core_environment.py
+++ b/yarrowloom/node/core_environment.py
@@ -8,7 +8,7 @@
 from ..common.defaults import SHIPPED, Defaults
 from ..common.errors import YarrowError
 from ..common.log import Log
-from ..common.settings import Startup
+from ..common.settings import NodeSettings
 from ..jobs.state_machine import Jobs
 from ..replication import Epoch, Replica
 from ..scheduling import Placer
@@ -30,7 +30,7 @@
     def __init__(
         self,
         *,
-        startup: Startup,
+        settings: NodeSettings,
         node_id: str,
         incarnation: int,
         log: Log,
@@ -39,7 +39,7 @@
         rand: float = 0.5,
         defaults: Defaults | None = None,
     ) -> None:
-        super().__init__(startup=startup, node_id=node_id, incarnation=incarnation, log=log, now=now, rand=rand)
+        super().__init__(settings=settings, node_id=node_id, incarnation=incarnation, log=log, now=now, rand=rand)
         self.registry = Registry()
         self.defaults = defaults or SHIPPED
         self.jobs = {group_id: Jobs(learn=self.defaults["learn"]["on"]) for group_id in self.groups()}
@@ -48,17 +48,17 @@
             state = self.registry if group_id == 0 else self.jobs[group_id]
             first_epoch = self._genesis(group_id=group_id) if first else None
             if first_epoch is not None:
-                self.eps[group_id] = first_epoch
+                self.epochs[group_id] = first_epoch
             self.replicas[group_id] = Replica(group_id=group_id, environment=self, state=state, epoch=first_epoch)
         self.placers: dict[int, Placer] = {}
         self.chief: Chief | None = None
-        hold = min(startup.bound(name="max-hold-ms", default=6000), max(3.0 * startup.beat_ms, 4000.0))
+        hold = min(settings.bound(name="max-hold-ms", default=6000), max(3.0 * settings.beat_ms, 4000.0))
         self.agent = Agent(
             environment=self,
             hold_ms=int(hold),
-            lag_ms=startup.beat_ms,
-            stop_ms=int(startup.bound(name="stop-grace-ms", default=1000)),
-            drain_ms=int(startup.bound(name="drain-ms", default=DRAIN_MS)),
+            lag_ms=settings.beat_ms,
+            stop_ms=int(settings.bound(name="stop-grace-ms", default=1000)),
+            drain_ms=int(settings.bound(name="drain-ms", default=DRAIN_MS)),
             first_lease=first_number(incarnation=incarnation) + 1,
         )
         self.lease = -9.0
@@ -82,12 +82,12 @@
             "p": seeds[group_id % n],
             "w": seeds,
             "t": "",
-            "b": [seeds[(group_id + i) % n] for i in range(1, min(self.startup.losses, n - 1) + 1)],
+            "b": [seeds[(group_id + i) % n] for i in range(1, min(self.settings.losses, n - 1) + 1)],
         }
 
-    def write(self, *, rec: dict[str, Any], done: tuple[Any, ...]) -> None:
+    def write(self, *, record: dict[str, Any], done: tuple[Any, ...]) -> None:
         """To disk."""
-        self.out.writes.append((dump(body=rec), done))
+        self.out.writes.append((dump(body=record), done))
 
     def elected(self, *, group_id: int) -> None:
         """This node now serves the group."""
@@ -106,8 +106,8 @@
                 environment=self,
                 replica=self.replicas[group_id],
                 jobs=self.jobs[group_id],
-                far=self.startup.bound(name="spread-factor", default=2),
-                status_s=self.startup.job_status_s,
+                far=self.settings.bound(name="spread-factor", default=2),
+                status_s=self.settings.job_status_s,
             )
 
     def deposed(self, *, group_id: int) -> None:
@@ -145,9 +145,9 @@
             if m is not None and self.agent.open(m=m) and all(r.sent or r.live for r in m.runs.values()):
                 self.agent.disown(minion_id=minion_id)
 
-    def evacuated(self, *, site: str) -> bool:
+    def evacuated(self, *, zone: str) -> bool:
         """Nothing may start there."""
-        return site in self.evac
+        return zone in self.evacuated_zones
 
     def ranks(self) -> dict[str, int]:
         """The queues of the newest configuration, with their ranks."""
@@ -155,24 +155,24 @@
 
     def evacuations(self) -> frozenset[str]:
         """Sites to which nothing is to be sent."""
-        return frozenset(self.evac)
+        return frozenset(self.evacuated_zones)
 
     def gone(self, *, minion_id: str, fence: int) -> None:
         """A minion is no more."""
         self.agent.disown(minion_id=minion_id)
         self.calls.start(group_id=0, op="gone", b={"m": minion_id, "f": fence}, done=("none",), ttl=30.0)
 
-    def reply(self, *, node_id: str, request_id: int, status: int, doc: Any) -> None:
+    def reply(self, *, node_id: str, request_id: int, status: int, document: Any) -> None:
         """Answer a call of another node."""
         self.send(
             node_id=node_id,
             kind=Kind.REPLY,
-            body={"rid": request_id, "to": node_id, "s": status, "d": doc} | self.proofs(node_id=node_id),
+            body={"rid": request_id, "to": node_id, "s": status, "d": document} | self.proofs(node_id=node_id),
         )
 
-    def learn(self, *, eps: list[Any]) -> None:
+    def learn(self, *, epochs: list[Any]) -> None:
         """Epochs go to the replicas first, which report what is news."""
-        for group_id, e in eps:
+        for group_id, e in epochs:
             self.replicas[group_id].learn(e)
 
     def configured(self) -> None:
@@ -182,10 +182,10 @@
 
     def installed(self, *, group_id: int, epoch: Epoch) -> None:
         """A newer epoch is decided."""
-        old = self.eps.get(group_id)
+        old = self.epochs.get(group_id)
         if old is not None:
             self.before[group_id] = old["p"]
-        super().learn(eps=[[group_id, epoch]])
+        super().learn(epochs=[[group_id, epoch]])
         self.push()
 
     # -- group 0
@@ -199,17 +199,17 @@
     def _registry(self) -> dict[str, Any]:
         return {
             "reg": {
-                "mods": self.registry.mods,
-                "evac": list(self.registry.evac),
+                "mods": self.registry.registry_version,
+                "evac": list(self.registry.evacuated_zones),
                 "members": dict(self.registry.members),
             }
         }
 
     def _publish(self) -> None:
-        doc = self._registry()
-        if self.registry.conf is not None:
-            doc["conf"] = self.registry.conf
-        self.take_news(doc=doc)
+        document = self._registry()
+        if self.registry.config is not None:
+            document["conf"] = self.registry.config
+        self.take_news(document=document)
 
     def _serve0(self, *, node_id: str, request_id: int, op: str, b: dict[str, Any]) -> None:
         replica, chief = self.replicas[0], self.chief
@@ -218,24 +218,24 @@
             try:
                 event = self.registry.judge(method=b["m"], base=b["base"], body=b["body"].encode())
             except YarrowError as err:
-                status, doc = refusal(err=err)
-                replica.barrier(then=("reply", node_id, request_id, status, doc))
+                status, document = refusal(err=err)
+                replica.barrier(then=("reply", node_id, request_id, status, document))
                 return
             if event is not None:
                 replica.commit(event=event)
-                replica.barrier(then=("news", {"conf": self.registry.conf}))
-                self.note(event="config-accepted", stamp=self.registry.stamp)
+                replica.barrier(then=("news", {"conf": self.registry.config}))
+                self.note(event="config-accepted", config_version=self.registry.config_version)
             replica.barrier(then=("reply", node_id, request_id, 200, {}))
         elif op == "getconf":
             replica.barrier(
-                then=("reply", node_id, request_id, 200 if self.registry.conf else 404, self.registry.conf or {})
+                then=("reply", node_id, request_id, 200 if self.registry.config else 404, self.registry.config or {})
             )
         elif op == "evac":
             try:
                 event = self.registry.judge_evacuation(zone=b["site"], on=b["on"], known=b["mods"])
             except YarrowError as err:
-                status, doc = refusal(err=err)
-                replica.barrier(then=("reply", node_id, request_id, status, doc))
+                status, document = refusal(err=err)
+                replica.barrier(then=("reply", node_id, request_id, status, document))
                 return
             self.commit0(event=event, news=True)
             replica.barrier(then=("reply", node_id, request_id, 200, {}))
@@ -249,15 +249,15 @@
 
     # -- beats
 
-    def agent_beat(self, *, minion_id: str, doc: dict[str, Any], call: Any) -> None:
+    def agent_beat(self, *, minion_id: str, document: dict[str, Any], call: Any) -> None:
         """A beat of an owned minion; what cannot be read is refused."""
         try:
-            self.agent.beat(minion_id=minion_id, doc=doc, call=call)
+            self.agent.beat(minion_id=minion_id, document=document, call=call)
         except (ValueError, TypeError, KeyError, IndexError, AttributeError) as err:
             self.log.warn("beat-malformed", minion=minion_id, why=repr(err))
-            self.respond(call=call, res=Response.of(400, {"error": "not a beat"}))
+            self.respond(call=call, response=Response.of(400, {"error": "not a beat"}))
 
-    def beat_elsewhere(self, *, minion_id: str, doc: dict[str, Any], call: Any) -> None:
+    def beat_elsewhere(self, *, minion_id: str, document: dict[str, Any], call: Any) -> None:
         """Hand a beat to the minion's agent."""
         owner, at = self.owner.get(minion_id, ("", -9.0))
         if owner and owner != self.node_id and self.now - at < OWNER_S:
@@ -265,66 +265,68 @@
                 group_id=-1,
                 to=owner,
                 op="beat",
-                b={"m": minion_id, "d": doc},
+                b={"m": minion_id, "d": document},
                 done=("beat", call, minion_id, owner),
                 ttl=BEAT_TTL,
             )
             return
         b = {
             "m": minion_id,
-            "site": str(doc.get("zone", "")),
-            "svc": str(doc.get("backend", "")),
-            "labels": [str(x) for x in doc.get("labels", [])],
+            "site": str(document.get("zone", "")),
+            "svc": str(document.get("backend", "")),
+            "labels": [str(x) for x in document.get("labels", [])],
         }
-        self.calls.start(group_id=0, op="who", b=b, done=("who", call, minion_id, doc), ttl=BEAT_TTL)
+        self.calls.start(group_id=0, op="who", b=b, done=("who", call, minion_id, document), ttl=BEAT_TTL)
 
-    def called(self, *, done: tuple[Any, ...], status: int, doc: Any, sent: bool) -> None:
+    def called(self, *, done: tuple[Any, ...], status: int, document: Any, sent: bool) -> None:
         """A call of this node has ended."""
         kind = done[0]
         if kind == "http":
             self.respond(
                 call=done[1],
-                res=Response.of(status, doc) if status else Response.of(503, {"error": "no primary in reach"}),
+                response=Response.of(status, document)
+                if status
+                else Response.of(503, {"error": "no primary in reach"}),
             )
         elif kind == "leave":
-            self._leave_found(call=done[1], minion_id=done[2], until=done[3], status=status, doc=doc)
+            self._leave_found(call=done[1], minion_id=done[2], until=done[3], status=status, document=document)
         elif kind == "who":
             _, call, minion_id, beat = done
             if status != 200:
-                self.respond(call=call, res=Response(status=503))
-            elif doc["o"] == self.node_id:
+                self.respond(call=call, response=Response(status=503))
+            elif document["o"] == self.node_id:
                 if minion_id in self.agent.minions:
-                    self.agent_beat(minion_id=minion_id, doc=beat, call=call)
+                    self.agent_beat(minion_id=minion_id, document=beat, call=call)
                 else:
-                    self.respond(call=call, res=Response(status=503))
+                    self.respond(call=call, response=Response(status=503))
             else:
-                self.owner[minion_id] = (doc["o"], self.now)
+                self.owner[minion_id] = (document["o"], self.now)
                 if len(self.owner) > 20000:
                     self.owner.clear()
                 self.calls.start(
                     group_id=-1,
-                    to=doc["o"],
+                    to=document["o"],
                     op="beat",
                     b={"m": minion_id, "d": beat},
-                    done=("beat", call, minion_id, doc["o"]),
+                    done=("beat", call, minion_id, document["o"]),
                     ttl=BEAT_TTL,
                 )
         elif kind == "beat":
             _, call, minion_id, owner = done
             if status != 200:
                 self.owner.pop(minion_id, None)
-                self.respond(call=call, res=Response(status=503))
+                self.respond(call=call, response=Response(status=503))
                 return
             ctl = self.members.get(owner, {}).get("ctl") or self.info.get(owner, {}).get("ctl")
             if ctl:
-                doc = {**doc, "beat-target": ctl}
-            self.respond(call=call, res=Response.of(200, doc))
+                document = {**document, "beat-target": ctl}
+            self.respond(call=call, response=Response.of(200, document))
 
-    def _leave_found(self, *, call: Any, minion_id: str, until: float, status: int, doc: Any) -> None:
+    def _leave_found(self, *, call: Any, minion_id: str, until: float, status: int, document: Any) -> None:
         """Group 0 told which agent a minion that ends is with: none (it has left before), this one or another."""
-        owner = doc.get("o") if status == 200 else ""
+        owner = document.get("o") if status == 200 else ""
         if status == 200 and owner is None:
-            self.respond(call=call, res=Response.of(200, {}))
+            self.respond(call=call, response=Response.of(200, {}))
         elif owner == self.node_id and minion_id in self.agent.minions and self.trusted():
             self.agent.leave(minion_id=minion_id, call=call)
         elif owner and owner != self.node_id and until > self.now:
@@ -332,24 +334,27 @@
                 group_id=-1, to=owner, op="leave", b={"m": minion_id}, done=("http", call), ttl=until - self.now
             )
         else:
-            self.respond(call=call, res=Response(status=503))
+            self.respond(call=call, response=Response(status=503))
 
-    def respond(self, *, call: Any, res: Response) -> None:
+    def respond(self, *, call: Any, response: Response) -> None:
         """Answer a call: over HTTP, or to the node that handed the beat over."""
         if isinstance(call, tuple) and call[0] == "far":
             self.reply(
-                node_id=call[1], request_id=call[2], status=res.status, doc=self.load(body=res.body) if res.body else {}
+                node_id=call[1],
+                request_id=call[2],
+                status=response.status,
+                document=self.load(body=response.body) if response.body else {},
             )
         else:
-            super().respond(call=call, res=res)
+            super().respond(call=call, response=response)
 
     def _handed(self, *, node_id: str, request_id: int, op: str, b: dict[str, Any]) -> None:
         if b["m"] not in self.agent.minions or not self.trusted():
-            self.reply(node_id=node_id, request_id=request_id, status=503, doc={})
+            self.reply(node_id=node_id, request_id=request_id, status=503, document={})
         elif op == "leave":
             self.agent.leave(minion_id=b["m"], call=("far", node_id, request_id))
         else:
-            self.agent_beat(minion_id=b["m"], doc=b["d"], call=("far", node_id, request_id))
+            self.agent_beat(minion_id=b["m"], document=b["d"], call=("far", node_id, request_id))
 
     def effect(self, *, effect: tuple[Any, ...]) -> None:
         """Carry out an effect that is now durable."""
@@ -359,10 +364,10 @@
         """A summary for the operator."""
         return {
             "uid": self.node_id,
-            "site": self.startup.site,
-            "config": self.stamp(),
+            "site": self.settings.zone,
+            "config": self.config_version(),
             "proof-age-ms": self.proof_age_ms(),
-            "evacuated": sorted(self.evac),
+            "evacuated": sorted(self.evacuated_zones),
             "members": self.members,
             "groups": {
                 str(group_id): {"role": r.role.value, "epoch": r.epoch, "serving": r.serving()}
--- a/yarrowloom/node/counters.py
+++ b/yarrowloom/node/counters.py
@@ -53,11 +53,11 @@
         row[3] += bool(head)
         row[4] += sum(map(len, head))
 
-    def doc(self, *, stamp: int) -> dict[str, Any]:
+    def document(self, *, config_version: int) -> dict[str, Any]:
         """All of it, with processor time in seconds and the configuration in force."""
         return {
             "cpu-s": time.process_time(),
-            "stamp": stamp,
+            "stamp": config_version,
             "sent": self.sent,
             "got": self.got,
             "calls": self.calls,
--- a/yarrowloom/node/edge.py
+++ b/yarrowloom/node/edge.py
@@ -8,7 +8,7 @@
 
 from ..common.errors import InvalidError
 from ..common.log import Log
-from ..common.settings import Startup
+from ..common.settings import NodeSettings
 from ..jobs.submission import group_of, is_job_id, parse
 from ..transport.envelope import Kind
 from ..transport.http_server import Limits, Request, Response
@@ -42,8 +42,8 @@
     """Invariants: a request is answered 503 or 429 only if nothing of it was sent on; `hand` counts the bytes of the
     bodies of the calls in hand, which are at most `hand_most` calls and about a sixteenth of the memory."""
 
-    def __init__(self, *, startup: Startup, node_id: str, incarnation: int, log: Log) -> None:
-        super().__init__(startup=startup, node_id=node_id, incarnation=incarnation, kind="edge", log=log)
+    def __init__(self, *, settings: NodeSettings, node_id: str, incarnation: int, log: Log) -> None:
+        super().__init__(settings=settings, node_id=node_id, incarnation=incarnation, kind="edge", log=log)
         self.limits = Limits()
         self.closing = False
         self.via: list[str] = []
@@ -51,7 +51,7 @@
         self.in_touch = False  # as last logged
         self.shun: dict[str, float] = {}  # relays that have no room, and until when
         self.hand = 0
-        self.hand_most = min(max(2 * startup.memory_mb, HAND_MIN), HAND_MAX)
+        self.hand_most = min(max(2 * settings.memory_mb, HAND_MIN), HAND_MAX)
         self.filters: tuple[Filter, ...] = (
             self._configured,
             self._routed,
@@ -78,24 +78,24 @@
             near
             and self.table is not None
             and not self.closing
-            and all(group_id in self.eps for group_id in range(JOB_GROUPS + 1))
+            and all(group_id in self.epochs for group_id in range(JOB_GROUPS + 1))
         )
 
     def sure(self) -> bool:
         """May answer on the strength of its configuration alone."""
         return self.freshness.age(now=self.now) < self.freshness.answer_s
 
-    def _by_table(self, *, res: Response) -> Response:
+    def _by_table(self, *, response: Response) -> Response:
         """An answer that rests on the configuration alone; 503 while that may be out of date."""
-        return res if self.sure() else Response.of(503, {"error": "out of touch"}, headers=RETRY)
+        return response if self.sure() else Response.of(503, {"error": "out of touch"}, headers=RETRY)
 
     def http(self, *, call: Any, req: Request) -> None:
         """A caller's request."""
         way = Way(call=call, req=req)
         for flt in self.filters:
-            res = flt(way)
-            if res is not None:
-                self.respond(call=call, res=res)
+            response = flt(way)
+            if response is not None:
+                self.respond(call=call, response=response)
                 return
         self._forward(way)
 
@@ -111,19 +111,19 @@
         way.path = urlsplit(way.req.path).path
         way.route = self.table.select(host=way.req.headers.get("host", ""), path=way.path)
         if way.route is None:
-            return self._by_table(res=Response.of(404, {"error": "no such queue"}))
+            return self._by_table(response=Response.of(404, {"error": "no such queue"}))
         way.rest = way.path[len(way.route["path-prefix"]) :].strip("/")
         return None
 
     def _named(self, way: Way) -> Response | None:
         method = way.req.method
         if method not in ("POST", "GET", "DELETE"):
-            res = Response.of(405, {"error": "method"}, headers=(("allow", "POST, GET, DELETE"),))
-            return self._by_table(res=res)
+            response = Response.of(405, {"error": "method"}, headers=(("allow", "POST, GET, DELETE"),))
+            return self._by_table(response=response)
         if method == "GET" and not way.rest:
             return None
         if not is_job_id(text=way.rest):
-            return self._by_table(res=Response.of(400 if method == "POST" else 410, {"error": "not a job id"}))
+            return self._by_table(response=Response.of(400 if method == "POST" else 410, {"error": "not a job id"}))
         return None
 
     def _timely(self, way: Way) -> Response | None:
@@ -141,7 +141,7 @@
     def _roomy(self, way: Way) -> Response | None:
         """A bounded number of calls is in hand; more are turned away before anything is done for them."""
         size = len(way.req.body)
-        if len(self.calls.open) < self.hand_most and self.hand + size <= self.startup.memory_mb << 16:
+        if len(self.calls.open) < self.hand_most and self.hand + size <= self.settings.memory_mb << 16:
             return None
         return Response.of(503, {"error": "too many calls in hand"}, headers=RETRY)
 
@@ -179,9 +179,9 @@
         that the placing node can look in its own."""
         assert self.table is not None
         at = {} if self.sure() else {"at": [way.req.headers.get("host", ""), way.path]}
-        return {"cv": self.table.stamp, **at}
+        return {"cv": self.table.config_version, **at}
 
-    def called(self, *, done: tuple[Any, ...], status: int, doc: Any, sent: bool) -> None:
+    def called(self, *, done: tuple[Any, ...], status: int, document: Any, sent: bool) -> None:
         """An answer of the records, or none in time."""
         self.hand -= done[2]
         if done[0] == "count":
@@ -192,20 +192,20 @@
             if status != 200:
                 box["left"] = 0
                 refused = status in (404, 503)
-                res = Response.of(status, doc) if refused else Response.of(504, {"error": "no answer"})
-                self.respond(call=done[1], res=res)
+                response = Response.of(status, document) if refused else Response.of(504, {"error": "no answer"})
+                self.respond(call=done[1], response=response)
                 return
-            box["sum"] += doc["pending"]
+            box["sum"] += document["pending"]
             if box["left"] == 0:
-                self.respond(call=done[1], res=Response.of(200, {"pending": box["sum"]}))
+                self.respond(call=done[1], response=Response.of(200, {"pending": box["sum"]}))
             return
         if status == 0:
-            res = Response.of(504 if sent else 503, {"error": "no answer in time"}, headers=() if sent else RETRY)
+            response = Response.of(504 if sent else 503, {"error": "no answer in time"}, headers=() if sent else RETRY)
         elif status in (429, 503):
-            res = Response.of(status, doc, headers=RETRY)
+            response = Response.of(status, document, headers=RETRY)
         else:
-            res = Response.of(status, doc)
-        self.respond(call=done[1], res=res)
+            response = Response.of(status, document)
+        self.respond(call=done[1], response=response)
 
     # -- frames and time
 
@@ -216,7 +216,7 @@
         elif kind is Kind.HEART:
             self._relay(b=m)
         elif kind is Kind.NEWS:
-            self.take_news(doc=m)
+            self.take_news(document=m)
         elif kind is Kind.REPLY:
             pend = self.calls.open.get(m["rid"])
             if pend is not None and node_id in pend.nodes and "age" in m:
@@ -226,7 +226,7 @@
     def _heartok(self, *, node_id: str, m: dict[str, Any]) -> None:
         """A core or a relay answered a heart. A relay that is not in touch is left as soon as another node is."""
         self.contact = self.now
-        self.take_news(doc=m.get("news", {}))
+        self.take_news(document=m.get("news", {}))
         in_touch = self.told(node_id=node_id, m=m)
         if m.get("full"):
             self.shun[node_id] = self.now + FULL_S
@@ -240,7 +240,7 @@
 
     def children(self) -> int:
         """How many edges this one may feed: at 2 Mbit/s four, whose hearts and changes take a tenth of the link."""
-        return max(1, min(FANOUT, int(2 * self.startup.link_mbps)))
+        return max(1, min(FANOUT, int(2 * self.settings.link_mbps)))
 
     def _relay(self, *, b: dict[str, Any]) -> None:
         """Feed news to another edge; or turn it away."""
@@ -269,5 +269,5 @@
         self.calls.tick()
         if self.in_touch is not self.sure():
             self.in_touch = not self.in_touch
-            stamp = self.table.stamp if self.table is not None else 0
-            self.note(event="in-touch" if self.in_touch else "out-of-touch", stamp=stamp)
+            config_version = self.table.config_version if self.table is not None else 0
+            self.note(event="in-touch" if self.in_touch else "out-of-touch", config_version=config_version)
--- a/yarrowloom/node/group_calls.py
+++ b/yarrowloom/node/group_calls.py
@@ -33,10 +33,10 @@
     def primary(self, *, group_id: int) -> tuple[str, int] | None:
         """Who serves a group."""
 
-    def learn(self, *, eps: list[Any]) -> None:
+    def learn(self, *, epochs: list[Any]) -> None:
         """News of epochs."""
 
-    def called(self, *, done: tuple[Any, ...], status: int, doc: Any, sent: bool) -> None:
+    def called(self, *, done: tuple[Any, ...], status: int, document: Any, sent: bool) -> None:
         """A call has ended; status 0: given up."""
 
 
@@ -135,7 +135,7 @@
         if m["s"] == NOT_PRIMARY and not pend.to:
             pend.nodes[node_id] = max(pend.nodes[node_id] - 1, 0)
             before = self.environment.primary(group_id=pend.group_id)
-            self.environment.learn(eps=m["d"])
+            self.environment.learn(epochs=m["d"])
             if self.environment.primary(group_id=pend.group_id) != before:
                 self._anew(pend)
             else:
@@ -143,9 +143,11 @@
             return
         del self.open[pend.request_id]
         if m["s"] in REFUSALS and any(copies for node, copies in pend.nodes.items() if node != node_id):
-            self.environment.called(done=pend.done, status=0, doc=None, sent=True)  # another node may have taken it
+            self.environment.called(
+                done=pend.done, status=0, document=None, sent=True
+            )  # another node may have taken it
         else:
-            self.environment.called(done=pend.done, status=m["s"], doc=m["d"], sent=True)
+            self.environment.called(done=pend.done, status=m["s"], document=m["d"], sent=True)
 
     def tick(self) -> None:
         """Send again, give up."""
@@ -153,7 +155,7 @@
         for pend in list(self.open.values()):
             if now >= pend.horizon:
                 del self.open[pend.request_id]
-                self.environment.called(done=pend.done, status=0, doc=None, sent=pend.sent)
+                self.environment.called(done=pend.done, status=0, document=None, sent=pend.sent)
             elif not pend.to and self.environment.primary(group_id=pend.group_id) != pend.asked:
                 self._anew(pend)
             elif now >= pend.again:
@@ -165,7 +167,7 @@
     """The answer to a call that was not taken."""
 
     status: int
-    doc: Any
+    document: Any
     until: float
 
 
@@ -205,9 +207,9 @@
         """It is answered; the group that it was for, -1 if it was for none or is not known."""
         return self._at.pop((node_id, request_id), (-1, 0.0))[0]
 
-    def refuse(self, *, node_id: str, request_id: int, status: int, doc: Any, now: float) -> None:
+    def refuse(self, *, node_id: str, request_id: int, status: int, document: Any, now: float) -> None:
         """It is refused for good."""
-        self._refused[node_id, request_id] = Refusal(status=status, doc=doc, until=now + REFUSED_S)
+        self._refused[node_id, request_id] = Refusal(status=status, document=document, until=now + REFUSED_S)
 
     def refusal(self, *, node_id: str, request_id: int) -> Refusal | None:
         """How a call was refused before."""
--- a/yarrowloom/node/http_routes.py
+++ b/yarrowloom/node/http_routes.py
@@ -41,7 +41,7 @@
             if method == req.method:
                 fn(node, call, req, hit.group(1) if pat.groups else "")
                 return
-    node.respond(call=call, res=Response.of(405 if known else 404, {"error": "no such call"}))
+    node.respond(call=call, response=Response.of(405 if known else 404, {"error": "no such call"}))
 
 
 def refusal(*, err: YarrowError) -> tuple[int, dict[str, Any]]:
@@ -53,16 +53,16 @@
 def beat(node: "CoreEnvironment", call: Any, req: Request, minion_id: str) -> None:
     """A minion's beat: to its agent, here or elsewhere."""
     try:
-        doc = orjson.loads(req.body)
-        if not isinstance(doc, dict) or not isinstance(doc.get("capacity", {}), dict):
+        document = orjson.loads(req.body)
+        if not isinstance(document, dict) or not isinstance(document.get("capacity", {}), dict):
             raise ValueError
     except ValueError:
-        node.respond(call=call, res=Response.of(400, {"error": "not a beat"}))
+        node.respond(call=call, response=Response.of(400, {"error": "not a beat"}))
         return
     if minion_id in node.agent.minions and node.trusted():
-        node.agent_beat(minion_id=minion_id, doc=doc, call=call)
+        node.agent_beat(minion_id=minion_id, document=document, call=call)
         return
-    node.beat_elsewhere(minion_id=minion_id, doc=doc, call=call)
+    node.beat_elsewhere(minion_id=minion_id, document=document, call=call)
 
 
 @declare("DELETE", r"/minions/([^/]+)")
@@ -96,7 +96,7 @@
     try:
         text = req.body.decode()
     except UnicodeDecodeError:
-        node.respond(call=call, res=Response.of(400, {"error": "invalid", "findings": ["(body): not UTF-8"]}))
+        node.respond(call=call, response=Response.of(400, {"error": "invalid", "findings": ["(body): not UTF-8"]}))
         return
     node.calls.start(
         group_id=0,
@@ -114,29 +114,33 @@
 
 
 @declare("POST", r"/evacuation/([^/]+)")
-def evac_start(node: "CoreEnvironment", call: Any, req: Request, site: str) -> None:
+def evac_start(node: "CoreEnvironment", call: Any, req: Request, zone: str) -> None:
     """Nothing more is to be sent to a site's minions."""
-    _evacuate(node=node, call=call, site=site, on=True)
+    _evacuate(node=node, call=call, zone=zone, on=True)
 
 
 @declare("DELETE", r"/evacuation/([^/]+)")
-def evac_end(node: "CoreEnvironment", call: Any, req: Request, site: str) -> None:
+def evac_end(node: "CoreEnvironment", call: Any, req: Request, zone: str) -> None:
     """The evacuation is taken back."""
-    _evacuate(node=node, call=call, site=site, on=False)
+    _evacuate(node=node, call=call, zone=zone, on=False)
 
 
-def _evacuate(*, node: "CoreEnvironment", call: Any, site: str, on: bool) -> None:
+def _evacuate(*, node: "CoreEnvironment", call: Any, zone: str, on: bool) -> None:
     """The order goes with the registry's version that is known here now: a copy that is delayed can't undo a later
     order."""
     node.calls.start(
-        group_id=0, op="evac", b={"site": site, "on": on, "mods": node.mods}, done=("http", call), ttl=CONF_TTL
+        group_id=0,
+        op="evac",
+        b={"site": zone, "on": on, "mods": node.registry_version},
+        done=("http", call),
+        ttl=CONF_TTL,
     )
 
 
 @declare("GET", r"/state")
 def state(node: "CoreEnvironment", call: Any, req: Request, _arg: str) -> None:
     """What this node knows, for the operator's command line."""
-    node.respond(call=call, res=Response(status=200, body=orjson.dumps(node.describe()), headers=JSON))
+    node.respond(call=call, response=Response(status=200, body=orjson.dumps(node.describe()), headers=JSON))
 
 
 @declare("GET", r"/jobs/([^/]+)")
@@ -144,14 +148,14 @@
     """Why a job waits: its groups, their last cycle, its place in the queue. Elsewhere than at the placing node, the
     answer names that one (307)."""
     if not is_job_id(text=job_id):
-        node.respond(call=call, res=Response.of(400, {"error": "not a job id"}))
+        node.respond(call=call, response=Response.of(400, {"error": "not a job id"}))
         return
     group_id = group_of(job_id=job_id, groups=JOB_GROUPS)
     if group_id in node.placers and node.replicas[group_id].serving():
         job = node.jobs[group_id].jobs.get(job_id)
         node.respond(
             call=call,
-            res=Response.of(410, {"error": "no such job"})
+            response=Response.of(410, {"error": "no such job"})
             if job is None
             else Response.of(
                 200,
@@ -167,6 +171,6 @@
     prim = node.primary(group_id=group_id)
     ctl = node.info.get(prim[0], {}).get("ctl") or node.members.get(prim[0], {}).get("ctl") if prim else ""
     if not ctl:
-        node.respond(call=call, res=Response.of(503, {"error": "no placing node known"}))
+        node.respond(call=call, response=Response.of(503, {"error": "no placing node known"}))
     else:
-        node.respond(call=call, res=Response(status=307, headers=(("location", f"http://{ctl}/jobs/{job_id}"),)))
+        node.respond(call=call, response=Response(status=307, headers=(("location", f"http://{ctl}/jobs/{job_id}"),)))
--- a/yarrowloom/node/membership.py
+++ b/yarrowloom/node/membership.py
@@ -1,7 +1,7 @@
 """Core members as a node knows them: who is up, who may hold copies, who should keep epochs."""
 
 from ..common.log import Log
-from ..common.settings import Startup
+from ..common.settings import NodeSettings
 from ..replication.epoch import addr_of
 from .node_base import NodeBase
 
@@ -31,8 +31,10 @@
     """Invariant: what it tells of members follows from heartbeats, the registry's members and the epochs known; it
     changes none of them."""
 
-    def __init__(self, *, startup: Startup, node_id: str, incarnation: int, log: Log, now: float, rand: float) -> None:
-        super().__init__(startup=startup, node_id=node_id, incarnation=incarnation, kind="core", log=log)
+    def __init__(
+        self, *, settings: NodeSettings, node_id: str, incarnation: int, log: Log, now: float, rand: float
+    ) -> None:
+        super().__init__(settings=settings, node_id=node_id, incarnation=incarnation, kind="core", log=log)
         self.now = now
         self._rand = rand
         self.roster: dict[str, float] = {}  # when the controller last told that a member is live
@@ -46,12 +48,12 @@
         """Members that may be a backup: alive ones first, then one zone after another, beginning with those that are
         not this node's; within a zone those in `first`, then the least loaded."""
         load: dict[str, int] = {}
-        for e in self.eps.values():
+        for e in self.epochs.values():
             for holder in (e["p"], *e["b"]):
                 load[holder] = load.get(holder, 0) + 1
         zones = self.peers()
         rank = {u: (not self.up(node_id=u), u not in first, load.get(u, 0), u) for u in zones if u != self.node_id}
-        taken = {self.startup.site: 1, "": 1}
+        taken = {self.settings.zone: 1, "": 1}
         order: list[str] = []
         while rank:
             best = min(rank, key=lambda u: (rank[u][0], taken.get(zones[u], 0), rank[u][1:]))
@@ -71,7 +73,7 @@
     def peers(self) -> dict[str, str]:
         """Core nodes and their sites as far as known. After a restart of all there are no members yet, only what
         epochs name and whose hearts are heard; a uid that gave way to another at its address does not count."""
-        named = {u for e in self.eps.values() for u in (*e["w"], e["p"], *e["b"]) if u}
+        named = {u for e in self.epochs.values() for u in (*e["w"], e["p"], *e["b"]) if u}
         heard = {u for u, i in self.info.items() if i["kind"] == "core" and self.alive(node_id=u)} | {self.node_id}
         new = {addr_of(node_id=u): u for u in heard}
         out = {}
@@ -83,7 +85,7 @@
 
     def losses(self) -> int:
         """How many disks may be lost at once."""
-        return self.startup.losses
+        return self.settings.losses
 
     def up(self, *, node_id: str) -> bool:
         """Heard of lately."""
--- a/yarrowloom/node/node_base.py
+++ b/yarrowloom/node/node_base.py
@@ -7,7 +7,7 @@
 from ..cluster_state.config import Table
 from ..cluster_state.config_delta import Delta, History
 from ..common.log import Log
-from ..common.settings import Startup
+from ..common.settings import NodeSettings
 from ..replication.epoch import Epoch, addr_of, check_epoch
 from ..transport.envelope import Kind, dump
 from ..transport.http_server import Response
@@ -31,23 +31,23 @@
     nodes said in their last hearts, `sent` what left for them since. `incarnation` numbers this life: with `uid` it
     tells the life from all others; nothing but its equality means anything outside `wire`."""
 
-    def __init__(self, *, startup: Startup, node_id: str, incarnation: int, kind: str, log: Log) -> None:
-        self.startup = startup
+    def __init__(self, *, settings: NodeSettings, node_id: str, incarnation: int, kind: str, log: Log) -> None:
+        self.settings = settings
         self.node_id = node_id
         self.incarnation = incarnation
         self.kind = kind
         self.log = log
         self.now = 0.0
-        self.wall = 0.0
+        self.wall_now = 0.0
         self.out = Outbox()
-        self.conf: dict[str, Any] | None = None
+        self.config: dict[str, Any] | None = None
         self.table: Table | None = None
         self.past = History()
         self.torn = False  # a change did not give what it should: the whole is wanted
-        self.mods = -1
-        self.evac: set[str] = set()
+        self.registry_version = -1
+        self.evacuated_zones: set[str] = set()
         self.members: dict[str, dict[str, Any]] = {}
-        self.eps: dict[int, Epoch] = {}
+        self.epochs: dict[int, Epoch] = {}
         self.heard: dict[str, float] = {}
         self.info: dict[str, dict[str, Any]] = {}
         self.have: dict[str, dict[str, Any]] = {}
@@ -59,7 +59,7 @@
         self.hearted = -9.0
         self.contact = -9.0  # when any node last answered a heart, in touch or not
         self.proved: dict[str, float] = {}  # when an answer to a call last carried the proof, by node
-        self.freshness = Freshness(apply_ms=startup.bound(name="config-apply-ms", default=2000))
+        self.freshness = Freshness(apply_ms=settings.bound(name="config-apply-ms", default=2000))
         self.calls = Calls(environment=self, base=first_number(incarnation=incarnation))
 
     # -- outputs
@@ -68,9 +68,9 @@
         """To another node, or to itself."""
         self.out.sends.append((addr_of(node_id=node_id), kind, dump(body=body)))
 
-    def respond(self, *, call: Any, res: Response) -> None:
+    def respond(self, *, call: Any, response: Response) -> None:
         """Answer an HTTP call."""
-        self.out.answers.append((call, res))
+        self.out.answers.append((call, response))
 
     def note(self, *, event: str, **fields: object) -> None:
         """Log an event."""
@@ -84,22 +84,22 @@
 
     def primary(self, *, group_id: int) -> tuple[str, int] | None:
         """Who serves a group, as far as known."""
-        e = self.eps.get(group_id)
+        e = self.epochs.get(group_id)
         return (e["p"], e["n"]) if e is not None else None
 
-    def learn(self, *, eps: list[Any]) -> None:
+    def learn(self, *, epochs: list[Any]) -> None:
         """Take note of epochs: (group, epoch)."""
-        for group_id, e in eps:
+        for group_id, e in epochs:
             check_epoch(epoch=e)
-            if group_id not in self.eps or self.eps[group_id]["n"] < e["n"]:
-                self.eps[group_id] = e
+            if group_id not in self.epochs or self.epochs[group_id]["n"] < e["n"]:
+                self.epochs[group_id] = e
 
     def mine(self) -> dict[str, Any]:
         """What this node has of the news."""
         return {
-            "conf": self.table.stamp if self.table and not self.torn else 0,
-            "mods": self.mods,
-            "ep": {str(group_id): e["n"] for group_id, e in self.eps.items()},
+            "conf": self.table.config_version if self.table and not self.torn else 0,
+            "mods": self.registry_version,
+            "ep": {str(group_id): e["n"] for group_id, e in self.epochs.items()},
         }
 
     def newer(self, *, node_id: str) -> dict[str, Any]:
@@ -109,84 +109,90 @@
         out: dict[str, Any] = {}
         if (
             self.table is not None
-            and have["conf"] < self.table.stamp
-            and (way.conf < self.table.stamp or self.now >= way.conf_till)
+            and have["conf"] < self.table.config_version
+            and (way.config < self.table.config_version or self.now >= way.conf_till)
         ):
-            delta = self.past.since(stamp=have["conf"])
+            delta = self.past.since(config_version=have["conf"])
             size = 0
             if delta is not None:
                 out["delta"] = delta
             elif have.get("whole", True):
-                out["conf"], size = self.conf, self.past.bytes
+                out["conf"], size = self.config, self.past.bytes
             if out:
-                way.conf = self.table.stamp
+                way.config = self.table.config_version
                 way.conf_till = (
-                    self.now + RESEND_S + 2 * size * 8e-6 / min(self.startup.link_mbps, have.get("mbps", 1000.0))
+                    self.now + RESEND_S + 2 * size * 8e-6 / min(self.settings.link_mbps, have.get("mbps", 1000.0))
                 )
         due = self.now >= way.till
-        if self.mods > have["mods"] and (due or way.mods < self.mods):
-            out["reg"] = {"mods": self.mods, "evac": sorted(self.evac), "members": self.members}
-            way.mods, way.till = self.mods, self.now + RESEND_S
-        eps = {
+        if self.registry_version > have["mods"] and (due or way.registry_version < self.registry_version):
+            out["reg"] = {"mods": self.registry_version, "evac": sorted(self.evacuated_zones), "members": self.members}
+            way.registry_version, way.till = self.registry_version, self.now + RESEND_S
+        epochs = {
             group_id: e
-            for group_id, e in self.eps.items()
-            if have["ep"].get(str(group_id), -1) < e["n"] and (due or way.eps.get(group_id, -1) < e["n"])
+            for group_id, e in self.epochs.items()
+            if have["ep"].get(str(group_id), -1) < e["n"] and (due or way.epochs.get(group_id, -1) < e["n"])
         }
-        if eps:
-            out["eps"] = [[group_id, e] for group_id, e in eps.items()]
-            way.eps.update({group_id: e["n"] for group_id, e in eps.items()})
+        if epochs:
+            out["eps"] = [[group_id, e] for group_id, e in epochs.items()]
+            way.epochs.update({group_id: e["n"] for group_id, e in epochs.items()})
             way.till = self.now + RESEND_S
         return out
 
-    def take_news(self, *, doc: dict[str, Any], push: bool = True) -> None:
+    def take_news(self, *, document: dict[str, Any], push: bool = True) -> None:
         """Take what is newer, pass it on down the tree. `doc` holds any of `conf` (whole), `delta`, `reg`, `eps`."""
         fresh = False
-        conf = doc.get("conf")
-        if conf is not None and (self.table is None or conf["config-version"] > self.table.stamp):
-            self._configure(doc=conf)
+        config = document.get("conf")
+        if config is not None and (self.table is None or config["config-version"] > self.table.config_version):
+            self._configure(document=config)
             fresh = True
-        if "delta" in doc:
-            fresh = self._change(delta=doc["delta"]) or fresh
-        registry = doc.get("reg")
-        if registry is not None and registry["mods"] > self.mods:
-            self.mods, self.evac, self.members = registry["mods"], set(registry["evac"]), dict(registry["members"])
+        if "delta" in document:
+            fresh = self._change(delta=document["delta"]) or fresh
+        registry = document.get("reg")
+        if registry is not None and registry["mods"] > self.registry_version:
+            self.registry_version, self.evacuated_zones, self.members = (
+                registry["mods"],
+                set(registry["evac"]),
+                dict(registry["members"]),
+            )
             fresh = True
-        if doc.get("eps"):
-            before = {group_id: e["n"] for group_id, e in self.eps.items()}
-            self.learn(eps=doc["eps"])
-            fresh = fresh or before != {group_id: e["n"] for group_id, e in self.eps.items()}
+        if document.get("eps"):
+            before = {group_id: e["n"] for group_id, e in self.epochs.items()}
+            self.learn(epochs=document["eps"])
+            fresh = fresh or before != {group_id: e["n"] for group_id, e in self.epochs.items()}
         if fresh and push:
             self.push()
 
-    def _configure(self, *, doc: dict[str, Any]) -> None:
-        self.conf = self.past.add(doc=doc)
-        self.table, self.torn, self.behind = Table(doc=self.conf), False, -1.0
-        self.note(event="config-applied", stamp=self.table.stamp, routes=len(self.table.routes))
+    def _configure(self, *, document: dict[str, Any]) -> None:
+        self.config = self.past.add(document=document)
+        self.table, self.torn, self.behind = Table(document=self.config), False, -1.0
+        self.note(event="config-applied", config_version=self.table.config_version, routes=len(self.table.routes))
         self.configured()
 
     def _change(self, *, delta: Delta) -> bool:
-        if self.table is None or self.torn or delta["to"] <= self.table.stamp:
+        if self.table is None or self.torn or delta["to"] <= self.table.config_version:
             return False
-        doc = self.past.taken(delta=delta)
-        if doc is None:
+        document = self.past.taken(delta=delta)
+        if document is None:
             self.torn, self.hearted = True, -9.0
-            self.log.warn("config-change-unfit", base=delta["base"], to=delta["to"], stamp=self.table.stamp)
+            self.log.warn(
+                "config-change-unfit", base=delta["base"], to=delta["to"], config_version=self.table.config_version
+            )
             return False
-        self._configure(doc=doc)
+        self._configure(document=document)
         return True
 
     def push(self) -> None:
         """Send news to the nodes whose hearts this one watches."""
         for node_id, at in self.heard.items():
             if self.now - at < ALIVE_S:
-                doc = self.newer(node_id=node_id)
-                if doc:
-                    self.send(node_id=node_id, kind=Kind.NEWS, body=doc)
+                document = self.newer(node_id=node_id)
+                if document:
+                    self.send(node_id=node_id, kind=Kind.NEWS, body=document)
 
     def configured(self) -> None:
         """A newer configuration is in force here."""
 
-    def called(self, *, done: tuple[Any, ...], status: int, doc: Any, sent: bool) -> None:
+    def called(self, *, done: tuple[Any, ...], status: int, document: Any, sent: bool) -> None:
         """A call of this node has ended."""
         raise NotImplementedError
 
@@ -194,9 +200,9 @@
         """A route by name."""
         return self.table.routes.get(name) if self.table is not None else None
 
-    def stamp(self) -> int:
+    def config_version(self) -> int:
         """The version of the configuration in force here; 0: none yet."""
-        return self.table.stamp if self.table is not None else 0
+        return self.table.config_version if self.table is not None else 0
 
     def select(self, *, host: str, path: str) -> str:
         """The queue that a path belongs to by the configuration in force here; empty: none."""
@@ -212,8 +218,8 @@
 
     def seeds(self) -> list[str]:
         """Uids good enough to reach the seeds: only the address counts."""
-        port = self.startup.ports[0]
-        return [f"{s.rsplit(':', 1)[0]}:{port}#?" for s in self.startup.seeds]
+        port = self.settings.ports[0]
+        return [f"{s.rsplit(':', 1)[0]}:{port}#?" for s in self.settings.seeds]
 
     def cores(self) -> list[str]:
         """All core nodes known."""
@@ -249,7 +255,7 @@
         addresses = {addr_of(node_id=u) for u in known} | {addr_of(node_id=self.node_id)}
         out = [s for s in self.seeds() if addr_of(node_id=s) not in addresses]
         out += [u for u in self.members if u != self.node_id]
-        return out + [u for e in self.eps.values() for u in (*e["w"], e["p"], *e["b"]) if u and u != self.node_id]
+        return out + [u for e in self.epochs.values() for u in (*e["w"], e["p"], *e["b"]) if u and u != self.node_id]
 
     def probes(self, *, known: list[str]) -> list[str]:
         """A few of the others, in turn, while the proof is old: a change of primary ages all proofs at once, and must
@@ -282,7 +288,7 @@
         age, epoch = m.get("age"), m.get("by")
         if not isinstance(age, (int, float)) or not isinstance(epoch, int) or age < 0 or sent > self.now:
             return False
-        newest = self.eps.get(0)
+        newest = self.epochs.get(0)
         if newest is not None and epoch < newest["n"]:
             return False
         if m.get("conf", 0) <= self.mine()["conf"]:
@@ -293,13 +299,13 @@
         """A heart's body."""
         return {
             "u": self.node_id,
-            "site": self.startup.site,
+            "site": self.settings.zone,
             "kind": self.kind,
-            "name": self.startup.name,
-            "ctl": self.startup.binds.get("control", ""),
+            "name": self.settings.name,
+            "ctl": self.settings.binds.get("control", ""),
             "incarnation": self.incarnation,
             "t": self.now,
-            "have": {**self.mine(), "mbps": self.startup.link_mbps},
+            "have": {**self.mine(), "mbps": self.settings.link_mbps},
         }
 
     def beat_hearts(self) -> None:
--- a/yarrowloom/node/outputs.py
+++ b/yarrowloom/node/outputs.py
@@ -13,10 +13,10 @@
 class Sent:
     """News that is on its way to a node, and until when it counts as such."""
 
-    conf: int = 0
+    config: int = 0
     conf_till: float = 0.0
-    mods: int = -1
-    eps: dict[int, int] = field(default_factory=dict)
+    registry_version: int = -1
+    epochs: dict[int, int] = field(default_factory=dict)
     till: float = 0.0
 
 
--- a/yarrowloom/node/recovery.py
+++ b/yarrowloom/node/recovery.py
@@ -8,7 +8,7 @@
 
 from ..common.defaults import Defaults
 from ..common.log import Log
-from ..common.settings import Startup
+from ..common.settings import NodeSettings
 from ..replication.log_replay import ReplayError
 from ..storage import END
 from .core import CoreNode
@@ -44,7 +44,7 @@
 
 def recover(
     *,
-    startup: Startup,
+    settings: NodeSettings,
     records: list[bytes],
     log: Log,
     now: float,
@@ -58,7 +58,7 @@
 
     def build(*, node_id: str, first: bool, incarnation: int = FIRST) -> CoreNode:
         return CoreNode(
-            startup=startup,
+            settings=settings,
             node_id=node_id,
             incarnation=incarnation,
             log=log,
@@ -68,7 +68,7 @@
             defaults=defaults,
         )
 
-    address = f"{startup.ip}:{startup.ports[0]}"
+    address = f"{settings.ip}:{settings.ports[0]}"
     begin = 0
     try:
         begin = last_snapshot(records=records)
@@ -77,11 +77,11 @@
             if life is None or "#" not in life.node_id:
                 raise ReplayError(text="not the identity of a node", number=0)
             node = build(node_id=life.node_id, first=False, incarnation=life.next)
-            node.restore(recs=counted(records=records, begin=begin))
+            node.restore(records=counted(records=records, begin=begin))
             return node
     except (ReplayError, ValueError, KeyError, TypeError) as err:
         number = begin + err.number if isinstance(err, ReplayError) else begin
         log.warn("journal-unusable", cause=str(err), record=number, records=len(records))
         return build(node_id=f"{address}#{token}", first=False)
-    first = blank and startup.bootstrap
+    first = blank and settings.bootstrap
     return build(node_id=f"{address}#0" if first else f"{address}#{token}", first=first)
--- a/yarrowloom/node/runtime.py
+++ b/yarrowloom/node/runtime.py
@@ -16,7 +16,7 @@
 from ..common.defaults import load as load_defaults
 from ..common.errors import StartupError, YarrowError
 from ..common.log import Log
-from ..common.settings import Startup, load
+from ..common.settings import NodeSettings, load
 from ..storage import END, FileSystem, Ring, Verdict, file_sizes, until_taken
 from ..storage.startup_retry import RETRY_S
 from ..transport.envelope import Kind, Lane, dump
@@ -49,7 +49,7 @@
         self.log = log
         self.ring = ring
         self.peers = Peers(
-            addr=f"{node.startup.ip}:{port}",
+            address=f"{node.settings.ip}:{port}",
             node_id=node.node_id,
             incarnation=node.incarnation,
             sink=self._frames,
@@ -74,22 +74,22 @@
     def step(self, fn: Input) -> None:
         """Give the node one input and carry out what it wants."""
         node = self.node
-        node.now, node.wall = time.monotonic(), time.time()
+        node.now, node.wall_now = time.monotonic(), time.time()
         fn()
         out = node.out
         sends, out.sends = out.sends, []
-        for addr, kind, body in sends:
-            self.peers.send(addr=addr, kind=kind, body=body)
+        for address, kind, body in sends:
+            self.peers.send(address=address, kind=kind, body=body)
             self.tally.sends(kind=kind, size=len(body))
         if out.writes:
             self.disk += out.writes
             out.writes = []
             self.dirty.set()
         answers, out.answers = out.answers, []
-        for key, res in answers:
+        for key, response in answers:
             wait = self.waits.get(key)
             if wait is not None:
-                wait[1].append(res)
+                wait[1].append(response)
                 wait[0].set()
 
     def post(self, *, fn: Input, rank: Rank, until: float = math.inf, expired: Input | None = None) -> None:
@@ -128,9 +128,9 @@
             self.post(fn=partial(node.gap_place, node_id=node_id), rank=Rank.PLACE)
         elif lost and lane is Lane.WORK:
             self.post(fn=partial(node.gap, node_id=node_id), rank=Rank.AGENT)
-        for kind, doc in rows:
+        for kind, document in rows:
             self.tally.gets(kind=kind)
-            m = self.repeats.screen(node_id=node_id, kind=kind, m=doc)
+            m = self.repeats.screen(node_id=node_id, kind=kind, m=document)
             if m is None:
                 continue
             rank = rank_of(kind=kind, m=m)
@@ -201,7 +201,7 @@
     def counts(self) -> Response:
         """What this process has done."""
         table = self.node.table
-        return Response.of(200, self.tally.doc(stamp=table.stamp if table is not None else 0))
+        return Response.of(200, self.tally.document(config_version=table.config_version if table is not None else 0))
 
     async def ready(self, req: Request) -> Response:
         """The platform's question."""
@@ -262,8 +262,8 @@
         except StartupError as err:
             self.log.warn("settings-refused", why=err.text)
             return
-        if fresh != self.node.startup:
-            self.node.startup = fresh
+        if fresh != self.node.settings:
+            self.node.settings = fresh
             self.log.info("settings-applied")
 
     async def watch_settings(self) -> None:
@@ -279,7 +279,7 @@
             node.closing = True
             for srv in self.servers:
                 srv.closing = True
-            grace = node.startup.bound(name="grace-s", default=6.0)
+            grace = node.settings.bound(name="grace-s", default=6.0)
             end = time.monotonic() + max(grace - 1.0, 0.5)
             begun, quiet = time.monotonic(), time.monotonic()
             while time.monotonic() < end:
@@ -295,7 +295,7 @@
     async def drain_core(self, *, node: CoreNode) -> None:
         """Hand over and stay until others hold what this node holds, within `grace-s`."""
         begun = time.monotonic()
-        most = max(node.startup.bound(name="grace-s", default=6.0) - GRACE_SPARE_S, DRAIN_LEAST_S)
+        most = max(node.settings.bound(name="grace-s", default=6.0) - GRACE_SPARE_S, DRAIN_LEAST_S)
         self.step(node.leave)
         while True:
             await trio.sleep(0.05)
@@ -314,19 +314,19 @@
             await nursery.start(self.peers.run)
             if self.ring is not None:
                 nursery.start_soon(self.writer)
-            binds = node.startup.binds
+            binds = node.settings.binds
             if isinstance(node, EdgeNode):
                 if "front" in binds:
                     srv = Server(handler=self.handle, limits=node.limits)
                     self.servers.append(srv)
-                    await nursery.start(partial(listen, addr=binds["front"], server=srv))
+                    await nursery.start(partial(listen, address=binds["front"], server=srv))
                 if "ready" in binds:
-                    await nursery.start(partial(listen, addr=binds["ready"], server=Server(handler=self.ready)))
+                    await nursery.start(partial(listen, address=binds["ready"], server=Server(handler=self.ready)))
             elif "control" in binds:
                 srv = Server(handler=self.handle)
                 srv.limits.body_bytes, srv.limits.idle_ms, srv.limits.header_bytes = 16 << 20, 60000, 65536
                 self.servers.append(srv)
-                await nursery.start(partial(listen, addr=binds["control"], server=srv))
+                await nursery.start(partial(listen, address=binds["control"], server=srv))
             nursery.start_soon(self.work)
             nursery.start_soon(self.watch_settings)
             nursery.start_soon(self.stop_on_term, nursery.cancel_scope)
@@ -334,20 +334,20 @@
             task_status.started()
 
 
-def open_core(*, startup: Startup, log: Log, file_system: FileSystem | None = None) -> Shell:
+def open_core(*, settings: NodeSettings, log: Log, file_system: FileSystem | None = None) -> Shell:
     """A core process: identity and state from the disk, or new ones."""
-    if startup.data_dir is None:
+    if settings.data_dir is None:
         raise StartupError(text="a core needs data-dir")
-    size, most = file_sizes(disk_mb=startup.disk_mb)
-    ring = Ring(folder=startup.data_dir, size=size, most=most, file_system=file_system)
-    recs = until_taken(call=ring.load, ring=ring, log=log)
+    size, most = file_sizes(disk_mb=settings.disk_mb)
+    ring = Ring(folder=settings.data_dir, size=size, most=most, file_system=file_system)
+    records = until_taken(call=ring.load, ring=ring, log=log)
     if ring.verdict is Verdict.LOST:  # what is left may be old: join as after the loss of the disk
-        log.warn("journal-lost", folder=startup.data_dir)
-        recs = []
-    port = startup.ports[0]
+        log.warn("journal-lost", folder=settings.data_dir)
+        records = []
+    port = settings.ports[0]
     node = recover(
-        startup=startup,
-        records=recs,
+        settings=settings,
+        records=records,
         blank=ring.verdict is Verdict.EMPTY,
         log=log,
         now=time.monotonic(),
@@ -360,19 +360,19 @@
     return Shell(node=node, log=log, ring=ring, port=port)
 
 
-def open_edge(*, startup: Startup, log: Log) -> Shell:
+def open_edge(*, settings: NodeSettings, log: Log) -> Shell:
     """An edge process."""
-    port = startup.ports[0] + 1
-    node_id = f"{startup.ip}:{port}#{secrets.token_hex(4)}"
-    node = EdgeNode(startup=startup, node_id=node_id, incarnation=FIRST, log=log)  # the uid is of this life alone
+    port = settings.ports[0] + 1
+    node_id = f"{settings.ip}:{port}#{secrets.token_hex(4)}"
+    node = EdgeNode(settings=settings, node_id=node_id, incarnation=FIRST, log=log)  # the uid is of this life alone
     return Shell(node=node, log=log, ring=None, port=port)
 
 
 def serve(*, kind: str, level: str = "info") -> None:
     """Run a process of a role until it is told to end."""
-    startup = load()
+    settings = load()
     log = Log(name=kind, level=level)
-    shell = open_core(startup=startup, log=log) if kind == "core" else open_edge(startup=startup, log=log)
+    shell = open_core(settings=settings, log=log) if kind == "core" else open_edge(settings=settings, log=log)
     trio.run(shell.run)
 
 
--- a/yarrowloom/prediction/accuracy.py
+++ b/yarrowloom/prediction/accuracy.py
@@ -75,7 +75,7 @@
         return [self.bits, self.tries, self.trust.value]
 
     @classmethod
-    def load(cls, doc: Any) -> "Score":
+    def load(cls, document: Any) -> "Score":
         """Undo `dump`.
 
         >>> s = Score()
@@ -84,5 +84,5 @@
         (True, True)
         """
         out = cls()
-        out.bits, out.tries, out.trust = doc[0], doc[1], Trust(doc[2])
+        out.bits, out.tries, out.trust = document[0], document[1], Trust(document[2])
         return out
--- a/yarrowloom/prediction/backfill.py
+++ b/yarrowloom/prediction/backfill.py
@@ -122,14 +122,12 @@
     low, high = 0, len(times) - 1
     best: dict[str, int] | None = None
     while low <= high:
-        minion_id = (low + high) // 2
-        got = _place(
-            when=times[minion_id], now=now, minions=minions, form=form, n=n, tight=tight, apart=apart, held=held
-        )
+        middle = (low + high) // 2
+        got = _place(when=times[middle], now=now, minions=minions, form=form, n=n, tight=tight, apart=apart, held=held)
         if got is None:
-            low = minion_id + 1
+            low = middle + 1
         else:
-            best, high = got, minion_id - 1
+            best, high = got, middle - 1
     return Reservation(at=times[low], form=form, places=best) if best is not None else None
 
 
--- a/yarrowloom/prediction/call_times.py
+++ b/yarrowloom/prediction/call_times.py
@@ -133,10 +133,10 @@
         """Try few periods on the calls kept; at most 3 x GAPS steps."""
         gaps = self.gaps
         vals = sorted(gaps)
-        minion_id = float(vals[len(vals) // 2])
+        median = float(vals[len(vals) // 2])
         pair = sorted(a + b for a, b in zip(gaps, gaps[1:], strict=False))
         best = (0.0, 0.0, 0.0, 0.0)
-        for period in (minion_id, float(pair[len(pair) // 2]), minion_id / 2):
+        for period in (median, float(pair[len(pair) // 2]), median / 2):
             if not LEAST_PERIOD <= period <= MOST_PERIOD:
                 continue
             p, ref, err, ok, beats = period, 0.0, 0.0, 0, 0
@@ -172,10 +172,10 @@
         if not self.gscore.on:
             return None
         past = now - self.at
-        left = sorted(group_id for group_id in self.gaps if group_id > past)
+        left = sorted(gap for gap in self.gaps if gap > past)
         if not left:
             return None
-        soon = sum(group_id <= past + horizon for group_id in left)
+        soon = sum(gap <= past + horizon for gap in left)
         chance = self.gscore.rate * soon / (len(left) + 0.5)
         return (
             self.at + left[0] - left[0] // 10,
@@ -209,11 +209,11 @@
         return {**out, "gaps": list(self.gaps), "forms": [list(f) for f in self.forms], "racks": dict(self.racks)}
 
     @classmethod
-    def load(cls, doc: Any) -> "Calls":
+    def load(cls, document: Any) -> "Calls":
         """Undo `dump`."""
         out = cls()
         for k in cls.__slots__:
-            val = doc[k]
+            val = document[k]
             setattr(
                 out,
                 k,
--- a/yarrowloom/prediction/history.py
+++ b/yarrowloom/prediction/history.py
@@ -33,9 +33,9 @@
         return [self.queue, self.service, self.req, self.gang, self.tight, self.calls.dump()]
 
     @classmethod
-    def load(cls, doc: Any) -> "Kind":
+    def load(cls, document: Any) -> "Kind":
         """Undo `dump`."""
-        queue, service, req, gang, tight, calls = doc
+        queue, service, req, gang, tight, calls = document
         return cls(queue=queue, service=service, req=req, gang=gang, tight=tight, calls=Calls.load(calls))
 
 
@@ -252,14 +252,14 @@
                 self.looked += 1
                 if not pair.open or key not in self.kinds or not pair.lags:
                     continue
-                low, minion_id, high = pair.band()
+                low, likely, high = pair.band()
                 if now <= trig.at + high:
                     calls = self.kinds[key].calls
                     take(
                         key=key,
                         why=Why.FOLLOW,
                         early=trig.at + low,
-                        likely=trig.at + minion_id,
+                        likely=trig.at + likely,
                         late=trig.at + high,
                         confidence=pair.worth(rate=calls.rate(now=now)),
                         jobs=calls.usual,
@@ -325,14 +325,14 @@
             "timers": [[k, *v] for k, v in self.timers.items()],
         }
 
-    def load(self, doc: Any) -> None:
+    def load(self, document: Any) -> None:
         """Replace all of it. `doc` may be empty: a record from before there was a history."""
         self.__init__()  # type: ignore[misc]
-        if not doc:
+        if not document:
             return
-        self.runs.load(doc["runs"])
-        self.follow.load(doc["follow"])
-        self.clock, self.shift = doc["clock"], doc["shift"]
-        self.fresh = {k: Kind.load(v) for k, v in doc["fresh"]}
-        self.kinds = {k: Kind.load(v) for k, v in doc["kinds"]}
-        self.timers = {k: list(v) for k, *v in doc["timers"]}
+        self.runs.load(document["runs"])
+        self.follow.load(document["follow"])
+        self.clock, self.shift = document["clock"], document["shift"]
+        self.fresh = {k: Kind.load(v) for k, v in document["fresh"]}
+        self.kinds = {k: Kind.load(v) for k, v in document["kinds"]}
+        self.timers = {k: list(v) for k, *v in document["timers"]}
--- a/yarrowloom/prediction/run_times.py
+++ b/yarrowloom/prediction/run_times.py
@@ -160,12 +160,12 @@
             "m": self.slow.dump(),
         }
 
-    def load(self, doc: Any) -> None:
+    def load(self, document: Any) -> None:
         """Replace all."""
         self.rings = {}
-        self.seen = dict.fromkeys(doc["s"])
-        self.slow = Slow.load(doc["m"])
-        for (q, cpu, mem, gpu, est), out, lo, hi, since, rows in doc["r"]:
+        self.seen = dict.fromkeys(document["s"])
+        self.slow = Slow.load(document["m"])
+        for (q, cpu, mem, gpu, est), out, lo, hi, since, rows in document["r"]:
             ring = Ring()
             ring.out, ring.lo, ring.hi, ring.since, ring.rows = out, lo, hi, since, [list(r) for r in rows]
             self.rings[q, cpu, mem, gpu, est] = ring
--- a/yarrowloom/prediction/slow_minions.py
+++ b/yarrowloom/prediction/slow_minions.py
@@ -55,9 +55,9 @@
         return [self.base, self.left, [[k, *v] for k, v in self.rows.items()]]
 
     @classmethod
-    def load(cls, doc: Any) -> "Slow":
+    def load(cls, document: Any) -> "Slow":
         """Undo `dump`."""
         out = cls()
-        out.base, out.left = doc[0], doc[1]
-        out.rows = {k: list(v) for k, *v in doc[2]}
+        out.base, out.left = document[0], document[1]
+        out.rows = {k: list(v) for k, *v in document[2]}
         return out
--- a/yarrowloom/prediction/successor_jobs.py
+++ b/yarrowloom/prediction/successor_jobs.py
@@ -128,12 +128,12 @@
             ],
         }
 
-    def load(self, doc: Any) -> None:
+    def load(self, document: Any) -> None:
         """Replace all."""
-        self.recent = [Trigger(k, What(w), at) for k, w, at in doc["r"]]
+        self.recent = [Trigger(k, What(w), at) for k, w, at in document["r"]]
         self.pairs = {}
-        self.count = len(doc["p"])
-        for k, w, n, score, lags, is_open in doc["p"]:
+        self.count = len(document["p"])
+        for k, w, n, score, lags, is_open in document["p"]:
             pair = Pair()
             pair.score, pair.lags, pair.open = Score.load(score), list(lags), is_open
             self.pairs.setdefault((k, What(w)), {})[n] = pair
--- a/yarrowloom/replication/election.py
+++ b/yarrowloom/replication/election.py
@@ -178,10 +178,10 @@
         self._go(Phase.COPY)
         if fresh:
             self._propose(inst=number)
-        rec = replica.spares[self.tag]
+        record = replica.spares[self.tag]
         for node_id in ask:
             environment.send(
-                node_id=node_id, kind=Kind.CKPT, body={k: rec[k] for k in ("g", "inst", "tag", "applied", "st")}
+                node_id=node_id, kind=Kind.CKPT, body={k: record[k] for k in ("g", "inst", "tag", "applied", "st")}
             )
         self._copied()
 
@@ -189,14 +189,16 @@
         """Write the copy that the next epoch is to begin with, or go on with the one from before a restart."""
         replica, environment = self.replica, self.replica.environment
         self.inst, self.near = inst, False
-        rec = replica.proposed(n=inst)
-        if rec is not None:
+        record = replica.proposed(n=inst)
+        if record is not None:
             self.resumed = True
-            environment.write(rec={"k": "none", "g": replica.group_id}, done=("copied", replica.group_id, rec["tag"]))
+            environment.write(
+                record={"k": "none", "g": replica.group_id}, done=("copied", replica.group_id, record["tag"])
+            )
         else:
             self.text = self.text or encode(state=replica.state)
             tag = f"{environment.node_id}/{environment.now:.4f}/{int(environment.jitter() * 1e9)}"
-            rec = {
+            record = {
                 "k": "ck",
                 "g": replica.group_id,
                 "inst": inst,
@@ -204,9 +206,9 @@
                 "applied": replica.applied,
                 "st": self.text,
             }
-            environment.write(rec=rec, done=("copied", replica.group_id, tag))
-            replica.keep(rec=rec)
-        self.tag = rec["tag"]
+            environment.write(record=record, done=("copied", replica.group_id, tag))
+            replica.keep(record=record)
+        self.tag = record["tag"]
 
     def copied(self, *, tag: str, node_id: str) -> None:
         """A checkpoint is synced, here (`uid` empty) or at a member; one that was given up on may only be slow."""
--- a/yarrowloom/replication/environment.py
+++ b/yarrowloom/replication/environment.py
@@ -20,7 +20,7 @@
     def dump(self) -> Any:
         """All of it as plain data."""
 
-    def load(self, doc: Any) -> None:
+    def load(self, document: Any) -> None:
         """Replace all of it; `doc` is the state's own from now on."""
 
 
@@ -45,7 +45,7 @@
     def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
         """To another node, or to itself."""
 
-    def write(self, *, rec: dict[str, Any], done: tuple[Any, ...]) -> None:
+    def write(self, *, record: dict[str, Any], done: tuple[Any, ...]) -> None:
         """To disk; `done` comes back as an effect once synced."""
 
     def effect(self, *, effect: tuple[Any, ...]) -> None:
--- a/yarrowloom/replication/epoch.py
+++ b/yarrowloom/replication/epoch.py
@@ -69,10 +69,10 @@
         """What the disk keeps."""
         return {"e": self.seen, "pb": self.promised, "ab": self.voted, "av": self.value}
 
-    def load(self, doc: dict[str, Any]) -> None:
+    def load(self, document: dict[str, Any]) -> None:
         """Take what the disk kept."""
-        self.seen, self.promised = doc["e"], doc["pb"]
-        self.voted, self.value = doc["ab"], doc["av"]
+        self.seen, self.promised = document["e"], document["pb"]
+        self.voted, self.value = document["ab"], document["av"]
 
     def learn(self, epoch: Epoch) -> bool:
         """Take note of a decided epoch; true if it is news."""
--- a/yarrowloom/replication/log_replay.py
+++ b/yarrowloom/replication/log_replay.py
@@ -36,12 +36,12 @@
     return events[applied + 1 - first :]
 
 
-def witness_rank(*, doc: dict[str, Any]) -> tuple[int, list[Any], list[Any]]:
+def witness_rank(*, document: dict[str, Any]) -> tuple[int, list[Any], list[Any]]:
     """Orders the records of one witness: its epoch, promise and vote only rise.
 
     >>> old = {"e": None, "pb": None, "ab": None, "av": None}
-    >>> witness_rank(doc=old) < witness_rank(doc={**old, "pb": [1, "a"]})
+    >>> witness_rank(document=old) < witness_rank(document={**old, "pb": [1, "a"]})
     True
     """
-    seen = doc["e"]
-    return (seen["n"] if seen is not None else -1, doc["pb"] or [], doc["ab"] or [])
+    seen = document["e"]
+    return (seen["n"] if seen is not None else -1, document["pb"] or [], document["ab"] or [])
--- a/yarrowloom/replication/replica.py
+++ b/yarrowloom/replication/replica.py
@@ -141,7 +141,7 @@
         self._place()
 
     def _save(self, *, done: tuple[Any, ...]) -> None:
-        self.environment.write(rec={"k": "w", "g": self.group_id, **self.acceptor.dump()}, done=done)
+        self.environment.write(record={"k": "w", "g": self.group_id, **self.acceptor.dump()}, done=done)
 
     # -- disk
 
@@ -156,7 +156,7 @@
         if e is not None and self.base == e["n"] and self.environment.node_id in (e["p"], *e["b"]):
             own = self.proposed(n=e["n"] + 1)
             if own is not None:
-                self._load(epoch=e["n"], rec=own)  # has also what was applied and not yet on disk
+                self._load(epoch=e["n"], record=own)  # has also what was applied and not yet on disk
             self._place()
 
     # -- time
@@ -272,7 +272,7 @@
         assert e is not None
         self.in_flight = Batch(first=first, last=last, events=events, effects=effects, begun_at=self.environment.now)
         self.environment.write(
-            rec={"k": "lg", "g": self.group_id, "n": e["n"], "first": first, "evs": events},
+            record={"k": "lg", "g": self.group_id, "n": e["n"], "first": first, "evs": events},
             done=("near", self.group_id, e["n"], last),
         )
         if e["b"]:
@@ -347,11 +347,11 @@
             self._install(node_id=node_id, m=m)
         elif kind is Kind.CKPT:
             if self.acceptor.seen is None or m["inst"] > self.acceptor.seen["n"]:
-                rec = {key: m[key] for key in ("inst", "tag", "st")}
-                rec.update(k="ck", g=self.group_id, applied=int(m["applied"]))
-                self.keep(rec=rec)
+                record = {key: m[key] for key in ("inst", "tag", "st")}
+                record.update(k="ck", g=self.group_id, applied=int(m["applied"]))
+                self.keep(record=record)
                 self.environment.write(
-                    rec=rec, done=("send", node_id, int(Kind.CKPTOK), {"g": self.group_id, "tag": m["tag"]})
+                    record=record, done=("send", node_id, int(Kind.CKPTOK), {"g": self.group_id, "tag": m["tag"]})
                 )
         elif kind is Kind.LOG:
             self._log(node_id=node_id, m=m)
@@ -385,15 +385,15 @@
         if m.get("cert"):
             self.learn(m["cert"])
         if kind is Kind.PREP:
-            res = self.acceptor.prepare(n=m["n"], ballot=m["bal"])
+            response = self.acceptor.prepare(n=m["n"], ballot=m["bal"])
             back = Kind.PROMISE
         else:
-            res = self.acceptor.accept(n=m["n"], ballot=m["bal"], value=m["val"])
+            response = self.acceptor.accept(n=m["n"], ballot=m["bal"], value=m["val"])
             back = Kind.ACCEPTED
-        if res is None:
+        if response is None:
             return
-        body = {"g": self.group_id, "n": m["n"], "bal": m["bal"], **res}
-        if res["ok"]:
+        body = {"g": self.group_id, "n": m["n"], "bal": m["bal"], **response}
+        if response["ok"]:
             self._save(done=("send", node_id, int(back), body))
         else:
             self.environment.send(node_id=node_id, kind=back, body=body)
@@ -408,15 +408,15 @@
         except ReplayError as err:
             self.environment.note(event="log-gap", group=self.group_id, epoch=self.base, cause=err.text)
             return
-        rec: dict[str, Any] = {"k": "none", "g": self.group_id}
+        record: dict[str, Any] = {"k": "none", "g": self.group_id}
         if fresh:
-            rec = {"k": "lg", "g": self.group_id, "n": m["n"], "first": self.applied + 1, "evs": fresh}
+            record = {"k": "lg", "g": self.group_id, "n": m["n"], "first": self.applied + 1, "evs": fresh}
         try:
             for event in fresh:
                 self._apply(event=event)
         except Exception:  # noted, and the copy is void; the primary replaces a backup that does not answer
             return
         self.environment.write(
-            rec=rec,
+            record=record,
             done=("send", node_id, int(Kind.LOGOK), {"g": self.group_id, "n": m["n"], "last": last, "t": m["t"]}),
         )
--- a/yarrowloom/replication/replica_storage.py
+++ b/yarrowloom/replication/replica_storage.py
@@ -21,34 +21,34 @@
         self.applied = 0
         self.spares: dict[str, dict[str, Any]] = {}  # by tag: checkpoints for epochs not yet decided
 
-    def restore(self, rec: dict[str, Any]) -> None:
+    def restore(self, record: dict[str, Any]) -> None:
         """Replay one record; `settle` follows the last."""
-        kind = rec["k"]
+        kind = record["k"]
         if kind == "w":
-            self._restore_witness(rec=rec)
+            self._restore_witness(record=record)
         elif kind == "ck":
-            if self.acceptor.seen is None or rec["inst"] > self.acceptor.seen["n"]:
-                self.keep(rec=rec)
+            if self.acceptor.seen is None or record["inst"] > self.acceptor.seen["n"]:
+                self.keep(record=record)
         elif kind == "st":
-            self._load(epoch=rec["n"], rec=rec)
+            self._load(epoch=record["n"], record=record)
         elif kind == "lg":
-            self._restore_batch(rec=rec)
+            self._restore_batch(record=record)
         else:
             raise ReplayError(text=f"unknown kind of record: {kind!r}")
 
-    def _restore_witness(self, *, rec: dict[str, Any]) -> None:
+    def _restore_witness(self, *, record: dict[str, Any]) -> None:
         """Records that waited while a snapshot was taken come after it and are older."""
-        if witness_rank(doc=rec) < witness_rank(doc=self.acceptor.dump()):
+        if witness_rank(document=record) < witness_rank(document=self.acceptor.dump()):
             return
-        self.acceptor.load(rec)
+        self.acceptor.load(record)
         epoch = self.acceptor.seen
         if epoch is not None:
             if self.base < epoch["n"]:
                 self._unpack(epoch=epoch)
             self._prune(n=epoch["n"])
 
-    def _restore_batch(self, *, rec: dict[str, Any]) -> None:
-        first, events, epoch = rec["first"], rec["evs"], rec["n"]
+    def _restore_batch(self, *, record: dict[str, Any]) -> None:
+        first, events, epoch = record["first"], record["evs"], record["n"]
         if epoch == self.base:
             for event in unapplied(first=first, events=events, applied=self.applied):
                 self.state.apply(event)
@@ -66,10 +66,10 @@
         out.append({"k": "w", "g": self.group_id, **self.acceptor.dump()})
         return out + list(self.spares.values())
 
-    def keep(self, *, rec: dict[str, Any]) -> None:
+    def keep(self, *, record: dict[str, Any]) -> None:
         """Hold on to a checkpoint until its epoch is decided. Those for one number are no more than an epoch has
         holders; of others, the lowest number makes room, as an epoch after it is under way."""
-        self.spares[rec["tag"]] = rec
+        self.spares[record["tag"]] = record
         while len(self.spares) > SPARES:
             del self.spares[
                 min((tag for tag in self.spares if not self._own(tag=tag)), key=lambda tag: self.spares[tag]["inst"])
@@ -83,21 +83,21 @@
         voted for it, or will: the member proposes no other for that number, so that those who hold copies need not
         keep more of them than an epoch has holders; and it confirms nothing more to the primary of the epoch before.
         """
-        for tag, rec in self.spares.items():
-            if self._own(tag=tag) and rec["inst"] == n:
-                return rec
+        for tag, record in self.spares.items():
+            if self._own(tag=tag) and record["inst"] == n:
+                return record
         return None
 
     def _unpack(self, *, epoch: Epoch) -> bool:
-        rec = self.spares.get(epoch["t"])
-        if rec is None or rec["inst"] != epoch["n"] or self.node_id not in (epoch["p"], *epoch["b"]):
+        record = self.spares.get(epoch["t"])
+        if record is None or record["inst"] != epoch["n"] or self.node_id not in (epoch["p"], *epoch["b"]):
             return False
-        self._load(epoch=epoch["n"], rec=rec)
+        self._load(epoch=epoch["n"], record=record)
         return True
 
-    def _load(self, *, epoch: int, rec: dict[str, Any]) -> None:
-        applied = int(rec["applied"])
-        self.state.load(decode(text=rec["st"]))
+    def _load(self, *, epoch: int, record: dict[str, Any]) -> None:
+        applied = int(record["applied"])
+        self.state.load(decode(text=record["st"]))
         self.base, self.applied = epoch, applied
 
     def _prune(self, *, n: int) -> None:
--- a/yarrowloom/scheduling/admission.py
+++ b/yarrowloom/scheduling/admission.py
@@ -33,7 +33,7 @@
             else:
                 self.effects(
                     self.replica.commit(
-                        event={"t": "cancel", "id": job_id, "at": int(self.environment.wall * 1000)},
+                        event={"t": "cancel", "id": job_id, "at": int(self.environment.wall_now * 1000)},
                         then=("reply", node_id, request_id, 200, {}),
                     )
                 )
@@ -47,10 +47,10 @@
         if "cv" in b and self._unrouted(b=b):
             self._refuse_route(node_id=node_id, request_id=request_id, b=b)
             return
-        row = {**b["j"], "q": b["q"], "at": int(self.environment.wall * 1000)}
+        row = {**b["j"], "q": b["q"], "at": int(self.environment.wall_now * 1000)}
         why = self._refusal(job=row)
         if why:
-            self.environment.reply(node_id=node_id, request_id=request_id, status=429, doc={"error": why})
+            self.environment.reply(node_id=node_id, request_id=request_id, status=429, document={"error": why})
             return
         self.live += 1
         self.effects(
@@ -63,7 +63,7 @@
     def _unrouted(self, *, b: dict[str, Any]) -> bool:
         """Whether an edge routed a call by an older configuration than this node's, in which the queue is gone, or
         in which the path (told while the edge's may be out of date) is not the queue's."""
-        if self.environment.stamp() <= b["cv"]:
+        if self.environment.config_version() <= b["cv"]:
             return False
         if self.environment.route(name=b["q"]) is None:
             return True
@@ -73,7 +73,7 @@
         """404 where the path leads nowhere for sure; else the caller is to ask again."""
         nowhere = "at" in b and not self.environment.select(host=b["at"][0], path=b["at"][1])
         self.environment.reply(
-            node_id=node_id, request_id=request_id, status=404 if nowhere else 503, doc={"error": "no such queue"}
+            node_id=node_id, request_id=request_id, status=404 if nowhere else 503, document={"error": "no such queue"}
         )
 
     def _refusal(self, *, job: dict[str, Any]) -> str:
--- a/yarrowloom/scheduling/binding.py
+++ b/yarrowloom/scheduling/binding.py
@@ -256,7 +256,7 @@
         self.nominator.drop(unit=(job_id, key), now=self.environment.now)
         self.effects(
             self.replica.commit(
-                event={"t": "start", "id": job_id, "u": key, "x": x, "at": int(self.environment.wall * 1000)},
+                event={"t": "start", "id": job_id, "u": key, "x": x, "at": int(self.environment.wall_now * 1000)},
                 then=("orders", self.group_id, orders),
             )
         )
--- a/yarrowloom/scheduling/capacity.py
+++ b/yarrowloom/scheduling/capacity.py
@@ -57,7 +57,7 @@
     fence: int
     seq: int
     service: str
-    site: str
+    zone: str
     labels: tuple[str, ...]
     cap: Size
     open: bool = False
@@ -83,7 +83,7 @@
             fence=self.fence,
             seq=seq,
             service=self.service,
-            site=self.site,
+            zone=self.zone,
             labels=self.labels,
             cap=self.cap,
             streak=self.streak,
--- a/yarrowloom/scheduling/environment.py
+++ b/yarrowloom/scheduling/environment.py
@@ -9,7 +9,7 @@
     """What a placing node needs of its node."""
 
     now: float
-    wall: float
+    wall_now: float
     node_id: str
 
     def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
@@ -18,13 +18,13 @@
     def route(self, *, name: str) -> dict[str, Any] | None:
         """The queue's route in the newest configuration."""
 
-    def stamp(self) -> int:
+    def config_version(self) -> int:
         """The version of the configuration in force here."""
 
     def select(self, *, host: str, path: str) -> str:
         """The queue that a path belongs to; empty: none."""
 
-    def reply(self, *, node_id: str, request_id: int, status: int, doc: Any) -> None:
+    def reply(self, *, node_id: str, request_id: int, status: int, document: Any) -> None:
         """Answer a call."""
 
     def note(self, *, event: str, **fields: object) -> None:
--- a/yarrowloom/scheduling/job_queue.py
+++ b/yarrowloom/scheduling/job_queue.py
@@ -113,7 +113,7 @@
         aim = self.aim(job=job)
         rest = sum(s["est"] for s in job["steps"][int(at) :])
         late_at = (base + LATE * aim) / 1000
-        return (self.environment.wall > late_at, self.rank(job=job), base + aim - rest, seen, job_id, key), late_at
+        return (self.environment.wall_now > late_at, self.rank(job=job), base + aim - rest, seen, job_id, key), late_at
 
     def enter(self, *, job_id: str, key: str) -> None:
         """A group has a member to start: both are known now."""
@@ -206,7 +206,7 @@
                     id=effect[1],
                     queue=job["q"],
                     state=job["st"],
-                    ms=int(self.environment.wall * 1000) - job["at"],
+                    ms=int(self.environment.wall_now * 1000) - job["at"],
                 )
                 self.leave(job_id=effect[1])
             elif kind == "timed":
@@ -228,7 +228,7 @@
 
     def claim(self, *, node_id: str, b: dict[str, Any]) -> None:
         """An agent asks what this group has on its minions."""
-        for minion_id, fence, service, site, labels, cap in b["x"]:
+        for minion_id, fence, service, zone, labels, cap in b["x"]:
             spot = self.room.spots.get(minion_id)
             if spot is not None and spot.fence > fence:
                 continue
@@ -249,7 +249,7 @@
                     fence=fence,
                     seq=self.seq,
                     service=service,
-                    site=site,
+                    zone=zone,
                     labels=tuple(labels),
                     cap=Size(*cap),
                     since=self.environment.now,
@@ -333,7 +333,7 @@
                     "how": how,
                     "v": saved,
                     "mt": self.tries(job=job),
-                    "at": int(self.environment.wall * 1000),
+                    "at": int(self.environment.wall_now * 1000),
                 }
                 self._gone(task=task, run=run)
                 self.effects(self.replica.commit(event=event))
--- a/yarrowloom/scheduling/pod_group.py
+++ b/yarrowloom/scheduling/pod_group.py
@@ -136,7 +136,7 @@
 
     def __len__(self) -> int:
         """Groups that wait for a cycle."""
-        return sum(group_id.phase in (Phase.ACTIVE, Phase.PARKED) for group_id in self.groups.values())
+        return sum(group.phase in (Phase.ACTIVE, Phase.PARKED) for group in self.groups.values())
 
     def add(self, *, group: Group) -> None:
         """A group enters."""
@@ -255,9 +255,9 @@
             return 0
         low, high = 0, len(rows)
         while low < high:
-            minion_id = (low + high) // 2
-            if rows[minion_id][0] <= after:
-                low = minion_id + 1
+            middle = (low + high) // 2
+            if rows[middle][0] <= after:
+                low = middle + 1
             else:
-                high = minion_id
+                high = middle
         return low
--- a/yarrowloom/scheduling/scheduler.py
+++ b/yarrowloom/scheduling/scheduler.py
@@ -102,7 +102,7 @@
         if not members or (group.gang and RUN in unit["s"]):
             self.backlog.bind(group=group)
             return
-        if self.environment.wall > group.late_at and not group.prio[0]:
+        if self.environment.wall_now > group.late_at and not group.prio[0]:
             prio, _ = self.prio(job_id=group.job_id, key=group.key, seen=group.seen)
             self.backlog.rekey(group=group, prio=prio, service=group.service)
         waited = self.environment.now - group.since
@@ -226,7 +226,10 @@
         now = self.environment.now
         if self.warmer.on:
             self.warmer.tick(
-                now=now, wall=self.environment.wall, ranks=self.environment.ranks(), shut=self.environment.evacuations()
+                now=now,
+                wall_now=self.environment.wall_now,
+                ranks=self.environment.ranks(),
+                shut=self.environment.evacuations(),
             )
         if self.warmer.on and now - self.told > TELL_S:
             self.told = now
@@ -238,16 +241,16 @@
         for node_id in self.room.silent(now=now, after=SILENT_S):
             self.silence(node_id=node_id)
         self.release(self.pool.expire(now=now))
-        wall = self.environment.wall * 1000
-        while self.timed and self.timed[0][0] <= wall:
+        wall_now = self.environment.wall_now * 1000
+        while self.timed and self.timed[0][0] <= wall_now:
             _, job_id = heapq.heappop(self.timed)
             job = self.jobs.jobs.get(job_id)
             if job is None or job["st"] in ENDED or job["k"] >= job["times"]:
                 continue
             if len(job["open"]) >= 64:
-                heapq.heappush(self.timed, (wall + 200.0, job_id))
+                heapq.heappush(self.timed, (wall_now + 200.0, job_id))
                 continue
-            if wall >= job["first"] + job["k"] * job["period"]:
+            if wall_now >= job["first"] + job["k"] * job["period"]:
                 self.effects(self.replica.commit(event={"t": "due", "id": job_id, "k": job["k"]}))
             if job["k"] < job["times"]:
                 self._timed(job_id=job_id)
@@ -295,7 +298,7 @@
                     queue=job["q"],
                     kind=kind_key(q=job["q"], steps=job["steps"]),
                     now=self.environment.now,
-                    wait_ms=self.environment.wall * 1000 - job["at"],
+                    wait_ms=self.environment.wall_now * 1000 - job["at"],
                 )
         super().start(group=group, batch=batch)
 
@@ -307,10 +310,10 @@
         for key in sorted(self.backlog.of.get(job_id, ())):
             group = self.backlog.groups[job_id, key]
             before = sum(
-                group_id.prio < group.prio
-                and group_id.service == group.service
-                and group_id.phase in (Phase.ACTIVE, Phase.PARKED)
-                for group_id in self.backlog.groups.values()
+                other.prio < group.prio
+                and other.service == group.service
+                and other.phase in (Phase.ACTIVE, Phase.PARKED)
+                for other in self.backlog.groups.values()
             )
             out.append(
                 {
--- a/yarrowloom/scheduling/warm_capacity.py
+++ b/yarrowloom/scheduling/warm_capacity.py
@@ -48,7 +48,7 @@
         """Switched on."""
         return self.warm.bounds.on
 
-    def tick(self, *, now: float, wall: float, ranks: dict[str, int], shut: frozenset[str]) -> None:
+    def tick(self, *, now: float, wall_now: float, ranks: dict[str, int], shut: frozenset[str]) -> None:
         """Plan anew, a few times a second. `ranks`: by queue that is still there; `shut`: sites evacuated."""
         if not self.on or now - self.planned < EVERY_S:
             return
@@ -59,21 +59,21 @@
                 kept.room.queue not in ranks
                 or ranks[kept.room.queue] != kept.rank
                 or any(
-                    (s := self.table.spots.get(minion_id)) is None or not s.open or s.site in shut
+                    (s := self.table.spots.get(minion_id)) is None or not s.open or s.zone in shut
                     for minion_id in kept.at
                 )
             ):
                 self.warm.lost(kind=kind, steady=steady)
         preds = [
             p
-            for p in self.past.predict(now_ms=int(wall * 1000), horizon_ms=int(self.warm.bounds.expiry_ms))
+            for p in self.past.predict(now_ms=int(wall_now * 1000), horizon_ms=int(self.warm.bounds.expiry_ms))
             if p.queue in ranks
         ]
         worst = max(ranks.values(), default=0)
         rooms = {
             r.kind: r
             for r in self.warm.plan(
-                now_ms=int(wall * 1000),
+                now_ms=int(wall_now * 1000),
                 steady=steady,
                 preds=preds,
                 weight={q: 4.0 ** (worst - rank) for q, rank in ranks.items()},
--- a/yarrowloom/simulator/cluster.py
+++ b/yarrowloom/simulator/cluster.py
@@ -106,7 +106,7 @@
         src: str,
         method: str,
         path: str,
-        doc: Any = None,
+        document: Any = None,
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
         back: Callable[[Response], None],
@@ -114,12 +114,12 @@
         """An HTTP call from `src`; `back` may never be called."""
         self.ncall += 1
         key = self.ncall
-        raw = body if body is not None else b"" if doc is None else orjson.dumps(doc)
+        raw = body if body is not None else b"" if document is None else orjson.dumps(document)
         req = Request(method=method, path=path, headers=headers or {}, body=raw)
 
-        def answered(res: Response) -> None:
+        def answered(response: Response) -> None:
             if (ip, src) not in self.cuts:
-                back(res)
+                back(response)
 
         def arrive() -> None:
             proc = self.procs.get(ip)
@@ -137,14 +137,16 @@
         ip: str,
         method: str,
         path: str,
-        doc: Any = None,
+        document: Any = None,
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
         limit: float = 6.0,
     ) -> tuple[int, Any]:
         """Call and wait; status 0: no answer."""
         got: list[Response] = []
-        self.http(ip=ip, src="op", method=method, path=path, doc=doc, body=body, headers=headers, back=got.append)
+        self.http(
+            ip=ip, src="op", method=method, path=path, document=document, body=body, headers=headers, back=got.append
+        )
         self.until(cond=lambda: bool(got), limit=limit)
         if not got:
             return 0, None
--- a/yarrowloom/simulator/command.py
+++ b/yarrowloom/simulator/command.py
@@ -9,7 +9,7 @@
 from .digest import RunDigest
 from .faults.model import MOST_S, MOST_SIZE, Plan, dump, load
 from .hunt import hunt, plan_of, shrunk, tale
-from .run import Report, Settings, play
+from .run import Report, RunSettings, play
 
 MOST_SEED = (1 << 63) - 1
 MOST_RUNS = 1_000_000
@@ -31,8 +31,8 @@
     return float(value)
 
 
-def _settings(*, seed: Any, seconds: Any, size: Any, bad: list[Finding]) -> Settings:
-    return Settings(
+def _settings(*, seed: Any, seconds: Any, size: Any, bad: list[Finding]) -> RunSettings:
+    return RunSettings(
         seed=_whole(name="seed", value=seed, low=0, high=MOST_SEED, bad=bad),
         seconds=_seconds(value=seconds, bad=bad),
         size=_whole(name="size", value=size, low=1, high=MOST_SIZE, bad=bad),
@@ -44,9 +44,9 @@
         raise UsageError(text="flags that cannot be used", findings=bad)
 
 
-def _from_plan(*, plan: Plan, seed: Any, seconds: Any, size: Any) -> Settings:
+def _from_plan(*, plan: Plan, seed: Any, seconds: Any, size: Any) -> RunSettings:
     """Flags come before the file, the file before what is usual."""
-    usual, bad = Settings(), list[Finding]()
+    usual, bad = RunSettings(), list[Finding]()
 
     def pick(flag: Any, filed: Any, default: Any) -> Any:
         return flag if flag is not None else filed if filed is not None else default
@@ -58,7 +58,7 @@
         bad=bad,
     )
     _refuse(bad=bad)
-    return Settings(seed=settings.seed, seconds=settings.seconds, size=settings.size, faults=plan.faults)
+    return RunSettings(seed=settings.seed, seconds=settings.seconds, size=settings.size, faults=plan.faults)
 
 
 def _switch(*, name: str, value: Any) -> bool:
--- a/yarrowloom/simulator/faults/injector.py
+++ b/yarrowloom/simulator/faults/injector.py
@@ -257,7 +257,7 @@
         """Another minion takes the place of one that is gone, under a new ID."""
         if old in self.minions and not old.up:
             self.minions[self.minions.index(old)] = self.day.hire(
-                minion_id=f"{old.minion_id}x", site=old.site, cap=old.cap, labels=old.labels, service=old.service
+                minion_id=f"{old.minion_id}x", zone=old.zone, cap=old.cap, labels=old.labels, service=old.service
             )
 
     def _mute(self, fault: Fault) -> None:
--- a/yarrowloom/simulator/faults/model.py
+++ b/yarrowloom/simulator/faults/model.py
@@ -154,7 +154,7 @@
 
 def _number(
     *,
-    doc: dict[str, Any],
+    document: dict[str, Any],
     key: str,
     place: str,
     low: float,
@@ -165,11 +165,11 @@
 ) -> float | None:
     """A number from a table; None, with a finding, if there is no usable one."""
     dot = f"{place}.{key}" if place else key
-    if key not in doc:
+    if key not in document:
         if default is None and place:
             bad.append(Finding(place=dot, text="missing"))
         return default
-    val = doc[key]
+    val = document[key]
     if isinstance(val, bool) or not isinstance(val, int if whole else (int, float)):
         bad.append(Finding(place=dot, text="not a whole number" if whole else "not a number"))
     elif not low <= val <= high:
@@ -195,26 +195,26 @@
             bad.append(Finding(place=f"{place}.where", text=f"{name!r} is none of {fit}"))
 
 
-def _fault(*, doc: Any, place: str, bad: list[Finding]) -> Fault | None:
+def _fault(*, document: Any, place: str, bad: list[Finding]) -> Fault | None:
     """One checked entry; None, with findings, if it cannot be used."""
-    if not isinstance(doc, dict):
+    if not isinstance(document, dict):
         bad.append(Finding(place=place, text="not a table"))
         return None
     before = len(bad)
     known = ("kind", "at-s", "for-s", "where", "strength")
-    bad += [Finding(place=f"{place}.{key}", text="unknown") for key in sorted(set(doc) - set(known))]
-    at_s = _number(doc=doc, key="at-s", place=place, low=0, high=MOST_S, bad=bad)
-    for_s = _number(doc=doc, key="for-s", place=place, low=0, high=MOST_S, bad=bad, default=0.0)
-    name = doc.get("kind")
+    bad += [Finding(place=f"{place}.{key}", text="unknown") for key in sorted(set(document) - set(known))]
+    at_s = _number(document=document, key="at-s", place=place, low=0, high=MOST_S, bad=bad)
+    for_s = _number(document=document, key="for-s", place=place, low=0, high=MOST_S, bad=bad, default=0.0)
+    name = document.get("kind")
     if name not in [str(k) for k in FaultKind]:
         text = "missing" if name is None else f"not one of {', '.join(FaultKind)}"
         bad.append(Finding(place=f"{place}.kind", text=text))
         return None
     kind = FaultKind(name)
-    _where(kind=kind, where=doc.get("where"), place=place, bad=bad)
+    _where(kind=kind, where=document.get("where"), place=place, bad=bad)
     rule = RULES[kind]
     strength = _number(
-        doc=doc,
+        document=document,
         key="strength",
         place=place,
         low=rule.low,
@@ -224,27 +224,27 @@
     )
     if len(bad) > before or at_s is None or for_s is None or strength is None:
         return None
-    return Fault(kind=kind, at_s=at_s, for_s=for_s, where=doc["where"], strength=strength)
+    return Fault(kind=kind, at_s=at_s, for_s=for_s, where=document["where"], strength=strength)
 
 
-def check(*, doc: dict[str, Any]) -> Plan:
+def check(*, document: dict[str, Any]) -> Plan:
     """The plan that a file's tables describe, or every finding.
 
     >>> try:
-    ...     check(doc={"size": 0, "faults": [{"kind": "cut", "where": "core-x", "for-s": -1}, {"kind": "flood"}]})
+    ...     check(document={"size": 0, "faults": [{"kind": "cut", "where": "core-x", "for-s": -1}, {"kind": "flood"}]})
     ... except FaultsError as err:
     ...     [f.place for f in err.findings]
     ['size', 'faults[0].at-s', 'faults[0].for-s', 'faults[0].where', 'faults[1].at-s', 'faults[1].kind']
     """
-    bad = [Finding(place=key, text="unknown") for key in sorted(set(doc) - {"seed", "seconds", "size", "faults"})]
-    seed = _number(doc=doc, key="seed", place="", low=0, high=(1 << 63) - 1, bad=bad, whole=True)
-    seconds = _number(doc=doc, key="seconds", place="", low=1, high=MOST_S, bad=bad)
-    size = _number(doc=doc, key="size", place="", low=1, high=MOST_SIZE, bad=bad, whole=True)
-    rows = doc.get("faults", [])
+    bad = [Finding(place=key, text="unknown") for key in sorted(set(document) - {"seed", "seconds", "size", "faults"})]
+    seed = _number(document=document, key="seed", place="", low=0, high=(1 << 63) - 1, bad=bad, whole=True)
+    seconds = _number(document=document, key="seconds", place="", low=1, high=MOST_S, bad=bad)
+    size = _number(document=document, key="size", place="", low=1, high=MOST_SIZE, bad=bad, whole=True)
+    rows = document.get("faults", [])
     if not isinstance(rows, list):
         bad.append(Finding(place="faults", text="not a list of tables ([[faults]])"))
         rows = []
-    faults = [_fault(doc=row, place=f"faults[{i}]", bad=bad) for i, row in enumerate(rows)]
+    faults = [_fault(document=row, place=f"faults[{i}]", bad=bad) for i, row in enumerate(rows)]
     if bad:
         raise FaultsError(text="the faults cannot be used", findings=bad)
     return Plan(
@@ -259,20 +259,20 @@
     """Read a file; what is wrong with it as a whole has the file as its place."""
     try:
         with open(path, "rb") as fh:
-            doc = tomllib.load(fh)
+            document = tomllib.load(fh)
     except OSError as err:
         why = str(err.strerror)
         raise FaultsError(text=f"{path}: {why}", findings=[Finding(place=path, text=why)]) from err
     except (tomllib.TOMLDecodeError, UnicodeDecodeError, RecursionError) as err:
         raise FaultsError(text=f"{path}: not TOML", findings=[Finding(place=path, text=str(err))]) from err
-    return check(doc=doc)
+    return check(document=document)
 
 
 def dump(*, plan: Plan) -> str:
     """The plan as a file.
 
     >>> cut = Fault(kind=FaultKind.CUT, at_s=1.5, for_s=2.0, where="core-0")
-    >>> check(doc=tomllib.loads(dump(plan=Plan(faults=(cut,), seed=7)))) == Plan(faults=(cut,), seed=7)
+    >>> check(document=tomllib.loads(dump(plan=Plan(faults=(cut,), seed=7)))) == Plan(faults=(cut,), seed=7)
     True
     """
     rows = [
--- a/yarrowloom/simulator/faulty_cluster.py
+++ b/yarrowloom/simulator/faulty_cluster.py
@@ -99,7 +99,7 @@
         """The step is taken now, what it wants done is done when the process goes on."""
         seconds = self.stand_still.pop(ip)
         node = proc.node
-        node.now, node.wall = self.clock(ip), self.wall0 + self.now + self.skew.get(ip, 0.0)
+        node.now, node.wall_now = self.clock(ip), self.wall0 + self.now + self.skew.get(ip, 0.0)
         try:
             fn()
         except Exception as err:
@@ -202,7 +202,7 @@
         src: str,
         method: str,
         path: str,
-        doc: Any = None,
+        document: Any = None,
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
         back: Callable[[Response], None],
@@ -210,7 +210,7 @@
         """An HTTP call, shown to all checks with its answer."""
         number = self.ncall + 1
         if not src.startswith("i-"):
-            raw = body if body is not None else b"" if doc is None else orjson.dumps(doc)
+            raw = body if body is not None else b"" if document is None else orjson.dumps(document)
             self.tell(
                 Invocation(
                     at_s=self.now - self.started_s,
@@ -225,17 +225,19 @@
                 )
             )
 
-        def answered(res: Response) -> None:
+        def answered(response: Response) -> None:
             if not src.startswith("i-"):
                 self.tell(
                     Answer(
                         at_s=self.now - self.started_s,
                         who=src,
-                        text=f"{method} {path}: {res.status}",
+                        text=f"{method} {path}: {response.status}",
                         number=number,
-                        response=res,
+                        response=response,
                     )
                 )
-            back(res)
+            back(response)
 
-        super().http(ip=ip, src=src, method=method, path=path, doc=doc, body=body, headers=headers, back=answered)
+        super().http(
+            ip=ip, src=src, method=method, path=path, document=document, body=body, headers=headers, back=answered
+        )
--- a/yarrowloom/simulator/hunt.py
+++ b/yarrowloom/simulator/hunt.py
@@ -8,7 +8,7 @@
 
 from .faults.model import Plan, dump
 from .faults.shrink import shrink
-from .run import Report, Settings, play
+from .run import Report, RunSettings, play
 
 STORY_LINES = 60
 AHEAD = 2  # runs planned for each process
@@ -23,7 +23,12 @@
 
 
 def hunt(
-    *, settings: Settings, runs: int, jobs: int, most: int = 1, progress: Callable[[Report], None] = lambda report: None
+    *,
+    settings: RunSettings,
+    runs: int,
+    jobs: int,
+    most: int = 1,
+    progress: Callable[[Report], None] = lambda report: None,
 ) -> Hunt:
     """Play the seeds from `settings.seed` on in `jobs` processes; after `most` runs that broke a rule no more are
     begun. Each run's report goes to `progress`."""
--- a/yarrowloom/simulator/judges/job_rules.py
+++ b/yarrowloom/simulator/judges/job_rules.py
@@ -38,7 +38,7 @@
         self.fleet: list[SimMinion] = []
         self.queue: dict[str, str] = {}
         self.services: dict[str, set[str]] = {}  # by queue, of all configurations that were sent
-        self.evac: dict[str, float] = {}
+        self.evacuated_zones: dict[str, float] = {}
         self.texts: dict[str, str] = {}
         self.owed: dict[str, list[tuple[str, int]]] = {}  # `done` ends listed but not noted: (minion, number)
         self.again: dict[tuple[str, int], str] = {}  # such ends after which the task was started once more
@@ -131,8 +131,8 @@
         acked = getattr(m, "acked", 0.0)
         if acked and now > acked + DRAIN_S:
             self.breach(rule="DRAIN", what=where)
-        if m.site in self.evac and now > self.evac[m.site] + EVACUATE_S:
-            self.breach(rule="EVAC", what=f"{where} in {m.site}")
+        if m.zone in self.evacuated_zones and now > self.evacuated_zones[m.zone] + EVACUATE_S:
+            self.breach(rule="EVAC", what=f"{where} in {m.zone}")
 
     def ended(self, *, m: SimMinion, task: str, run: int, how: str) -> None:
         """A minion's run of a task ended."""
@@ -272,7 +272,7 @@
             busy = self.used(m=m, more=[])
             used = [a + b for a, b in zip(used, busy, strict=True)]
             have = [a + b for a, b in zip(have, m.cap, strict=True)]
-            shut = m.state != "ready" or m.site in self.evac
+            shut = m.state != "ready" or m.zone in self.evacuated_zones
             if not shut and (not step.get("requires") or step["requires"] in m.labels):
                 got = min([(c - b) // n for c, b, n in zip(m.cap, busy, need, strict=True) if n] or [64])
                 fits += min(got, step.get("anti-affinity") or got)
--- a/yarrowloom/simulator/link_cluster.py
+++ b/yarrowloom/simulator/link_cluster.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from ..common.settings import Startup
+from ..common.settings import NodeSettings
 from ..node.edge import EdgeNode
 from ..transport.envelope import LANES, Kind, Lane
 from .cluster import Sim
@@ -28,9 +28,9 @@
         self.lose: Callable[[str, str, Kind, dict[str, Any]], bool] = lambda src, dst, kind, m: False
         super().__init__(seed=seed, **kw)
 
-    def startup(self, *, ip: str, first: bool) -> Startup:
+    def settings(self, *, ip: str, first: bool) -> NodeSettings:
         """The settings of a machine's process, with its link."""
-        return replace(super().startup(ip=ip, first=first), link_mbps=self.rate(ip))
+        return replace(super().settings(ip=ip, first=first), link_mbps=self.rate(ip))
 
     def rate(self, ip: str) -> float:
         """Bandwidth of a machine's link, in Mbit/s."""
@@ -65,7 +65,7 @@
 
     def stamps(self) -> set[int]:
         """Versions in force at the edges."""
-        return {n.table.stamp if n.table is not None else 0 for n in self.edges()}
+        return {n.table.config_version if n.table is not None else 0 for n in self.edges()}
 
     def news(self, *, what: str, since: float, to: str | None = None) -> list[tuple[str, str, int]]:
         """(from, to, size) of frames to edges that carried a part of the news."""
@@ -118,11 +118,15 @@
     }
 
 
-def put(sim: Sim, *, method: str, doc: dict[str, Any], base: int) -> None:
+def put(sim: Sim, *, method: str, document: dict[str, Any], base: int) -> None:
     """Send a configuration until it is accepted."""
     for _ in range(20):
         status, _ = sim.ask(
-            ip=sim.rng.choice(sim.core_ips), method=method, path="/config", doc=doc, headers={"if-match": str(base)}
+            ip=sim.rng.choice(sim.core_ips),
+            method=method,
+            path="/config",
+            document=document,
+            headers={"if-match": str(base)},
         )
         if status == 200:
             return
--- a/yarrowloom/simulator/machines/machine_set.py
+++ b/yarrowloom/simulator/machines/machine_set.py
@@ -7,7 +7,7 @@
 from functools import partial
 
 from ...common.log import Log
-from ...common.settings import Startup
+from ...common.settings import NodeSettings
 from ...node.core import CoreNode
 from ...node.edge import EdgeNode
 from ...node.identity import FIRST
@@ -34,7 +34,7 @@
         self,
         *,
         seed: int,
-        sites: int = 3,
+        zones: int = 3,
         cores: int = 3,
         edges: int = 1,
         sync_s: float = 0.005,
@@ -68,9 +68,9 @@
         self.calls: dict[int, Callable[[Response], None]] = {}
         self.callers: dict[int, str] = {}  # by call: who waits for its response
         self.ncall = 0
-        self.sites = [f"z{i}" for i in range(sites)]
-        self.core_ips = [f"10.{i % sites}.0.{i + 1}" for i in range(cores)]
-        self.edge_ips = [f"10.{i % sites}.1.{i + 1}" for i in range(edges)]
+        self.zones = [f"z{i}" for i in range(zones)]
+        self.core_ips = [f"10.{i % zones}.0.{i + 1}" for i in range(cores)]
+        self.edge_ips = [f"10.{i % zones}.1.{i + 1}" for i in range(edges)]
         for ip in self.core_ips:
             self.boot(ip=ip, first=True)
         for ip in self.edge_ips:
@@ -110,16 +110,16 @@
 
     # -- machines
 
-    def startup(self, *, ip: str, first: bool) -> Startup:
+    def settings(self, *, ip: str, first: bool) -> NodeSettings:
         """The settings of a machine's process."""
         core = ip.split(".")[2] != "1"
         binds = {"control": f"{ip}:8000"} if core else {"front": f"{ip}:8001", "ready": f"{ip}:8002"}
-        return Startup(
+        return NodeSettings(
             name=ip,
             role="core" if core else "edge",
             ip=ip,
-            site=f"z{ip.split('.')[1]}",
-            sites={s: "r" for s in self.sites},
+            zone=f"z{ip.split('.')[1]}",
+            zones={s: "r" for s in self.zones},
             binds=binds,
             ports=PORTS,
             seeds=tuple(f"{s}:8000" for s in self.core_ips[:3]),
@@ -136,13 +136,13 @@
         """Start a machine's process from what its disk holds."""
         self.lives += 1
         core = ip.split(".")[2] != "1"
-        st = self.startup(ip=ip, first=first)
+        st = self.settings(ip=ip, first=first)
         log = Log(name="sim", level="error")
         node: CoreNode | EdgeNode
         if core:
             disk = self.disks.setdefault(ip, Disk())
             node = recover(
-                startup=st,
+                settings=st,
                 records=disk.synced,
                 log=log,
                 now=self.clock(ip),
@@ -154,7 +154,7 @@
             self._digest_records(ip=ip, bodies=disk.synced)
         else:
             node_id = f"{ip}:7001#{self.lives:x}"
-            node = EdgeNode(startup=st, node_id=node_id, incarnation=FIRST, log=log)
+            node = EdgeNode(settings=st, node_id=node_id, incarnation=FIRST, log=log)
         self.node_ids[ip] = node_id
         proc = Proc(node=node, life=self.lives)
         self.procs[ip] = proc
@@ -245,7 +245,7 @@
     def _step(self, ip: str, proc: Proc, fn: Callable[[], None]) -> None:
         """One step that takes its time; what it wants done is done at its end."""
         node, out = proc.node, proc.node.out
-        node.now, node.wall = self.clock(ip), self.wall0 + self.now
+        node.now, node.wall_now = self.clock(ip), self.wall0 + self.now
         calls = self.meter.run(fn)
         messages, size, http = proc.mark
         proc.mark = (0, 0, 0)
@@ -272,12 +272,12 @@
             proc.inbox.append(lambda: self.step(ip, proc, fn))
             return
         node = proc.node
-        node.now, node.wall = self.clock(ip), self.wall0 + self.now + self.skew.get(ip, 0.0)
+        node.now, node.wall_now = self.clock(ip), self.wall0 + self.now + self.skew.get(ip, 0.0)
         fn()
         out = node.out
         sends, out.sends = out.sends, []
-        for addr, kind, body in sends:
-            dst = addr.split(":")[0]
+        for address, kind, body in sends:
+            dst = address.split(":")[0]
             self._digest_frame(ip=ip, dst=dst, kind=kind, body=body)
             self._send(ip, proc, dst, kind, body)
         if out.writes:
@@ -287,11 +287,11 @@
             out.writes = []
             self._sync(ip, proc)
         answers, out.answers = out.answers, []
-        for key, res in answers:
-            self._digest_response(ip=ip, call=key, res=res)
+        for key, response in answers:
+            self._digest_response(ip=ip, call=key, response=response)
             back = self.calls.pop(key, None)
             if back is not None:
-                self.at(delay=0.002, fn=lambda back=back, res=res: back(res))  # type: ignore[misc]
+                self.at(delay=0.002, fn=lambda back=back, response=response: back(response))  # type: ignore[misc]
 
     def _tick(self, ip: str, proc: Proc) -> None:
         if not proc.up or self.procs.get(ip) is not proc:
@@ -331,15 +331,15 @@
             for body in bodies:
                 self.digest.record(at_s=self.now, machine=ip, body=body)
 
-    def _digest_response(self, *, ip: str, call: int, res: Response) -> None:
+    def _digest_response(self, *, ip: str, call: int, response: Response) -> None:
         if self.digest is not None:
             self.digest.response(
                 at_s=self.now,
                 source=ip,
                 destination=self.callers.get(call, ""),
-                status=res.status,
-                headers=res.headers,
-                body=res.body,
+                status=response.status,
+                headers=response.headers,
+                body=response.body,
             )
 
     # -- what `cluster` carries out
--- a/yarrowloom/simulator/minion_population.py
+++ b/yarrowloom/simulator/minion_population.py
@@ -14,21 +14,21 @@
     oracle = Oracle(sim=sim)
     fleet = []
     for i in range(minions):
-        site = i // rack % len(sim.sites)
+        zone = i // rack % len(sim.zones)
         fleet.append(
             SimMinion(
                 sim=sim,
                 oracle=oracle,
                 minion_id=f"i-{i}",
-                site=f"z{site}",
+                zone=f"z{zone}",
                 cap=(4000, 8000, 0),
                 work=0.5,
-                labels=("a", f"r{site}-{i // rack}"),
+                labels=("a", f"r{zone}-{i // rack}"),
             )
         )
     sim.run(seconds=1.0)
     status, _ = sim.ask(
-        ip=sim.core_ips[0], method="PUT", path="/config", doc=config(version=3), headers={"if-match": "0"}
+        ip=sim.core_ips[0], method="PUT", path="/config", document=config(version=3), headers={"if-match": "0"}
     )
     if status != 200:
         raise SimError(text=f"the configuration was answered {status}")
--- a/yarrowloom/simulator/minions.py
+++ b/yarrowloom/simulator/minions.py
@@ -121,13 +121,13 @@
         sim: Sim,
         oracle: Oracle,
         minion_id: str,
-        site: str,
+        zone: str,
         cap: tuple[int, int, int],
         work: float,
         labels: tuple[str, ...] = ("a", "r1"),
         fail: float = 0.0,
     ) -> None:
-        self.sim, self.oracle, self.minion_id, self.site, self.cap = sim, oracle, minion_id, site, cap
+        self.sim, self.oracle, self.minion_id, self.zone, self.cap = sim, oracle, minion_id, zone, cap
         self.labels, self.work, self.fail = labels, work, fail
         self.running: dict[str, dict[str, Any]] = {}
         self.ends: dict[int, tuple[str, int, str, str, float]] = {}
@@ -188,7 +188,7 @@
         return {
             "backend": "svc",
             "address": f"{self.minion_id}:1",
-            "zone": self.site,
+            "zone": self.zone,
             "config-version": "v1",
             "slots": 8,
             "state": self.state,
@@ -210,13 +210,13 @@
         self.inflight = seq = self.seq
         sent = self.sim.now
         dst = self.target or self.sim.core_ips[self.at % len(self.sim.core_ips)]
-        doc = self.account(seq=seq, sent=sent)
+        document = self.account(seq=seq, sent=sent)
 
-        def back(res: Response) -> None:
+        def back(response: Response) -> None:
             if self.inflight == seq and self.up and self.sim.now - sent <= 1.0:
                 self.inflight = 0
-                if res.status == 200:
-                    self.answer(doc=orjson.loads(res.body), sent=sent)
+                if response.status == 200:
+                    self.answer(document=orjson.loads(response.body), sent=sent)
                 else:
                     self.miss()
 
@@ -226,7 +226,9 @@
                 self.miss()
 
         self.sim.at(delay=1.0, fn=late)
-        self.sim.http(ip=dst, src=self.minion_id, method="PUT", path=f"/minions/{self.minion_id}", doc=doc, back=back)
+        self.sim.http(
+            ip=dst, src=self.minion_id, method="PUT", path=f"/minions/{self.minion_id}", document=document, back=back
+        )
 
     def miss(self) -> None:
         """A heartbeat failed: try another node."""
@@ -234,23 +236,23 @@
         self.at += 1
         self.plan(delay=0.1)
 
-    def answer(self, *, doc: dict[str, Any], sent: float) -> None:
+    def answer(self, *, document: dict[str, Any], sent: float) -> None:
         """Take the answer to a heartbeat."""
-        if doc.get("beat-target"):
-            self.target = doc["beat-target"].split(":")[0]
-        self.plan(delay=min(doc.get("retry-after-ms", 1400), 1400) / 1000)
-        fence = doc.get("fence-no", 0)
+        if document.get("beat-target"):
+            self.target = document["beat-target"].split(":")[0]
+        self.plan(delay=min(document.get("retry-after-ms", 1400), 1400) / 1000)
+        fence = document.get("fence-no", 0)
         if fence < self.fence:
             return
         self.fence = fence
-        if "hold-ms" in doc:
-            self.hold = max(self.hold, sent + min(doc["hold-ms"], 6000) / 1000 * SLOW)
+        if "hold-ms" in document:
+            self.hold = max(self.hold, sent + min(document["hold-ms"], 6000) / 1000 * SLOW)
         for n in sorted(self.ends):
-            if n <= doc.get("last-seen", 0):
+            if n <= document.get("last-seen", 0):
                 task, _, how, _, at = self.ends.pop(n)
                 if self.lapsed < at:
                     self.oracle.note(task=task, how=how)
-        for task, run in doc.get("stopped", []):
+        for task, run in document.get("stopped", []):
             self.top[task] = max(self.top.get(task, 0), run)
             if task in self.running and self.running[task]["run"] == run:
                 self.sim.at(
@@ -259,7 +261,7 @@
                         task=task, run=run, how="stopped"
                     ),
                 )
-        for task, run, spec, saved in doc.get("started", []):
+        for task, run, spec, saved in document.get("started", []):
             if run <= self.top.get(task, 0):
                 continue
             self.top[task] = run
@@ -298,38 +300,38 @@
         """Hand a job in; return its ID."""
         self.n += 1
         job_id = f"{self.sim.rng.getrandbits(64):016x}"
-        doc = {"task-spec": f"spec-{job_id}", "stages": stages, **more}
-        self.oracle.jobs[job_id] = doc
-        self._send(job_id=job_id, queue=queue, doc=doc, left=5)
+        document = {"task-spec": f"spec-{job_id}", "stages": stages, **more}
+        self.oracle.jobs[job_id] = document
+        self._send(job_id=job_id, queue=queue, document=document, left=5)
         return job_id
 
-    def _send(self, *, job_id: str, queue: str, doc: Any, left: int) -> None:
+    def _send(self, *, job_id: str, queue: str, document: Any, left: int) -> None:
         ip = self.sim.rng.choice(self.sim.edge_ips)
         state = {"done": False}
 
-        def back(res: Response) -> None:
+        def back(response: Response) -> None:
             if state["done"]:
                 return
             state["done"] = True
-            if 200 <= res.status < 300:
+            if 200 <= response.status < 300:
                 self.oracle.accepted.setdefault(job_id, self.sim.now)
-            elif res.status in (429, 503) and left == 5:
+            elif response.status in (429, 503) and left == 5:
                 self.oracle.refused.add(job_id)
-            elif res.status in (502, 504) and left:
-                self._send(job_id=job_id, queue=queue, doc=doc, left=left - 1)
+            elif response.status in (502, 504) and left:
+                self._send(job_id=job_id, queue=queue, document=document, left=left - 1)
 
         def late() -> None:
             if not state["done"]:
                 state["done"] = True
                 if left:
-                    self._send(job_id=job_id, queue=queue, doc=doc, left=left - 1)
+                    self._send(job_id=job_id, queue=queue, document=document, left=left - 1)
 
         self.sim.http(
             ip=ip,
             src="caller",
             method="POST",
             path=f"/{queue}/{job_id}",
-            doc=doc,
+            document=document,
             headers={"host": HOST, "x-deadline-ms": "3000"},
             back=back,
         )
@@ -337,13 +339,13 @@
 
     def state(self, *, job_id: str, queue: str = "fast") -> tuple[int, Any]:
         """Ask for a job's state."""
-        status, doc = self.sim.ask(
+        status, document = self.sim.ask(
             ip=self.sim.edge_ips[0],
             method="GET",
             path=f"/{queue}/{job_id}",
             headers={"host": HOST, "x-deadline-ms": "3000"},
         )
-        return status, doc["state"] if status == 200 else None
+        return status, document["state"] if status == 200 else None
 
     def cancel(self, *, job_id: str, queue: str = "fast") -> int:
         """Cancel a job."""
@@ -375,17 +377,17 @@
             sim=sim,
             oracle=oracle,
             minion_id=f"i-{i}",
-            site=f"z{i % len(sim.sites)}",
+            zone=f"z{i % len(sim.zones)}",
             cap=cap,
             work=work,
-            labels=("a", f"r{i % len(sim.sites)}"),
+            labels=("a", f"r{i % len(sim.zones)}"),
             fail=fail,
         )
         for i in range(minions)
     ]
     sim.run(seconds=1.0)
     for ip in sim.core_ips:
-        status, _ = sim.ask(ip=ip, method="PUT", path="/config", doc=config(version=3), headers={"if-match": "0"})
+        status, _ = sim.ask(ip=ip, method="PUT", path="/config", document=config(version=3), headers={"if-match": "0"})
         if status == 200:
             break
     if status != 200:
--- a/yarrowloom/simulator/observers.py
+++ b/yarrowloom/simulator/observers.py
@@ -102,7 +102,7 @@
 
     def _change(self) -> None:
         if self.working:
-            self._send(doc=self._doc(version=self.version + 1))
+            self._send(document=self._doc(version=self.version + 1))
 
     def _doc(self, *, version: int) -> dict[str, Any]:
         route = {
@@ -119,35 +119,35 @@
         }
         return {"config-version": version, "upserts": {"route-table": [route]}}
 
-    def _send(self, *, doc: dict[str, Any]) -> None:
-        version = doc["config-version"]
+    def _send(self, *, document: dict[str, Any]) -> None:
+        version = document["config-version"]
         answered: list[int] = []
 
-        def back(res: Response) -> None:
+        def back(response: Response) -> None:
             if answered:
                 return
-            answered.append(res.status)
-            if res.status == 200:
+            answered.append(response.status)
+            if response.status == 200:
                 self.version, self.changes = version, self.changes + 1
                 self.sim.note(who="op", text=f"configuration {version} confirmed")
                 self.sim.at(delay=self.sim.rng.uniform(*CHANGE_S), fn=self._change)
-            elif res.status == 412:
+            elif response.status == 412:
                 self.broken.append(
                     f"CONFIG {version}, sent by the only operator on {version - 1}, refused at "
-                    f"{self.sim.now:.2f}: {res.body.decode()[:200]}"
+                    f"{self.sim.now:.2f}: {response.body.decode()[:200]}"
                 )
 
         def late() -> None:
             if not answered or answered[0] not in (200, 412):
                 answered.append(0)
-                self._send(doc=doc)
+                self._send(document=document)
 
         self.sim.http(
             ip=self.sim.rng.choice(self.sim.core_ips),
             src="op",
             method="PATCH",
             path="/config",
-            doc=doc,
+            document=document,
             headers={"if-match": str(version - 1)},
             back=back,
         )
@@ -156,14 +156,14 @@
     def read_back(self) -> None:
         """At the end the configuration holds what was confirmed."""
         for _ in range(20):
-            status, doc = self.sim.ask(
+            status, document = self.sim.ask(
                 ip=self.sim.rng.choice(self.sim.core_ips), method="GET", path="/config", limit=1.0
             )
             if status == 200:
-                self._compare(doc=orjson.loads(orjson.dumps(doc)))
+                self._compare(document=orjson.loads(orjson.dumps(document)))
                 return
         self.broken.append(f"CONFIG no answer to GET /config at {self.sim.now:.2f}")
 
-    def _compare(self, *, doc: dict[str, Any]) -> None:
-        if doc["config-version"] < self.version:
-            self.broken.append(f"CONFIG {doc['config-version']} at the end, {self.version} was confirmed")
+    def _compare(self, *, document: dict[str, Any]) -> None:
+        if document["config-version"] < self.version:
+            self.broken.append(f"CONFIG {document['config-version']} at the end, {self.version} was confirmed")
--- a/yarrowloom/simulator/operators.py
+++ b/yarrowloom/simulator/operators.py
@@ -224,10 +224,14 @@
         self._made += 1
         return f"{self.name}-{self._made}"
 
-    def _message(self, *, method: str, doc: dict[str, Any], identity: str, base: int) -> Message:
-        order = Order(identity=identity, base=base, version=doc["config-version"])
+    def _message(self, *, method: str, document: dict[str, Any], identity: str, base: int) -> Message:
+        order = Order(identity=identity, base=base, version=document["config-version"])
         return Message(
-            argument=order, method=method, path="/config", headers={"if-match": f'"{base}"'}, body=orjson.dumps(doc)
+            argument=order,
+            method=method,
+            path="/config",
+            headers={"if-match": f'"{base}"'},
+            body=orjson.dumps(document),
         )
 
     def _change(self, *, step: int) -> Message:
@@ -242,15 +246,15 @@
         if base == 0 or known is not None and self.rng.random() < self.habits.whole:
             whole = known or self.template
             rows = [row for row in whole[ROUTES] if row["name"] != route["name"]]
-            doc = {**whole, "config-version": version, ROUTES: [*rows, route], "limits": limits}
-            return self._message(method="PUT", doc=doc, identity=identity, base=base)
-        doc = {
+            document = {**whole, "config-version": version, ROUTES: [*rows, route], "limits": limits}
+            return self._message(method="PUT", document=document, identity=identity, base=base)
+        document = {
             "config-version": version,
             "upserts": {ROUTES: [route]},
             "limits": limits,
             "removals": {ROUTES: [f"r{self.rng.randint(10, 19)}"]},
         }
-        return self._message(method="PATCH", doc=doc, identity=identity, base=base)
+        return self._message(method="PATCH", document=document, identity=identity, base=base)
 
     def _send_bad(self) -> None:
         """An order that is wrong in itself, on top of the newest version known."""
@@ -324,7 +328,7 @@
         outcome = outcome_of(status=status)
         seen = None
         if isinstance(message.argument, ReadConfig) and answer is not None and status in (200, 404):
-            seen = seen_in(doc=orjson.loads(answer.body) if status == 200 else None)
+            seen = seen_in(document=orjson.loads(answer.body) if status == 200 else None)
         operation: Operation[Any] = Operation(
             number=number,
             process=self.name,
@@ -342,7 +346,7 @@
         message = task.message
         if isinstance(message.argument, ReadConfig):
             if outcome is Outcome.CONFIRMED and answer is not None:
-                self._learn(doc=orjson.loads(answer.body))
+                self._learn(document=orjson.loads(answer.body))
             return
         if outcome is Outcome.UNCLEAR and self.working and self.network.now < task.until_s:
             pause = min(self.habits.retry_s * 2 ** (task.tries - 1), self.habits.retry_most_s)
@@ -361,17 +365,17 @@
         else:
             self.under_way -= 1
 
-    def _learn(self, *, doc: dict[str, Any]) -> None:
-        if doc["config-version"] >= self.version:
-            self.known, self.version = doc, doc["config-version"]
+    def _learn(self, *, document: dict[str, Any]) -> None:
+        if document["config-version"] >= self.version:
+            self.known, self.version = document, document["config-version"]
 
 
-def seen_in(*, doc: dict[str, Any] | None) -> Seen:
+def seen_in(*, document: dict[str, Any] | None) -> Seen:
     """What a configuration that was read shows; None: there was none.
 
-    >>> seen_in(doc={"config-version": 3, "limits": {"x-order": "a-1"}}), seen_in(doc=None)
+    >>> seen_in(document={"config-version": 3, "limits": {"x-order": "a-1"}}), seen_in(document=None)
     (Seen(version=3, identity='a-1'), Seen(version=0, identity=None))
     """
-    if doc is None:
+    if document is None:
         return Seen(version=0)
-    return Seen(version=doc["config-version"], identity=doc.get("limits", {}).get(MARK))
+    return Seen(version=document["config-version"], identity=document.get("limits", {}).get(MARK))
--- a/yarrowloom/simulator/run.py
+++ b/yarrowloom/simulator/run.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Settings:
+class RunSettings:
     """What fixes a run. Without `faults` they are drawn from the seed; with `more_faults` also of the kinds that are
     not drawn as a rule."""
 
@@ -56,7 +56,7 @@
 class Report:
     """What became of a run."""
 
-    settings: Settings
+    settings: RunSettings
     faults: tuple[Fault, ...]
     jobs: int
     finished: int
@@ -86,14 +86,16 @@
 class Run:
     """Sets a run up and plays it."""
 
-    def __init__(self, *, settings: Settings, checks: tuple[Check, ...] = (), digest: RunDigest | None = None) -> None:
+    def __init__(
+        self, *, settings: RunSettings, checks: tuple[Check, ...] = (), digest: RunDigest | None = None
+    ) -> None:
         self.settings = settings
         self.story = Story()
         self.checks = checks
         shape = settings.shape
         self.sim = TroubledSim(
             seed=settings.seed,
-            sites=min(SITES, shape.cores),
+            zones=min(SITES, shape.cores),
             cores=shape.cores,
             edges=shape.edges,
             losses=shape.losses,
@@ -181,6 +183,6 @@
             self.operator.read_back()
 
 
-def play(*, settings: Settings, checks: tuple[Check, ...] = (), digest: RunDigest | None = None) -> Report:
+def play(*, settings: RunSettings, checks: tuple[Check, ...] = (), digest: RunDigest | None = None) -> Report:
     """Play one run; `digest` takes all that its processes send, write and answer."""
     return Run(settings=settings, checks=checks, digest=digest).play()
--- a/yarrowloom/simulator/worker.py
+++ b/yarrowloom/simulator/worker.py
@@ -39,33 +39,33 @@
         judge: Judge,
         world: World,
         minion_id: str,
-        site: str,
+        zone: str,
         cap: tuple[int, int, int],
         labels: tuple[str, ...],
         service: str = "svc",
         guards: bool = False,
-        addr: str = "",
+        address: str = "",
     ) -> None:
         self.judge, self.world, self.service, self.guards = judge, world, service, guards
-        self.addr = addr or f"{minion_id}:1"
+        self.address = address or f"{minion_id}:1"
         self.sick = ""  # "grey" fails all it starts, "hung" makes no progress
         self.speed = 1.0
         self.mute = -1.0  # no beats until then
         self.drained = 0.0
         self.acked = 0.0  # when its draining was acknowledged
         self.restored = 0
-        super().__init__(sim=sim, oracle=judge, minion_id=minion_id, site=site, cap=cap, work=world.work, labels=labels)
+        super().__init__(sim=sim, oracle=judge, minion_id=minion_id, zone=zone, cap=cap, work=world.work, labels=labels)
         judge.fleet.append(self)
 
     # -- beats
 
     def account(self, *, seq: int, sent: float) -> dict[str, Any]:
         """What a heartbeat tells."""
-        doc = super().account(seq=seq, sent=sent)
-        doc |= {"backend": self.service, "address": self.addr}
+        document = super().account(seq=seq, sent=sent)
+        document |= {"backend": self.service, "address": self.address}
         if self.drained:
-            doc["leave-at-ms"] = int(1000 * max(0.0, (self.acked or sent) + LEAVE_S - sent))
-        return doc
+            document["leave-at-ms"] = int(1000 * max(0.0, (self.acked or sent) + LEAVE_S - sent))
+        return document
 
     def beat(self) -> None:
         """Send a heartbeat, unless it is mute."""
@@ -74,30 +74,30 @@
             return
         super().beat()
 
-    def answer(self, *, doc: dict[str, Any], sent: float) -> None:
+    def answer(self, *, document: dict[str, Any], sent: float) -> None:
         """Take the answer to a heartbeat."""
         if self.drained and sent >= self.drained and not self.acked:
             self.acked = self.sim.now
             self.sim.at(delay=LEAVE_S, fn=self.leave)
-        if doc.get("beat-target"):
-            self.target = doc["beat-target"].split(":")[0]
-        self.plan(delay=min(doc.get("retry-after-ms", 1400), 1400) / 1000)
-        fence = doc.get("fence-no", 0)
+        if document.get("beat-target"):
+            self.target = document["beat-target"].split(":")[0]
+        self.plan(delay=min(document.get("retry-after-ms", 1400), 1400) / 1000)
+        fence = document.get("fence-no", 0)
         if fence < self.fence:
             return
         self.fence = fence
-        if "hold-ms" in doc:
-            self.hold = max(self.hold, sent + min(doc["hold-ms"], 6000) / 1000 * SLOW)
+        if "hold-ms" in document:
+            self.hold = max(self.hold, sent + min(document["hold-ms"], 6000) / 1000 * SLOW)
         for n in sorted(self.ends):
-            if n <= doc.get("last-seen", 0):
+            if n <= document.get("last-seen", 0):
                 task, run, how, _, at = self.ends.pop(n)
                 self.judge.seen(m=self, num=n, task=task, run=run, how=how, lapsed=self.lapsed >= at)
-        for task, run in doc.get("stopped", []):
+        for task, run in document.get("stopped", []):
             self.top[task] = max(self.top.get(task, 0), run)
             row = self.running.get(task)
             if row is not None and row["run"] == run and not row["stop"]:
                 row["stop"] = self.sim.now + 0.2
-        for task, run, spec, saved in doc.get("started", []):
+        for task, run, spec, saved in document.get("started", []):
             if run > self.top.get(task, 0):
                 self.top[task] = run
                 self.begin(task=task, run=run, spec=spec, saved=saved)
--- a/yarrowloom/simulator/workload.py
+++ b/yarrowloom/simulator/workload.py
@@ -19,9 +19,9 @@
         super().__init__(sim=sim, oracle=judge)
         self.judge = judge
 
-    def _send(self, *, job_id: str, queue: str, doc: Any, left: int) -> None:
+    def _send(self, *, job_id: str, queue: str, document: Any, left: int) -> None:
         self.judge.queue[job_id] = queue
-        super()._send(job_id=job_id, queue=queue, doc=doc, left=left)
+        super()._send(job_id=job_id, queue=queue, document=document, left=left)
 
     def _call(self, *, method: str, job_id: str, back: Any) -> None:
         self.sim.http(
@@ -37,9 +37,9 @@
         """Ask for a job's state."""
         sent = self.sim.now
 
-        def back(res: Response) -> None:
-            state = orjson.loads(res.body)["state"] if res.status == 200 else ""
-            self.judge.shown(job_id=job_id, status=res.status, state=state, sent=sent)
+        def back(response: Response) -> None:
+            state = orjson.loads(response.body)["state"] if response.status == 200 else ""
+            self.judge.shown(job_id=job_id, status=response.status, state=state, sent=sent)
 
         self._call(method="GET", job_id=job_id, back=back)
 
@@ -48,10 +48,10 @@
         got: list[int] = []
         self.judge.asked.add(job_id)
 
-        def back(res: Response) -> None:
-            if not got and 200 <= res.status < 300:
+        def back(response: Response) -> None:
+            if not got and 200 <= response.status < 300:
                 self.judge.cancelled.setdefault(job_id, self.sim.now)
-            got.append(res.status)
+            got.append(response.status)
 
         def late() -> None:
             if (not got or got[0] >= 500) and left:
@@ -63,10 +63,12 @@
 
 def plan(*, version: int, guards: bool, tries: int) -> dict[str, Any]:
     """Two queues on `svc`, one on `aux`."""
-    doc = config(version=version, guards=guards, tries=tries)
-    doc["route-table"].append({**doc["route-table"][1], "name": "side", "path-prefix": "/side/", "backend": "aux"})
-    doc["service-table"].append({**doc["service-table"][0], "name": "aux"})
-    return doc
+    document = config(version=version, guards=guards, tries=tries)
+    document["route-table"].append(
+        {**document["route-table"][1], "name": "side", "path-prefix": "/side/", "backend": "aux"}
+    )
+    document["service-table"].append({**document["service-table"][0], "name": "aux"})
+    return document
 
 
 class Day:
@@ -97,7 +99,7 @@
         for i in range(minions):
             self.hire(
                 minion_id=f"i-{i}",
-                site=f"z{i % len(sim.sites)}",
+                zone=f"z{i % len(sim.zones)}",
                 cap=cap,
                 labels=("a", f"r{i % racks}"),
                 service="aux" if i >= minions - aux else "svc",
@@ -106,9 +108,9 @@
         self.job_ids: list[str] = []
         self.asks = True
         sim.run(seconds=1.0)
-        doc = plan(version=3, guards=guards, tries=tries)
+        document = plan(version=3, guards=guards, tries=tries)
         if not any(
-            sim.ask(ip=ip, method="PUT", path="/config", doc=doc, headers={"if-match": "0"})[0] == 200
+            sim.ask(ip=ip, method="PUT", path="/config", document=document, headers={"if-match": "0"})[0] == 200
             for ip in sim.core_ips
         ):
             raise SimError(text="no core node took the configuration")
@@ -119,11 +121,11 @@
         self,
         *,
         minion_id: str,
-        site: str,
+        zone: str,
         cap: tuple[int, int, int],
         labels: tuple[str, ...],
         service: str = "svc",
-        addr: str = "",
+        address: str = "",
     ) -> Worker:
         """One more minion."""
         m = Worker(
@@ -131,12 +133,12 @@
             judge=self.judge,
             world=self.world,
             minion_id=minion_id,
-            site=site,
+            zone=zone,
             cap=cap,
             labels=labels,
             service=service,
             guards=self.guards,
-            addr=addr,
+            address=address,
         )
         self.fleet.append(m)
         return m
@@ -152,31 +154,31 @@
         def rise() -> None:
             new = self.hire(
                 minion_id=f"{m.minion_id}x",
-                site=m.site,
+                zone=m.zone,
                 cap=m.cap,
                 labels=m.labels,
                 service=m.service,
-                addr=m.addr if same else "",
+                address=m.address if same else "",
             )
             if times > 1:
                 self.flap(m=new, up=up, down=down, times=times - 1, same=same)
 
         self.sim.at(delay=up, fn=fall)
 
-    def evacuate(self, *, site: str, on: bool) -> None:
+    def evacuate(self, *, zone: str, on: bool) -> None:
         """The operator's order; it binds from its acknowledgement, and no longer once its taking back is sent."""
 
-        def back(res: Response) -> None:
-            if on and 200 <= res.status < 300:
-                self.judge.evac[site] = self.sim.now
+        def back(response: Response) -> None:
+            if on and 200 <= response.status < 300:
+                self.judge.evacuated_zones[zone] = self.sim.now
 
         if not on:
-            self.judge.evac.pop(site, None)
+            self.judge.evacuated_zones.pop(zone, None)
         self.sim.http(
             ip=self.sim.rng.choice(self.sim.core_ips),
             src="op",
             method="POST" if on else "DELETE",
-            path=f"/evacuation/{site}",
+            path=f"/evacuation/{zone}",
             back=back,
         )
 
@@ -197,11 +199,11 @@
 
     def timed(self, *stages: dict[str, Any], first: float, period: float, count: int, queue: str = "fast") -> str:
         """Hand a repeated job in whose first time is due in so many seconds."""
-        wall = self.sim.wall0 + self.sim.now
+        wall_now = self.sim.wall0 + self.sim.now
         job_id = self.client.submit(
             stages=list(stages),
             queue=queue,
-            **{"first-run-ms": int((wall + first) * 1000), "period-ms": int(period * 1000), "repeat-count": count},
+            **{"first-run-ms": int((wall_now + first) * 1000), "period-ms": int(period * 1000), "repeat-count": count},
         )
         self.job_ids.append(job_id)
         return job_id
--- a/yarrowloom/testbed/callers.py
+++ b/yarrowloom/testbed/callers.py
@@ -89,12 +89,12 @@
     steps: float = 0.3
     lines: dict[str, list[Line]] = field(default_factory=dict)
 
-    async def _call(self, *, pool: Any, addr: str, method: str, job_id: str, body: bytes = b"") -> tuple[int, Any]:
+    async def _call(self, *, pool: Any, address: str, method: str, job_id: str, body: bytes = b"") -> tuple[int, Any]:
         """As the load's own, on a connection that is free or a new one."""
-        idle = self.lines.setdefault(addr, [])
+        idle = self.lines.setdefault(address, [])
         line = idle.pop() if idle else Line()
         status, got = await line.call(
-            method=method, addr=addr, path=f"{self.prefix}{job_id}", body=body, host=self.host, ttl=DEADLINE_S
+            method=method, address=address, path=f"{self.prefix}{job_id}", body=body, host=self.host, ttl=DEADLINE_S
         )
         if len(idle) < IDLE_LINES:
             idle.append(line)
@@ -122,14 +122,14 @@
         elif kind < self.steps + self.gangs:
             step["gang"] = True
         job_id = f"{rng.getrandbits(64):016x}"
-        doc = {"task-spec": write(stages=stages, ms=ms), "stages": stages}
-        self.judge.sent(job_id=job_id, doc=doc, tries=self.tries)
-        return job_id, doc
+        document = {"task-spec": write(stages=stages, ms=ms), "stages": stages}
+        self.judge.sent(job_id=job_id, document=document, tries=self.tries)
+        return job_id, document
 
 
 def loads(
     *,
-    addrs: list[str],
+    addresses: list[str],
     jobs: int,
     rate: float,
     seed: int,
@@ -145,7 +145,7 @@
     count[next(q.name for q in queues if q.share)] += jobs - sum(count.values())
     return {
         q.name: kind(
-            addrs=tuple(addrs),
+            addresses=tuple(addresses),
             host=HOST,
             prefix=q.prefix,
             jobs=count[q.name],
--- a/yarrowloom/testbed/cluster.py
+++ b/yarrowloom/testbed/cluster.py
@@ -32,7 +32,7 @@
     name: str
     kind: str
     ip: str
-    site: str
+    zone: str
     region: str
     folder: pathlib.Path
     binds: dict[str, str]
@@ -55,7 +55,7 @@
 
     cores: int = 3
     edges: int = 2
-    sites: int = 3
+    zones: int = 3
     regions: int = 1
     port: int = 0
     net: str = ""
@@ -140,7 +140,7 @@
         for i, ip in enumerate(ips):
             core = i < shape.cores
             num = i if core else i - shape.cores
-            site = num % shape.sites
+            zone = num % shape.zones
             name = f"{'core' if core else 'edge'}-{num}"
             folder = self.folder / name
             folder.mkdir()
@@ -150,8 +150,8 @@
                     name=name,
                     kind="core" if core else "edge",
                     ip=ip,
-                    site=f"hall-{site}",
-                    region=f"region-{site % shape.regions}",
+                    zone=f"hall-{zone}",
+                    region=f"region-{zone % shape.regions}",
                     folder=folder,
                     binds=binds,
                 )
@@ -168,9 +168,9 @@
         return [n for n in self.nodes if n.kind == "edge"]
 
     @property
-    def sites(self) -> list[str]:
+    def zones(self) -> list[str]:
         """Names of the sites that hold cores."""
-        return sorted({n.site for n in self.cores})
+        return sorted({n.zone for n in self.cores})
 
     def controls(self) -> list[str]:
         """Control addresses."""
@@ -190,9 +190,9 @@
             "node-name": node.name,
             "role": node.kind,
             "ip": node.ip,
-            "zone": node.site,
+            "zone": node.zone,
             "region": node.region,
-            "zones": {n.site: n.region for n in self.nodes},
+            "zones": {n.zone: n.region for n in self.nodes},
             "bind-addrs": node.binds,
             "internal-ports": list(self.ports),
             "seed-nodes": self.controls()[:3],
@@ -274,19 +274,21 @@
 
     # -- calls
 
-    async def call(self, *, method: str, addr: str, path: str, doc: Any = None, **heads: str) -> tuple[int, Any]:
+    async def call(
+        self, *, method: str, address: str, path: str, document: Any = None, **heads: str
+    ) -> tuple[int, Any]:
         """One call; status 0: not reached."""
         try:
             with trio.fail_after(5):
                 async with httpcore.AsyncConnectionPool() as pool:
-                    res = await pool.request(
+                    response = await pool.request(
                         method,
-                        f"http://{addr}{path}",
+                        f"http://{address}{path}",
                         extensions={"timeout": TIMEOUT},
-                        content=orjson.dumps(doc) if doc is not None else b"",
+                        content=orjson.dumps(document) if document is not None else b"",
                         headers={k.replace("_", "-"): v for k, v in heads.items()},
                     )
-                    return res.status, orjson.loads(res.content) if res.content else None
+                    return response.status, orjson.loads(response.content) if response.content else None
         except (
             httpcore.NetworkError,
             httpcore.TimeoutException,
@@ -298,15 +300,17 @@
             return 0, None
 
     async def configure(
-        self, *, doc: dict[str, Any], base: int = 0, method: str = "PUT", limit_s: float = 30.0
+        self, *, document: dict[str, Any], base: int = 0, method: str = "PUT", limit_s: float = 30.0
     ) -> float:
         """Hand a configuration in, again until it is accepted; return the seconds that took."""
         begun = trio.current_time()
         at = 0
         while trio.current_time() - begun < limit_s:
             self.watch()
-            addr = self.controls()[at % len(self.cores)]
-            status, got = await self.call(method=method, addr=addr, path="/config", doc=doc, If_Match=str(base))
+            address = self.controls()[at % len(self.cores)]
+            status, got = await self.call(
+                method=method, address=address, path="/config", document=document, If_Match=str(base)
+            )
             if status == 200:
                 return trio.current_time() - begun
             if status in (400, 409, 412, 422):
@@ -323,7 +327,7 @@
         begun = trio.current_time()
         while trio.current_time() - begun < limit_s:
             self.watch()
-            rows = [await self.call(method="GET", addr=n.binds["ready"], path="/readiness") for n in self.edges]
+            rows = [await self.call(method="GET", address=n.binds["ready"], path="/readiness") for n in self.edges]
             if all(status == 200 for status, _ in rows):
                 return
             await trio.sleep(0.1)
--- a/yarrowloom/testbed/experiment.py
+++ b/yarrowloom/testbed/experiment.py
@@ -44,9 +44,9 @@
 
     begun: dict[str, float] = field(default_factory=dict)
 
-    async def _one(self, pool: Any, addr: str, job_id: str, doc: dict[str, Any]) -> None:
+    async def _one(self, pool: Any, address: str, job_id: str, document: dict[str, Any]) -> None:
         self.begun[job_id] = trio.current_time()
-        await super()._one(pool, addr, job_id, doc)
+        await super()._one(pool, address, job_id, document)
 
 
 def figures(*, vals: list[float]) -> dict[str, float]:
@@ -80,14 +80,14 @@
                 cores=clu["cores"],
                 edges=clu["edges"],
                 regions=clu["regions"],
-                sites=min(clu["sites"], clu["cores"]),
+                zones=min(clu["sites"], clu["cores"]),
                 disk_mb=clu["disk-mb"],
                 beat_ms=mins["beat-ms"],
             )
         )
         self.sampler = Sampler(cluster=self.cluster)
         self.rows: dict[str, HollowLoad] = {}
-        self.stamp = 1
+        self.config_version = 1
         self.begun = 0.0
 
     async def main(self) -> None:
@@ -96,11 +96,11 @@
         with self.cluster as cluster:
             cluster.start_all()
             await cluster.configure(
-                doc=config(version=1, queues=plan.queues, more=plan.callers["idle-queues"], guards=mins["guards"])
+                document=config(version=1, queues=plan.queues, more=plan.callers["idle-queues"], guards=mins["guards"])
             )
             crew = Crew(
                 count=mins["count"],
-                sites=cluster.sites,
+                zones=cluster.zones,
                 cap=(mins["cpus"], mins["mem-mb"], 0),
                 gpu_every=mins["gpu-every"],
                 gpus=mins["gpus"],
@@ -137,7 +137,7 @@
     def _callers(self, nursery: trio.Nursery) -> None:
         plan, call = self.plan, self.plan.callers
         made = loads(
-            addrs=self.cluster.fronts(),
+            addresses=self.cluster.fronts(),
             jobs=plan.jobs,
             rate=call["rate"],
             seed=plan.seed,
@@ -199,15 +199,15 @@
         end = self.begun + self.plan.duration
         while trio.current_time() < end:
             begun = trio.current_time()
-            self.stamp += 1
-            queue = self.plan.queues[self.stamp % len(self.plan.queues)]
+            self.config_version += 1
+            queue = self.plan.queues[self.config_version % len(self.plan.queues)]
             row = next(r for r in config(version=1, queues=self.plan.queues)["route-table"] if r["name"] == queue.name)
             await self.cluster.configure(
-                base=self.stamp - 1,
+                base=self.config_version - 1,
                 method="PATCH",
-                doc={
-                    "config-version": self.stamp,
-                    "upserts": {"route-table": [{**row, "target-ms": 2000 + self.stamp}]},
+                document={
+                    "config-version": self.config_version,
+                    "upserts": {"route-table": [{**row, "target-ms": 2000 + self.config_version}]},
                 },
             )
             self.acks.append(trio.current_time() - begun)
@@ -218,7 +218,7 @@
                     for node in self.cluster.nodes:
                         if node.proc is not None and not node.frozen:
                             nursery.start_soon(self._stamp, node.binds.get("control") or node.binds["ready"], stamps)
-                if min(stamps, default=0) >= self.stamp:
+                if min(stamps, default=0) >= self.config_version:
                     self.spread.append(trio.current_time() - acked)
                     break
                 await trio.sleep(SPREAD_S)
@@ -226,9 +226,9 @@
                 self.unspread += 1
             await trio.sleep_until(begun + 1 / self.plan.changes["rate"])
 
-    async def _stamp(self, addr: str, out: list[int]) -> None:
-        _, doc = await self.cluster.call(method="GET", addr=addr, path="/tally")
-        out.append(int(doc["stamp"]) if isinstance(doc, dict) else 0)
+    async def _stamp(self, address: str, out: list[int]) -> None:
+        _, document = await self.cluster.call(method="GET", address=address, path="/tally")
+        out.append(int(document["stamp"]) if isinstance(document, dict) else 0)
 
     def result(self) -> dict[str, Any]:
         """Raw figures, as they go to the JSON file."""
@@ -292,12 +292,12 @@
     plan = load(path=path)
     run = Run(plan=plan)
     guarded(main=run.main)
-    res = run.result()
+    results = run.result()
     folder = pathlib.Path(out) / plan.name
     folder.mkdir(parents=True, exist_ok=True)
-    (folder / "figures.json").write_bytes(orjson.dumps(res, option=orjson.OPT_INDENT_2 | orjson.OPT_NON_STR_KEYS))
-    write(res=res, folder=folder)
-    jobs = res["jobs"]
+    (folder / "figures.json").write_bytes(orjson.dumps(results, option=orjson.OPT_INDENT_2 | orjson.OPT_NON_STR_KEYS))
+    write(results=results, folder=folder)
+    jobs = results["jobs"]
     for text in run.judge.broken[:20]:
         show(what="rule-broken", text=text)
     return {**jobs, "report": folder / "report.md"}, not (
--- a/yarrowloom/testbed/fleet.py
+++ b/yarrowloom/testbed/fleet.py
@@ -18,7 +18,7 @@
     """What a fleet is made of: minions are dealt to sites in turn, and to `racks` racks within each."""
 
     count: int
-    sites: list[str]
+    zones: list[str]
     service: str = "hollow"
     cap: tuple[int, int, int] = (16000, 32768, 0)
     gpu_every: int = 0  # every so many-th minion has `gpus` accelerators
@@ -65,14 +65,14 @@
     def make(self, *, num: int, life: int = 0) -> Hollow:
         """The `num`-th minion."""
         crew = self.crew
-        site = crew.sites[num % len(crew.sites)]
-        name = f"r-{site}-{num // len(crew.sites) % crew.racks}"
+        zone = crew.zones[num % len(crew.zones)]
+        name = f"r-{zone}-{num // len(crew.zones) % crew.racks}"
         gpus = crew.gpus if crew.gpu_every and num % crew.gpu_every == 0 else 0
         return Hollow(
             yard=self.yard,
             minion_id=f"i-{num:05d}-{life}",
             service=crew.service,
-            site=site,
+            zone=zone,
             cap=(crew.cap[0], crew.cap[1], gpus),
             labels=("gpu" if gpus else "cpu", name),
             guards=crew.guards,
@@ -151,7 +151,7 @@
                 self._settle()
                 status, got = await line.call(
                     method="PUT",
-                    addr=m.target or self.cores[at % len(self.cores)],
+                    address=m.target or self.cores[at % len(self.cores)],
                     path=f"/minions/{m.minion_id}",
                     body=body,
                 )
@@ -165,17 +165,17 @@
 
     def _heard(self, *, m: Hollow, seq: int, sent: float, status: int, size: int, got: bytes) -> None:
         now = trio.current_time()
-        doc: Any = None
+        document: Any = None
         if 200 <= status < 300 and now - sent <= BEAT_TTL_S:
             try:
-                doc = orjson.loads(got) if got else {}
+                document = orjson.loads(got) if got else {}
             except orjson.JSONDecodeError:
-                doc = None
+                document = None
         self.tally.beats += 1
         self.tally.sent += size
         self.tally.got += len(got)
-        if isinstance(doc, dict):
-            m.answer(seq=seq, doc=doc, sent=sent, now=now)
+        if isinstance(document, dict):
+            m.answer(seq=seq, document=document, sent=sent, now=now)
         else:
             self.tally.missed += 1
             m.miss(seq=seq, now=now)
--- a/yarrowloom/testbed/judge.py
+++ b/yarrowloom/testbed/judge.py
@@ -12,7 +12,7 @@
 class Told:
     """What callers know of a job. Invariant: `accepted` or `refused` only after an answer."""
 
-    doc: dict[str, Any]
+    document: dict[str, Any]
     tries: int
     accepted: bool = False
     refused: bool = False
@@ -33,21 +33,21 @@
     starts: int = 0
     ends: dict[str, int] = field(default_factory=dict)
 
-    def sent(self, *, job_id: str, doc: dict[str, Any], tries: int) -> None:
+    def sent(self, *, job_id: str, document: dict[str, Any], tries: int) -> None:
         """A caller is about to hand a job in."""
-        self.jobs.setdefault(job_id, Told(doc=doc, tries=tries))
+        self.jobs.setdefault(job_id, Told(document=document, tries=tries))
 
     def started(self, *, m: Hollow, task: str, run: int, spec: str, saved: str) -> None:
         """A task began."""
         self.starts += 1
         job_id, k, s, _ = task.split(".")
         told = self.jobs.get(job_id)
-        if told is None or spec != told.doc["task-spec"]:
+        if told is None or spec != told.document["task-spec"]:
             self.broken.append(f"UNASKED {task}")
             return
         if told.refused and not told.accepted:
             self.broken.append(f"REFUSED {task}")
-        stages = told.doc["stages"]
+        stages = told.document["stages"]
         row = stages[int(s)]
         if saved and saved[8:] != mark(name=unit_of(task=task) if row.get("gang") else task):
             self.broken.append(f"UNASKED {task} with the progress of another")
--- a/yarrowloom/testbed/local.py
+++ b/yarrowloom/testbed/local.py
@@ -131,7 +131,7 @@
         )
     judge = Judge()
     bounds = Bounds()
-    shape = Shape(cores=cores, edges=edges, sites=min(cores, 3), port=port, beat_ms=int(bounds.beat * 1000))
+    shape = Shape(cores=cores, edges=edges, zones=min(cores, 3), port=port, beat_ms=int(bounds.beat * 1000))
     out: dict[str, Any] = {}
 
     async def main() -> None:
@@ -139,15 +139,15 @@
             show(what="starting", cores=cores, edges=edges, folder=cluster.folder)
             cluster.start_all()
             show(what="started", pids=",".join(str(n.proc.pid) for n in cluster.nodes if n.proc is not None))
-            show(what="configured", after_s=round(await cluster.configure(doc=config(version=1)), 2))
+            show(what="configured", after_s=round(await cluster.configure(document=config(version=1)), 2))
             fleet = Fleet(
-                crew=Crew(count=minions, sites=cluster.sites),
+                crew=Crew(count=minions, zones=cluster.zones),
                 cores=cluster.controls(),
                 seed=seed,
                 watcher=judge,
                 bounds=bounds,
             )
-            rows = loads(addrs=cluster.fronts(), jobs=jobs, rate=rate, seed=seed, judge=judge)
+            rows = loads(addresses=cluster.fronts(), jobs=jobs, rate=rate, seed=seed, judge=judge)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(fleet.run)
                 await cluster.ready()
--- a/yarrowloom/testbed/pipeline.py
+++ b/yarrowloom/testbed/pipeline.py
@@ -15,16 +15,16 @@
         self._stream: trio.SocketStream | None = None
 
     async def call(
-        self, *, method: str, addr: str, path: str, body: bytes, host: str = "", ttl: float = 1.0
+        self, *, method: str, address: str, path: str, body: bytes, host: str = "", ttl: float = 1.0
     ) -> tuple[int, bytes]:
         """One call; status 0: no whole answer within `ttl` seconds."""
         with trio.move_on_after(ttl):
             try:
-                if self._stream is None or addr != self._addr:
+                if self._stream is None or address != self._addr:
                     await self.close()
-                    self._stream, self._addr = await self._dial(addr=addr), addr
+                    self._stream, self._addr = await self._dial(address=address), address
                 await self._stream.send_all(
-                    f"{method} {path} HTTP/1.1\r\nHost: {host or addr}\r\nContent-Type: application/json\r\n"
+                    f"{method} {path} HTTP/1.1\r\nHost: {host or address}\r\nContent-Type: application/json\r\n"
                     f"X-Deadline-Ms: {ttl * 1000:.0f}\r\nContent-Length: {len(body)}\r\n\r\n".encode()
                     + body
                 )
@@ -35,8 +35,8 @@
         return 0, b""
 
     @staticmethod
-    async def _dial(*, addr: str) -> trio.SocketStream:
-        host, port = addr.rsplit(":", 1)
+    async def _dial(*, address: str) -> trio.SocketStream:
+        host, port = address.rsplit(":", 1)
         sock = trio.socket.socket()
         try:
             await sock.connect((host, int(port)))
--- a/yarrowloom/testbed/plan.py
+++ b/yarrowloom/testbed/plan.py
@@ -132,17 +132,17 @@
     return "" if low <= val <= high else f"not from {low:g} to {high:g}"
 
 
-def _table(*, doc: Any, place: str, name: str, bad: list[Finding]) -> dict[str, Any]:
+def _table(*, document: Any, place: str, name: str, bad: list[Finding]) -> dict[str, Any]:
     keys = _KEYS[name]
-    if not isinstance(doc, dict):
+    if not isinstance(document, dict):
         bad.append(Finding(place=place or "(file)", text="not a table"))
-        doc = {}
+        document = {}
     dot = f"{place}." if place else ""
     known = set(keys) | (set(_KEYS) - {""} if not name else set())
-    bad += [Finding(place=f"{dot}{key}", text="unknown") for key in sorted(set(doc) - known)]
+    bad += [Finding(place=f"{dot}{key}", text="unknown") for key in sorted(set(document) - known)]
     out: dict[str, Any] = {}
     for key, (kind, default, low, high) in keys.items():
-        out[key] = doc.get(key, default)
+        out[key] = document.get(key, default)
         text = "missing" if out[key] is None else _value(val=out[key], kind=kind, low=low, high=high)
         if text:
             bad.append(Finding(place=f"{dot}{key}", text=text))
@@ -150,12 +150,12 @@
     return out
 
 
-def _rows(*, doc: dict[str, Any], name: str, bad: list[Finding]) -> list[dict[str, Any]]:
-    rows = doc.get(name, [])
+def _rows(*, document: dict[str, Any], name: str, bad: list[Finding]) -> list[dict[str, Any]]:
+    rows = document.get(name, [])
     if not isinstance(rows, list):
         bad.append(Finding(place=name, text=f"not a list of tables ([[{name}]])"))
         return []
-    return [_table(doc=row, place=f"{name}[{i}]", name=name, bad=bad) for i, row in enumerate(rows)]
+    return [_table(document=row, place=f"{name}[{i}]", name=name, bad=bad) for i, row in enumerate(rows)]
 
 
 def _fault(*, row: dict[str, Any], place: str, names: set[str], top: dict[str, Any], bad: list[Finding]) -> None:
@@ -175,23 +175,23 @@
         bad.append(Finding(place=f"{place}.at-s", text="ends after the experiment"))
 
 
-def check(*, doc: Any, half_mb: float = 0.0) -> Plan:
+def check(*, document: Any, half_mb: float = 0.0) -> Plan:
     """The plan, or every finding; `half_mb` is what it may use of memory, 0: not looked at.
 
     >>> try:
-    ...     check(doc={"name": "a", "cluster": {"cores": 0, "size": 1}, "faults": [{"what": "flood"}]})
+    ...     check(document={"name": "a", "cluster": {"cores": 0, "size": 1}, "faults": [{"what": "flood"}]})
     ... except PlanError as err:
     ...     [f.place for f in err.findings]
     ['duration-s', 'cluster.size', 'cluster.cores', 'faults[0].at-s', 'faults[0].what']
     """
     bad: list[Finding] = []
-    top = _table(doc=doc, place="", name="", bad=bad)
-    doc = doc if isinstance(doc, dict) else {}
+    top = _table(document=document, place="", name="", bad=bad)
+    document = document if isinstance(document, dict) else {}
     parts = {
-        name: _table(doc=doc.get(name, {}), place=name, name=name, bad=bad)
+        name: _table(document=document.get(name, {}), place=name, name=name, bad=bad)
         for name in ("cluster", "minions", "callers", "changes")
     }
-    queues, faults = (_rows(doc=doc, name=name, bad=bad) for name in ("queues", "faults"))
+    queues, faults = (_rows(document=document, name=name, bad=bad) for name in ("queues", "faults"))
     clu, span = parts["cluster"], parts["callers"]["task-ms"]
     if top["name"] is not None and not str(top["name"]).replace("-", "").isalnum():
         bad.append(Finding(place="name", text="not letters, digits and hyphens"))
@@ -247,10 +247,10 @@
     """Read a file; what is wrong with it as a whole has the file as its place."""
     try:
         with open(path, "rb") as fh:
-            doc = tomllib.load(fh)
+            document = tomllib.load(fh)
     except OSError as err:
         raise PlanError(text=f"{path}: {err.strerror}", findings=[Finding(place=path, text=str(err.strerror))]) from err
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as err:
         raise PlanError(text=f"{path}: not TOML", findings=[Finding(place=path, text=str(err))]) from err
     half = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / 2 / (1 << 20)
-    return check(doc=doc, half_mb=half)
+    return check(document=document, half_mb=half)
--- a/yarrowloom/testbed/report.py
+++ b/yarrowloom/testbed/report.py
@@ -27,50 +27,50 @@
     return [out[0], "| " + " | ".join("---" for _ in rows[0]) + " |", *out[1:]]
 
 
-def _rates(*, res: dict[str, Any], key: str, scale: float, label: str, path: pathlib.Path) -> None:
+def _rates(*, results: dict[str, Any], key: str, scale: float, label: str, path: pathlib.Path) -> None:
     fig, axes = plt.subplots(figsize=(8, 4))
-    for name, rows in sorted(res["series"].items()):
+    for name, rows in sorted(results["series"].items()):
         xs, ys = [], []
         for a, b in zip(rows, rows[1:], strict=False):
             if a["pid"] == b["pid"] and b["at"] > a["at"] and key in a and key in b:
                 xs.append(b["at"])
                 ys.append((b[key] - a[key]) / (b["at"] - a["at"]) * scale)
         axes.plot(xs, ys, label=name, linewidth=1)
-    _close(fig=fig, axes=axes, res=res, label=label, path=path)
+    _close(fig=fig, axes=axes, results=results, label=label, path=path)
 
 
-def _close(*, fig: Any, axes: Any, res: dict[str, Any], label: str, path: pathlib.Path) -> None:
-    for fault in res["plan"]["faults"]:
+def _close(*, fig: Any, axes: Any, results: dict[str, Any], label: str, path: pathlib.Path) -> None:
+    for fault in results["plan"]["faults"]:
         axes.axvline(fault["at"], color="grey", linestyle=":")
     axes.set_xlabel("s since the callers began")
     axes.set_ylabel(label)
     axes.set_ylim(bottom=0)
-    if len(res["series"]) <= 16:
+    if len(results["series"]) <= 16:
         axes.legend(fontsize=7)
     fig.tight_layout()
     fig.savefig(path)
     plt.close(fig)
 
 
-def plots(*, res: dict[str, Any], folder: pathlib.Path) -> list[str]:
+def plots(*, results: dict[str, Any], folder: pathlib.Path) -> list[str]:
     """Draw all; their file names."""
     out = []
     for key, name, label, scale in PLOTS:
-        _rates(res=res, key=key, scale=scale, label=label, path=folder / f"{name}.svg")
+        _rates(results=results, key=key, scale=scale, label=label, path=folder / f"{name}.svg")
         out.append(f"{name}.svg")
     fig, axes = plt.subplots(figsize=(8, 4))
-    for name, rows in sorted(res["series"].items()):
+    for name, rows in sorted(results["series"].items()):
         axes.plot([r["at"] for r in rows], [r["rss"] / 1e6 for r in rows], label=name, linewidth=1)
-    _close(fig=fig, axes=axes, res=res, label="MB resident", path=folder / "memory.svg")
+    _close(fig=fig, axes=axes, results=results, label="MB resident", path=folder / "memory.svg")
     fig, axes = plt.subplots(figsize=(8, 4))
     keys = [k for k in ("p50-ms", "p90-ms", "p99-ms", "p99.9-ms", "p100-ms")]
-    for name, row in res["latencies"].items():
+    for name, row in results["latencies"].items():
         if row["count"]:
             axes.plot(range(len(keys)), [row[k] for k in keys], marker="o", label=f"{name} ({row['count']})")
     axes.set_xticks(range(len(keys)), [k[:-3] for k in keys])
     axes.set_ylabel("ms")
     axes.set_yscale("log")
-    if res["latencies"]:
+    if results["latencies"]:
         axes.legend(fontsize=7)
     fig.tight_layout()
     fig.savefig(folder / "latencies.svg")
@@ -78,27 +78,29 @@
     return [*out, "memory.svg", "latencies.svg"]
 
 
-def write(*, res: dict[str, Any], folder: pathlib.Path) -> None:
+def write(*, results: dict[str, Any], folder: pathlib.Path) -> None:
     """`report.md` with its plots."""
-    plan = res["plan"]
+    plan = results["plan"]
     lines = [
-        f"# {res['name']}",
+        f"# {results['name']}",
         "",
         plan["about"],
         "",
-        f"Ran on {res['day']}, real processes on loopback with hollow minions; seed {plan['seed']}, "
-        f"{plan['duration']:g} s, {res['beats']['a-s']} beats/s in all, {res['beats']['missed']} of "
-        f"{res['beats']['beats']} beats without a useful answer; the rig itself took {res['rig-cores']} cores.",
+        f"Ran on {results['day']}, real processes on loopback with hollow minions; seed {plan['seed']}, "
+        f"{plan['duration']:g} s, {results['beats']['a-s']} beats/s in all, {results['beats']['missed']} of "
+        f"{results['beats']['beats']} beats without a useful answer; the rig itself took {results['rig-cores']} cores.",
         "",
         "## Jobs",
         "",
-        *table(rows=[["what", "figure"], *[[k, v] for k, v in res["jobs"].items()]]),
+        *table(rows=[["what", "figure"], *[[k, v] for k, v in results["jobs"].items()]]),
         "",
         "## Latencies (HDR histogram, 3 digits)",
         "",
     ]
     keys = ["count", "p50-ms", "p90-ms", "p99-ms", "p99.9-ms", "p100-ms"]
-    lines += table(rows=[["what", *keys], *[[n, *(r.get(k, "") for k in keys)] for n, r in res["latencies"].items()]])
+    lines += table(
+        rows=[["what", *keys], *[[n, *(r.get(k, "") for k in keys)] for n, r in results["latencies"].items()]]
+    )
     heads = [
         "cores",
         "rss-mb",
@@ -113,7 +115,7 @@
         "",
         "## Processes",
         "",
-        *table(rows=[["process", *heads], *[[n, *(r[h] for h in heads)] for n, r in res["processes"].items()]]),
+        *table(rows=[["process", *heads], *[[n, *(r[h] for h in heads)] for n, r in results["processes"].items()]]),
     ]
     if plan["faults"]:
         lines += [
@@ -125,13 +127,13 @@
                 for f in plan["faults"]
             ],
         ]
-    if res["broken"]:
-        lines += ["", "## Rules broken", "", *[f"- {text}" for text in res["broken"]]]
+    if results["broken"]:
+        lines += ["", "## Rules broken", "", *[f"- {text}" for text in results["broken"]]]
     lines += [
         "",
         "## Plots",
         "",
-        *[f"![{name}]({name})" for name in plots(res=res, folder=folder)],
+        *[f"![{name}]({name})" for name in plots(results=results, folder=folder)],
         "",
         "Raw figures: `figures.json`.",
         "",
--- a/yarrowloom/testbed/sample.py
+++ b/yarrowloom/testbed/sample.py
@@ -79,8 +79,8 @@
     async def _node(self, node: Node) -> None:
         assert node.proc is not None
         pid = node.proc.pid
-        addr = node.binds.get("control") or node.binds["ready"]
-        status, doc = await self.cluster.call(method="GET", addr=addr, path="/tally")
+        address = node.binds.get("control") or node.binds["ready"]
+        status, document = await self.cluster.call(method="GET", address=address, path="/tally")
         try:
             proc = psutil.Process(pid)
             with proc.oneshot():
@@ -95,17 +95,17 @@
         }
         if status == 200:
             row |= {
-                "msgs-sent": sum(n for n, _ in doc["sent"].values()),
-                "msgs-got": sum(doc["got"].values()),
-                "bytes-sent": sum(size for _, size in doc["sent"].values()),
-                "calls": sum(doc["calls"].values()),
-                "disk-records": doc["disk"][0],
-                "disk-bytes": doc["disk"][1],
-                "disk-batches": doc["disk"][2],
-                "checkpoints": doc["disk"][3],
-                "stamp": doc["stamp"],
+                "msgs-sent": sum(n for n, _ in document["sent"].values()),
+                "msgs-got": sum(document["got"].values()),
+                "bytes-sent": sum(size for _, size in document["sent"].values()),
+                "calls": sum(document["calls"].values()),
+                "disk-records": document["disk"][0],
+                "disk-bytes": document["disk"][1],
+                "disk-batches": document["disk"][2],
+                "checkpoints": document["disk"][3],
+                "stamp": document["stamp"],
             }
-            self.tallies[node.name] = doc
+            self.tallies[node.name] = document
         elif self.series.get(node.name) and self.series[node.name].rows[-1]["pid"] == pid:
             row = {**self.series[node.name].rows[-1], **row}  # counts as they were
         else:
