--- a/yarrowloom/testbed/simulated_minion.py
+++ b/yarrowloom/testbed/simulated_minion.py
@@ -146,13 +146,13 @@
         yard: Yard,
         minion_id: str,
         service: str,
-        site: str,
+        zone: str,
         cap: tuple[int, int, int],
         labels: tuple[str, ...],
         guards: bool = False,
         due: float = 0.0,
     ) -> None:
-        self.yard, self.minion_id, self.service, self.site, self.cap = yard, minion_id, service, site, cap
+        self.yard, self.minion_id, self.service, self.zone, self.cap = yard, minion_id, service, zone, cap
         self.labels, self.guards, self.due = labels, guards, due
         self.drift = yard.rng.uniform(0.0, yard.bounds.drift)
         self.running: dict[str, Run] = {}
@@ -241,10 +241,10 @@
         self.seq += 1
         self.open = self.seq
         cpus, mem, gpus = self.cap
-        doc: dict[str, Any] = {
+        document: dict[str, Any] = {
             "backend": self.service,
             "address": f"{self.minion_id}:1",
-            "zone": self.site,
+            "zone": self.zone,
             "config-version": "v1",
             "slots": 8,
             "state": self.state,
@@ -259,8 +259,8 @@
             "finished": [[n, *e[:4]] for n, e in list(self.ends.items())[:MOST_ENDS]],
         }
         if self.state == "draining":
-            doc["leave-at-ms"] = max(0, int((self.leave - now) * 1000))
-        return doc
+            document["leave-at-ms"] = max(0, int((self.leave - now) * 1000))
+        return document
 
     def miss(self, *, seq: int, now: float) -> None:
         """No answer in time, or none of use: the next node is asked."""
@@ -269,7 +269,7 @@
             self.target = ""
             self.due = now + MISS_S
 
-    def answer(self, *, seq: int, doc: dict[str, Any], sent: float, now: float) -> None:
+    def answer(self, *, seq: int, document: dict[str, Any], sent: float, now: float) -> None:
         """A 2xx answer to beat `seq`; one that comes late is dropped."""
         if not self.up or seq != self.open:
             return
@@ -278,23 +278,23 @@
             return
         self.open = 0
         self.advance(now=now)
-        self.target = str(doc.get("beat-target") or self.target)
+        self.target = str(document.get("beat-target") or self.target)
         beat = self.yard.bounds.beat
-        self.due = now + min(float(doc.get("retry-after-ms", beat * 1000)) / 1000, beat)
+        self.due = now + min(float(document.get("retry-after-ms", beat * 1000)) / 1000, beat)
         if any(e[4] > sent for e in self.ends.values()):
             self.due = min(self.due, now + AFTER_END_S)
-        fence = int(doc.get("fence-no", 0))
+        fence = int(document.get("fence-no", 0))
         if fence < self.fence:
             return
         self.fence = fence
-        if "hold-ms" in doc:
-            span = min(float(doc["hold-ms"]) / 1000, self.yard.bounds.max_hold) / (1 - self.drift)
+        if "hold-ms" in document:
+            span = min(float(document["hold-ms"]) / 1000, self.yard.bounds.max_hold) / (1 - self.drift)
             self.hold = max(self.hold, sent + span)
-        self._forget(upto=int(doc.get("last-seen", 0)))
-        for task, run in doc.get("stopped", []):
+        self._forget(upto=int(document.get("last-seen", 0)))
+        for task, run in document.get("stopped", []):
             self._stop(task=task, run=run, now=now)
         if now < self.hold:
-            for task, run, spec, saved in doc.get("started", []):
+            for task, run, spec, saved in document.get("started", []):
                 self._start(task=task, run=run, spec=spec, saved=saved, now=now)
         self.due = max(self.due, now)
 
--- a/yarrowloom/testbed/slopes.py
+++ b/yarrowloom/testbed/slopes.py
@@ -8,6 +8,7 @@
 import statistics
 import time
 from collections.abc import Callable
+from functools import partial
 from typing import Any, cast
 
 import orjson
@@ -59,11 +60,11 @@
     """A configured bed whose minions are all known."""
     bed = Bed(cores=cores, edges=edges, seed=seed)
     bed.run(seconds=1.0)
-    bed.configure(doc=config(version=1, more=more))
+    bed.configure(document=config(version=1, more=more))
     bed.enrol(
         crew=Crew(
             count=minions,
-            sites=bed.sites,
+            zones=bed.zones,
             gpu_every=gpu_every,
             gpus=8,
             racks=max(1, minions // 60),
@@ -119,21 +120,24 @@
     for seat in bed.seats.values():
         seat.reset()
     rng, waits, answers = random.Random(seed), [], [0, 0]
-    load = HollowLoad(addrs=("bed",), host="h", prefix="/", judge=bed.judge)
+    load = HollowLoad(addresses=("bed",), host="h", prefix="/", judge=bed.judge)
     begun: dict[str, float] = {}
 
-    def back(res: Response) -> None:
-        answers[res.status == 200] += 1
+    def back(response: Response) -> None:
+        answers[response.status == 200] += 1
 
-    def send(job_id: str, doc: dict[str, Any], prefix: str) -> None:
+    def send(job_id: str, document: dict[str, Any], prefix: str) -> None:
         begun[job_id] = bed.now
-        bed.submit(job_id=job_id, doc=doc, prefix=prefix, back=back)
+        bed.submit(job_id=job_id, document=document, prefix=prefix, back=back)
 
     jobs = int(rate * seconds)
     for i in range(jobs):
-        job_id, doc = load.job(rng=rng)
+        job_id, document = load.job(rng=rng)
         queue = rng.choices(QUEUES, weights=[q.share for q in QUEUES])[0]
-        bed.at(delay=i / rate, fn=lambda job_id=job_id, doc=doc, queue=queue: send(job_id, doc, queue.prefix))  # type: ignore
+        bed.at(
+            delay=i / rate,
+            fn=partial(send, job_id, document, queue.prefix),
+        )
     first: dict[str, float] = {}
     whole = bed.judge.started
 
@@ -185,12 +189,12 @@
         bed.configure(
             base=i + 1,
             method="PATCH",
-            doc={"config-version": i + 2, "upserts": {"route-table": [{**row, "target-ms": 3000 + i}]}},
+            document={"config-version": i + 2, "upserts": {"route-table": [{**row, "target-ms": 3000 + i}]}},
         )
         at = bed.now
         bed.until(
             cond=lambda i=i: all(  # type: ignore[misc]
-                s.node.table is not None and s.node.table.stamp == i + 2 for s in seats
+                s.node.table is not None and s.node.table.config_version == i + 2 for s in seats
             ),
             limit=30.0,
         )
@@ -245,7 +249,9 @@
         seat.reset()
     begun = bed.now
     bed.submit(
-        job_id=f"{seed:016x}", doc={"task-spec": write(stages=stages, ms=[2000]), "stages": stages}, prefix="/urgent/"
+        job_id=f"{seed:016x}",
+        document={"task-spec": write(stages=stages, ms=[2000]), "stages": stages},
+        prefix="/urgent/",
     )
     good = bed.until(cond=lambda: sum(len(m.running) for m in bed.minions) == size, limit=20.0)
     took = bed.now - begun
@@ -327,28 +333,28 @@
 }
 
 
-def slopes(*, replicas: int, out: str, only: tuple[str, ...] = ()) -> dict[str, str]:
+def slopes(*, repetitions: int, out: str, only: tuple[str, ...] = ()) -> dict[str, str]:
     """Each figure's median with its lowest and highest of `reps` runs, seeds 1 to `reps`."""
     known = {**RUNS, **LARGE}
     unknown = [name for name in only if name not in known]
-    if replicas < 1 or unknown:
+    if repetitions < 1 or unknown:
         raise UsageError(text=f"reps above 0, and runs among {', '.join(known)}")
     raw: dict[str, list[Row]] = {}
-    res: dict[str, str] = {}
+    response: dict[str, str] = {}
     for name, fn in known.items():
         if name not in (only or RUNS):
             continue
-        raw[name] = [fn(seed) for seed in range(1, replicas + 1)]
+        raw[name] = [fn(seed) for seed in range(1, repetitions + 1)]
         for key in raw[name][0]:
             vals = [row[key] for row in raw[name]]
-            res[f"{name}.{key}"] = f"{statistics.median(vals):.5g} ({min(vals):.5g} to {max(vals):.5g})"
+            response[f"{name}.{key}"] = f"{statistics.median(vals):.5g} ({min(vals):.5g} to {max(vals):.5g})"
     if out:
         path = pathlib.Path(out)
         path.parent.mkdir(parents=True, exist_ok=True)
         path.write_bytes(
             orjson.dumps(
-                {"day": time.strftime("%Y-%m-%d", time.gmtime()), "reps": replicas, "runs": raw},
+                {"day": time.strftime("%Y-%m-%d", time.gmtime()), "reps": repetitions, "runs": raw},
                 option=orjson.OPT_INDENT_2,
             )
         )
-    return res
+    return response
--- a/yarrowloom/testbed/state_cost.py
+++ b/yarrowloom/testbed/state_cost.py
@@ -91,13 +91,13 @@
 
 def routes_state(*, count: int) -> Row:
     """A configuration: bytes a route in memory and on disk, and the time to build its table."""
-    doc = config(version=1, more=count)
-    raw = orjson.dumps(doc)
-    _, held = memory_bytes(lambda: Table(doc=orjson.loads(raw)))
-    table = Table(doc=doc)
+    document = config(version=1, more=count)
+    raw = orjson.dumps(document)
+    _, held = memory_bytes(lambda: Table(document=orjson.loads(raw)))
+    table = Table(document=document)
     return {
         "bytes-a-route": len(raw) / count,
         "memory-a-route": held / count,
-        "build-us-a-route": clock_us(lambda: Table(doc=doc), times=5) / count,
+        "build-us-a-route": clock_us(lambda: Table(document=document), times=5) / count,
         "select-us": clock_us(lambda: table.select(host="rig.example", path="/idle-7/x"), times=2000),
     }
--- a/yarrowloom/testbed/virtual_testbed.py
+++ b/yarrowloom/testbed/virtual_testbed.py
@@ -17,7 +17,7 @@
 import orjson
 
 from ..common.log import Log
-from ..common.settings import Startup
+from ..common.settings import NodeSettings
 from ..node.core import CoreNode
 from ..node.edge import EdgeNode
 from ..replication.epoch import addr_of
@@ -71,7 +71,7 @@
 class Bed:
     """Invariant: events at one time run in the order of their planning, so a seed fixes all but the costs."""
 
-    def __init__(self, *, cores: int, edges: int, seed: int, sites: int = 3, beat_ms: int = 1000) -> None:
+    def __init__(self, *, cores: int, edges: int, seed: int, zones: int = 3, beat_ms: int = 1000) -> None:
         self.rng = random.Random(seed)
         self.now = 100.0
         self.judge = Judge()
@@ -83,21 +83,21 @@
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._count = itertools.count()
         self._calls: dict[int, Callable[[Response], None]] = {}
-        self.sites = [f"hall-{i}" for i in range(min(sites, cores))]
+        self.zones = [f"hall-{i}" for i in range(min(zones, cores))]
         self.core_ips = [f"10.0.{i // 200}.{i % 200 + 1}" for i in range(cores)]
         self.edge_ips = [f"10.1.{i // 200}.{i % 200 + 1}" for i in range(edges)]
         for i, ip in enumerate(self.core_ips + self.edge_ips):
-            self._boot(ip=ip, core=i < cores, site=self.sites[i % len(self.sites)], beat_ms=beat_ms)
+            self._boot(ip=ip, core=i < cores, zone=self.zones[i % len(self.zones)], beat_ms=beat_ms)
 
-    def _boot(self, *, ip: str, core: bool, site: str, beat_ms: int) -> None:
+    def _boot(self, *, ip: str, core: bool, zone: str, beat_ms: int) -> None:
         kind = "core" if core else "edge"
         binds = {"control": f"{ip}:8000"} if core else {"front": f"{ip}:8001", "ready": f"{ip}:8002"}
-        startup = Startup(
+        settings = NodeSettings(
             name=ip,
             role=kind,
             ip=ip,
-            site=site,
-            sites=dict.fromkeys(self.sites, "r"),
+            zone=zone,
+            zones=dict.fromkeys(self.zones, "r"),
             binds=binds,
             ports=PORTS,
             seeds=tuple(f"{s}:8000" for s in self.core_ips[:3]),
@@ -113,7 +113,7 @@
         if core:
             node_id = f"{ip}:{PORTS[0]}#0" if ip in self.core_ips[:3] else f"{ip}:{PORTS[0]}#{secrets.token_hex(4)}"
             node = CoreNode(
-                startup=startup,
+                settings=settings,
                 node_id=node_id,
                 incarnation=1,
                 log=log,
@@ -122,7 +122,7 @@
                 rand=self.rng.random(),
             )
         else:
-            node = EdgeNode(startup=startup, node_id=f"{ip}:{PORTS[0] + 1}#e", incarnation=1, log=log)
+            node = EdgeNode(settings=settings, node_id=f"{ip}:{PORTS[0] + 1}#e", incarnation=1, log=log)
         seat = self.seats[ip] = Seat(ip=ip, node=node)
         self.at(delay=self.rng.random() * 0.05, fn=partial(self._tick, seat, TICK_S[kind]))
 
@@ -152,7 +152,7 @@
     def step(self, *, seat: Seat, kind: str, size: int, fn: Callable[[], None]) -> None:
         """Give a node one input, take what it cost and carry out what it wants."""
         node = seat.node
-        node.now, node.wall = self.now, 1.7e9 + self.now
+        node.now, node.wall_now = self.now, 1.7e9 + self.now
         begun = time.process_time_ns()
         fn()
         cost = seat.inputs.setdefault(kind, Cost())
@@ -161,15 +161,15 @@
         cost.size += size
         out = node.out
         sends, out.sends = out.sends, []
-        for addr, what, body in sends:
-            to = addr.split(":")[0]
+        for address, what, body in sends:
+            to = address.split(":")[0]
             if to != seat.ip:
                 row = seat.sent.setdefault(what.name, Cost())
                 row.count += 1
                 row.size += len(body)
             if to in self.seats:
                 dst = self.seats[to]
-                if addr != addr_of(node_id=dst.node.node_id):
+                if address != addr_of(node_id=dst.node.node_id):
                     continue
                 self.at(
                     delay=0.0 if to == seat.ip else LAG_S,
@@ -186,10 +186,10 @@
             out.writes = []
             self._sync(seat)
         answers, out.answers = out.answers, []
-        for key, res in answers:
+        for key, response in answers:
             back = self._calls.pop(key, None)
             if back is not None:
-                self.at(delay=LAG_S, fn=partial(back, res))
+                self.at(delay=LAG_S, fn=partial(back, response))
 
     def _tick(self, seat: Seat, gap: float) -> None:
         self.step(seat=seat, kind="tick", size=0, fn=seat.node.tick)
@@ -238,7 +238,7 @@
         )
 
     def ask(
-        self, *, ip: str, method: str, path: str, doc: Any = None, limit: float = 10.0, **heads: str
+        self, *, ip: str, method: str, path: str, document: Any = None, limit: float = 10.0, **heads: str
     ) -> tuple[int, Any]:
         """Call and wait; status 0: no answer."""
         got: list[Response] = []
@@ -246,18 +246,22 @@
             ip=ip,
             method=method,
             path=path,
-            body=orjson.dumps(doc) if doc is not None else b"",
+            body=orjson.dumps(document) if document is not None else b"",
             headers={k.replace("_", "-").lower(): v for k, v in heads.items()},
             back=got.append,
         )
         self.until(cond=lambda: bool(got), limit=limit)
         return (got[0].status, orjson.loads(got[0].body) if got[0].body else None) if got else (0, None)
 
-    def configure(self, *, doc: dict[str, Any], base: int = 0, method: str = "PUT") -> None:
+    def configure(self, *, document: dict[str, Any], base: int = 0, method: str = "PUT") -> None:
         """Hand a configuration in until it is accepted."""
         for i in range(100):
             status, _ = self.ask(
-                ip=self.core_ips[i % len(self.core_ips)], method=method, path="/config", doc=doc, If_Match=str(base)
+                ip=self.core_ips[i % len(self.core_ips)],
+                method=method,
+                path="/config",
+                document=document,
+                If_Match=str(base),
             )
             if status == 200:
                 return
@@ -268,18 +272,18 @@
         self,
         *,
         job_id: str,
-        doc: dict[str, Any],
+        document: dict[str, Any],
         prefix: str,
         tries: int = 3,
         back: Callable[[Response], None] | None = None,
     ) -> None:
         """Hand a job in at some edge."""
-        self.judge.sent(job_id=job_id, doc=doc, tries=tries)
+        self.judge.sent(job_id=job_id, document=document, tries=tries)
         self.http(
             ip=self.rng.choice(self.edge_ips),
             method="POST",
             path=prefix + job_id,
-            body=orjson.dumps(doc),
+            body=orjson.dumps(document),
             headers={"host": HOST, "x-deadline-ms": "3000"},
             back=back or (lambda _res: None),
         )
@@ -289,15 +293,15 @@
     def enrol(self, *, crew: Crew, ramp_s: float = 1.0) -> None:
         """Add minions, spread over `ramp_s` seconds."""
         for num in range(crew.count):
-            site = crew.sites[num % len(crew.sites)]
+            zone = crew.zones[num % len(crew.zones)]
             gpus = crew.gpus if crew.gpu_every and num % crew.gpu_every == 0 else 0
             m = Hollow(
                 yard=self.yard,
                 minion_id=f"i-{num:05d}",
                 service=crew.service,
-                site=site,
+                zone=zone,
                 cap=(*crew.cap[:2], gpus),
-                labels=("gpu" if gpus else "cpu", f"r-{site}-{num // len(crew.sites) % crew.racks}"),
+                labels=("gpu" if gpus else "cpu", f"r-{zone}-{num // len(crew.zones) % crew.racks}"),
             )
             m.due = self.now + self.rng.random() * ramp_s
             self.minions.append(m)
@@ -332,9 +336,11 @@
         body = orjson.dumps(m.beat(now=sent))
         seq = m.seq
 
-        def back(res: Response) -> None:
-            if res.status == 200:
-                m.answer(seq=seq, doc=orjson.loads(res.body) if res.body else {}, sent=sent, now=self.now)
+        def back(response: Response) -> None:
+            if response.status == 200:
+                m.answer(
+                    seq=seq, document=orjson.loads(response.body) if response.body else {}, sent=sent, now=self.now
+                )
             else:
                 m.miss(seq=seq, now=self.now)
             touched, self.yard.touched = self.yard.touched, set()
--- a/yarrowloom/transport/http_server.py
+++ b/yarrowloom/transport/http_server.py
@@ -47,11 +47,11 @@
     headers: tuple[tuple[str, str], ...] = ()
 
     @classmethod
-    def of(cls, status: int, doc: object = None, *, headers: tuple[tuple[str, str], ...] = ()) -> "Response":
+    def of(cls, status: int, document: object = None, *, headers: tuple[tuple[str, str], ...] = ()) -> "Response":
         """Build from plain data."""
-        if doc is None:
+        if document is None:
             return cls(status=status, headers=headers)
-        return cls(status=status, body=orjson.dumps(doc), headers=JSON + headers)
+        return cls(status=status, body=orjson.dumps(document), headers=JSON + headers)
 
 
 Handler = Callable[[Request], Awaitable[Response]]
@@ -96,14 +96,16 @@
             first = False
             self.srv.busy += 1
             try:
-                res = await self.srv.handler(req)
+                response = await self.srv.handler(req)
             finally:
                 self.srv.busy -= 1
             closing = self.srv.closing
-            head = write_head(status=res.status, headers=res.headers, closing=closing, size=len(res.body))
+            head = write_head(
+                status=response.status, headers=response.headers, closing=closing, size=len(response.body)
+            )
             with trio.fail_after(10):
-                await self.stream.send_all(head + res.body)
-            if closing or ("connection", "close") in res.headers:
+                await self.stream.send_all(head + response.body)
+            if closing or ("connection", "close") in response.headers:
                 return
         if self.buf:
             self.conn.receive_data(bytes(self.buf))
@@ -149,10 +151,10 @@
                 return
             self.srv.busy += 1
             try:
-                res = await self.srv.handler(req)
+                response = await self.srv.handler(req)
             finally:
                 self.srv.busy -= 1
-            await self._send(res)
+            await self._send(response)
             if self.conn.our_state is h11.MUST_CLOSE or self.conn.our_state is h11.CLOSED:
                 return
             try:
@@ -224,24 +226,26 @@
         if self.conn.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             await self._send(Response(status=status, headers=(("connection", "close"),)))
 
-    async def _send(self, res: Response) -> None:
+    async def _send(self, response: Response) -> None:
         if self.conn.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
-        headers = screen(headers=res.headers, rule=Rule.RESPONSE)
+        headers = screen(headers=response.headers, rule=Rule.RESPONSE)
         if self.srv.closing and not any(k == "connection" for k, _ in headers):
             headers.append(("connection", "close"))
-        headers.append(("content-length", str(len(res.body))))
-        data = self.conn.send(h11.Response(status_code=res.status, headers=headers)) or b""
-        if res.body:
-            data += self.conn.send(h11.Data(data=res.body)) or b""
+        headers.append(("content-length", str(len(response.body))))
+        data = self.conn.send(h11.Response(status_code=response.status, headers=headers)) or b""
+        if response.body:
+            data += self.conn.send(h11.Data(data=response.body)) or b""
         data += self.conn.send(h11.EndOfMessage()) or b""
         with trio.fail_after(10):
             await self.stream.send_all(data)
 
 
-async def listen(*, addr: str, server: Server, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
+async def listen(
+    *, address: str, server: Server, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
+) -> None:
     """Accept connections at HOST:PORT for ever; started once clients can connect. The listener is closed once this has
     ended, however it ends."""
-    with accept.open_listener(addr=addr) as listener:
+    with accept.open_listener(address=address) as listener:
         task_status.started()
         await accept.serve(listener=listener, handler=server.serve)
--- a/yarrowloom/transport/listener.py
+++ b/yarrowloom/transport/listener.py
@@ -19,9 +19,9 @@
 StreamHandler = Callable[[trio.SocketStream], Awaitable[object]]
 
 
-def open_listener(*, addr: str, backlog: int = BACKLOG) -> socket.socket:
+def open_listener(*, address: str, backlog: int = BACKLOG) -> socket.socket:
     """Listen at HOST:PORT (IPv4). Raises OSError, as where the port is in use."""
-    host, port = addr.rsplit(":", 1)
+    host, port = address.rsplit(":", 1)
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/yarrowloom/transport/peer_connections.py
+++ b/yarrowloom/transport/peer_connections.py
@@ -164,8 +164,8 @@
     first frame. So whoever sent a frame was alive after its connection got its number, and of two processes that
     followed each other at an address the later one has the higher numbers, whatever a cut or a full backlog held up."""
 
-    def __init__(self, *, addr: str, node_id: str, incarnation: int, sink: Sink, log: Log) -> None:
-        self.addr = addr
+    def __init__(self, *, address: str, node_id: str, incarnation: int, sink: Sink, log: Log) -> None:
+        self.address = address
         self.node_id = node_id
         self.incarnation = incarnation
         self.sink = sink
@@ -177,27 +177,27 @@
         self._told: dict[int, None] = {}  # connections with frames of a life that does not count
         self._nursery: trio.Nursery | None = None
 
-    def send(self, *, addr: str, kind: Kind, body: bytes) -> None:
+    def send(self, *, address: str, kind: Kind, body: bytes) -> None:
         """Queue a message; dropped when the peer's queue is full."""
         lane = LANES[kind]
-        if addr == self.addr:  # parsed, not handed over: what a state machine holds must not be shared
+        if address == self.address:  # parsed, not handed over: what a state machine holds must not be shared
             self.sink(self.node_id, lane, [(kind, orjson.loads(body))], False)
             return
-        pair = self._out.get((addr, lane))
+        pair = self._out.get((address, lane))
         if pair is None:
-            pair = self._out[addr, lane] = (Line(), trio.Event())
+            pair = self._out[address, lane] = (Line(), trio.Event())
             assert self._nursery is not None
-            self._nursery.start_soon(self._pump, addr, lane, pair[0])
+            self._nursery.start_soon(self._pump, address, lane, pair[0])
         line, wake = pair
         full = line.full
         if not line.put(kind=kind, body=body) and not full:
-            self.log.warn("peer-queue-full", peer=addr, lane=lane.name)
+            self.log.warn("peer-queue-full", peer=address, lane=lane.name)
         wake.set()
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Serve for ever; started once peers can connect and messages can be sent. The listener is closed once this
         has ended, however it ends: the address is free again."""
-        with accept.open_listener(addr=self.addr) as listener:
+        with accept.open_listener(address=self.address) as listener:
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
                 nursery.start_soon(partial(accept.serve, listener=listener, handler=self._take))
@@ -212,20 +212,20 @@
                 if lane is Lane.WORK and line.marks > 0:
                     wake.set()
 
-    async def _next(self, *, addr: str, lane: Lane, line: Line) -> bool:
+    async def _next(self, *, address: str, lane: Lane, line: Line) -> bool:
         """Wait for messages; false: none, but a mark is due."""
         if not line.rows:
-            await self._out[addr, lane][1].wait()
-        self._out[addr, lane] = (line, trio.Event())
+            await self._out[address, lane][1].wait()
+        self._out[address, lane] = (line, trio.Event())
         return bool(line.rows)
 
-    async def _pump(self, addr: str, lane: Lane, line: Line) -> None:
-        host, port = addr.rsplit(":", 1)
+    async def _pump(self, address: str, lane: Lane, line: Line) -> None:
+        host, port = address.rsplit(":", 1)
         stream: trio.SocketStream | None = None
-        sealer = Sealer(lane=lane, src=self.addr, node_id=self.node_id, incarnation=self.incarnation)
+        sealer = Sealer(lane=lane, src=self.address, node_id=self.node_id, incarnation=self.incarnation)
         try:
             while True:
-                real = await self._next(addr=addr, lane=lane, line=line)
+                real = await self._next(address=address, lane=lane, line=line)
                 seq, body = line.take()
                 raw = sealer.seal(seq=seq, body=body)
                 try:
