--- a/yarrowloom/node/node_base.py
+++ b/yarrowloom/node/node_base.py
@@ -11,6 +11,7 @@
 from ..replication.epoch import Epoch, addr_of, check_epoch
 from ..transport.envelope import Kind, dump
 from ..transport.http_server import Response
+from ..transport.message import Message
 from .config_freshness import Freshness
 from .group_calls import Calls, first_number
 from .outputs import Outbox, Sent, ring
@@ -68,6 +69,10 @@
         """To another node, or to itself."""
         self.out.sends.append((addr_of(node_id=node_id), kind, dump(body=body)))
 
+    def send_message(self, *, node_id: str, message: Message) -> None:
+        """Send a typed message to another node, or to itself."""
+        self.out.sends.append((addr_of(node_id=node_id), message.KIND, message.encoded()))
+
     def respond(self, *, call: Any, response: Response) -> None:
         """Answer an HTTP call."""
         self.out.answers.append((call, response))
--- /dev/null
+++ b/yarrowloom/transport/message.py
@@ -0,0 +1,12 @@
+"""The base of typed messages between nodes."""
+
+from typing import ClassVar
+
+from ..common.records import Record
+from .envelope import Kind
+
+
+class Message(Record):
+    """The body of one message between nodes; its class fixes the kind. Encoded keys are those on the wire."""
+
+    KIND: ClassVar[Kind]
