--- a/yarrowloom/common/records.py
+++ b/yarrowloom/common/records.py
@@ -11,7 +11,10 @@
 
 
 class Record(msgspec.Struct, frozen=True, kw_only=True):
-    """Base of all records. Unknown encoded keys are passed over, so that newer versions may add fields."""
+    """Base of all records. Unknown encoded keys are passed over, so that newer versions may add fields.
+
+    Subclasses repeat `frozen=True, kw_only=True`, as type checkers ask for it.
+    """
 
     def document(self) -> Any:
         """The record as plain data, with the encoded keys."""
@@ -42,7 +45,7 @@
     Raises:
         MalformedRecordError: A field is missing or of another type.
 
-    >>> class Probe(Record, rename={"group_id": "g"}):
+    >>> class Probe(Record, frozen=True, kw_only=True, rename={"group_id": "g"}):
     ...     group_id: int
     >>> decode({"g": 1}, into=Probe)
     Probe(group_id=1)
--- a/yarrowloom/transport/message.py
+++ b/yarrowloom/transport/message.py
@@ -6,7 +6,7 @@
 from .envelope import Kind
 
 
-class Message(Record):
+class Message(Record, frozen=True, kw_only=True):
     """The body of one message between nodes; its class fixes the kind. Encoded keys are those on the wire."""
 
     KIND: ClassVar[Kind]
