--- a/docs/experiments/growth_collapse.py
+++ b/docs/experiments/growth_collapse.py
@@ -27,7 +27,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parents[2]))
 sys.path.insert(0, str(Path(__file__).resolve().parent))
 
-from growth import CAP, NARROW, WORK_S, Meter, install, submit  # noqa: E402
+from growth import CAP, NARROW, WORK_S, Meter, install, submit
 from yarrowloom.scheduling.evict import Evictor
 
 from yarrowloom.node import group_calls as calls
--- a/docs/experiments/growth_recover.py
+++ b/docs/experiments/growth_recover.py
@@ -14,8 +14,8 @@
 sys.path.insert(0, str(Path(__file__).resolve().parents[2]))
 sys.path.insert(0, str(Path(__file__).resolve().parent))
 
-from growth import CAP, NARROW, WORK_S, submit  # noqa: E402
-from growth_collapse import BUSY, EVENTS, STATE, TICK, WAIT, charge, listen, without  # noqa: E402
+from growth import CAP, NARROW, WORK_S, submit
+from growth_collapse import BUSY, EVENTS, STATE, TICK, WAIT, charge, listen, without
 
 from yarrowloom.simulator.minions import cluster
 
--- a/docs/experiments/growth_state.py
+++ b/docs/experiments/growth_state.py
@@ -13,7 +13,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[2]))
 
-import orjson  # noqa: E402
+import orjson
 
 from yarrowloom.jobs.state_machine import Jobs
 from yarrowloom.storage import Ring
@@ -92,7 +92,7 @@
     for live in map(int, arg.live.split(",")):
         jobs = fill(live=live, ended=arg.ended, tasks=arg.tasks)
         t_dump, body = ms(lambda: dump(body={"g": 1, "st": jobs.dump()}))  # noqa: B023
-        t_pack, raw = ms(  # noqa: B023
+        t_pack, raw = ms(
             lambda: pack(frame=Frame(kind=int(Kind.CKPT), src="a:1", node_id="u", boot=1, seq=1, body=body))  # noqa: B023
         )
 
@@ -115,7 +115,7 @@
             t_ring = 0.0
             if not full:
                 ring.append(bodies=[body])
-            t_ring, _ = ms(lambda: Ring(folder=folder, size=8 << 20).load())  # noqa: B023
+            t_ring, _ = ms(lambda: Ring(folder=folder, size=8 << 20).load())
             ring.close()
         link = len(raw) * 8 / 100e6 * 1e3
         print(
--- a/tests/agent/test_draining_minions.py
+++ b/tests/agent/test_draining_minions.py
@@ -31,7 +31,8 @@
         rig.environment.now += 0.5
         rows[0][3] = percent
         rig.beat(running=rows)
-        assert minion.phase is Phase.KNOWN and rig.ask(group_id=2) == []
+        assert minion.phase is Phase.KNOWN
+        assert rig.ask(group_id=2) == []
     rig.beat(ends=[[1, TASK, 1, "done", ""]])
     assert rig.environment.last(Kind.ENDS)["x"] == [[1, TASK, 1, "done", ""]]
     assert not any(kind is Kind.LOST for _, kind, _ in rig.environment.sent)
@@ -58,7 +59,9 @@
     rig = Rig()
     rig.agent.leave(minion_id="i", call="delete")
     rig.beat()
-    assert rig.agent.minions["i"].draining and rig.ask(group_id=2) == []
+    assert rig.agent.minions["i"].draining
+    assert rig.ask(group_id=2) == []
     rig.seq -= 1  # an earlier call that comes late
     rig.beat()
-    assert rig.agent.minions["i"].draining and rig.ask(group_id=2) == []
+    assert rig.agent.minions["i"].draining
+    assert rig.ask(group_id=2) == []
--- a/tests/cluster_state/test_config_delta.py
+++ b/tests/cluster_state/test_config_delta.py
@@ -83,12 +83,14 @@
         if delta is None:
             continue
         wire = orjson.loads(orjson.dumps(delta))
-        assert wire["base"] == config_version and wire["to"] == document["config-version"]
+        assert wire["base"] == config_version
+        assert wire["to"] == document["config-version"]
         assert text(merge(document=docs[config_version], delta=wire)) == text(document)
         other = History()
         other.add(document=docs[config_version])
         got = other.taken(delta=wire)
-        assert got is not None and text(got) == text(document)
+        assert got is not None
+        assert text(got) == text(document)
     assert len(past.docs) == History.STAMPS
     assert past.since(config_version=1) is None
 
@@ -112,7 +114,9 @@
     fresh = orjson.loads(orjson.dumps({**old, "config-version": 3, "route-table": rows}))
     new = past.add(document=fresh)
     delta = past.since(config_version=1)
-    assert delta is not None and len(orjson.dumps(delta)) < 600 and past.bytes > 70_000
+    assert delta is not None
+    assert len(orjson.dumps(delta)) < 600
+    assert past.bytes > 70_000
     assert sum(a is b for a, b in zip(old["route-table"], new["route-table"], strict=True)) == 509
     assert past.since(config_version=1) is delta
 
@@ -159,7 +163,8 @@
 def test_a_look_up_costs_one_step_for_each_length_of_prefix() -> None:
     table = Table(document=whole(version=1, routes=510))
     rows, sizes = table.hosts["h.example"]
-    assert len(rows) == 510 and sizes == [6, 5, 4]
+    assert len(rows) == 510
+    assert sizes == [6, 5, 4]
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -202,16 +207,19 @@
 def test_one_changed_route_of_510_is_logged_as_such() -> None:
     registry = Registry()
     first = registry.judge(method="PUT", base="0", body=orjson.dumps(whole(version=1, routes=510)))
-    assert first is not None and "doc" in first
+    assert first is not None
+    assert "doc" in first
     registry.apply(first)
     for method, body in (
         ("PATCH", {"config-version": 3, "upserts": {"route-table": [route(5, rank=0)]}}),
         ("PUT", {**whole(version=5, routes=511)}),
     ):
         event = registry.judge(method=method, base=str(registry.config_version), body=orjson.dumps(body))
-        assert event is not None and len(orjson.dumps(event)) < 800
+        assert event is not None
+        assert len(orjson.dumps(event)) < 800
         registry.apply(event)
-    assert registry.config_version == 5 and small(
+    assert registry.config_version == 5
+    assert small(
         delta=diff(old=whole(version=1, routes=4), new=whole(version=2, routes=5)), document=whole(version=2, routes=5)
     )
 
--- a/tests/cluster_state/test_config_values.py
+++ b/tests/cluster_state/test_config_values.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(
-    "table,key",
+    ("table", "key"),
     [
         *(("route-table", key) for key in ("deadline-ms", "target-ms", "rank", "max-tries", "stretch")),
         *(("limits", key) for key in ("max-header-bytes", "max-body-bytes", "header-timeout-ms", "idle-timeout-ms")),
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize(
-    "table,key,values",
+    ("table", "key", "values"),
     [
         *(("route-table", key, [0.5, 0, OVER - 1, HUGE]) for key in ("target-ms", "rank", "max-tries", "stretch")),
         ("route-table", "deadline-ms", [0.5, OVER - 1, HUGE]),
--- a/tests/cluster_state/test_operator_requests.py
+++ b/tests/cluster_state/test_operator_requests.py
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize(
-    "header,how",
+    ("header", "how"),
     [
         ("3", "taken"),
         ('"3"', "taken"),
@@ -257,12 +257,13 @@
     assert evacuate(registry, zone="a", on=True, known=first) == "taken"
     second = registry.registry_version
     assert evacuate(registry, zone="a", on=False, known=second) == "taken"
-    assert evacuate(registry, zone="a", on=True, known=first) == "unclear" and registry.evacuated_zones == []
-    assert evacuate(registry, zone="a", on=True, known=second) == "unclear" and registry.evacuated_zones == []
+    assert evacuate(registry, zone="a", on=True, known=first) == "unclear"
+    assert registry.evacuated_zones == []
+    assert evacuate(registry, zone="a", on=True, known=second) == "unclear"
+    assert registry.evacuated_zones == []
     assert evacuate(registry, zone="b", on=True, known=first) == "taken"
-    assert evacuate(
-        registry, zone="a", on=True, known=registry.registry_version
-    ) == "taken" and registry.evacuated_zones == ["a", "b"]
+    assert evacuate(registry, zone="a", on=True, known=registry.registry_version) == "taken"
+    assert registry.evacuated_zones == ["a", "b"]
 
 
 def test_an_order_for_the_present_state_fences_what_was_sent_before() -> None:
@@ -271,7 +272,8 @@
     evacuate(registry, zone="a", on=True, known=0)
     known = registry.registry_version
     assert evacuate(registry, zone="a", on=True, known=known) == "taken"
-    assert evacuate(registry, zone="a", on=False, known=known) == "unclear" and registry.evacuated_zones == ["a"]
+    assert evacuate(registry, zone="a", on=False, known=known) == "unclear"
+    assert registry.evacuated_zones == ["a"]
 
 
 def test_what_is_known_of_zones_is_bounded_and_survives_a_snapshot() -> None:
@@ -282,7 +284,8 @@
     assert evacuate(registry, zone="new", on=True, known=0) == "unclear"
     twin = Registry()
     twin.load(orjson.loads(orjson.dumps(registry.dump())))
-    assert twin.dump() == registry.dump() and len(orjson.dumps(registry.zones.dump())) < 10_000
+    assert twin.dump() == registry.dump()
+    assert len(orjson.dumps(registry.zones.dump())) < 10_000
     assert evacuate(twin, zone="z1", on=True, known=3) == "unclear"
     assert evacuate(twin, zone="z1", on=True, known=twin.registry_version) == "taken"
 
--- a/tests/cluster_state/test_operator_requests_cluster.py
+++ b/tests/cluster_state/test_operator_requests_cluster.py
@@ -144,7 +144,8 @@
     sim.run(seconds=0.05)
     rivals = [begin(sim, ip=ip, base=1, body=rival, method="PATCH") for ip in others(sim, lead)]
     sim.run(seconds=0.4)
-    assert copies == [[], [], []] and rivals == [[], []]
+    assert copies == [[], [], []]
+    assert rivals == [[], []]
     sim.run(seconds=2.0)
     assert [[response.status for response in got] for got in copies] == [[200]] * 3
     assert [[response.status for response in got] for got in rivals] == [[412]] * 2
@@ -162,10 +163,12 @@
     sim.run(seconds=0.02)
     rival = begin(sim, ip=lead, base=1, body=patch(version=3, tries=5), method="PATCH")
     sim.run(seconds=0.1)
-    assert first == [] and rival == []
+    assert first == []
+    assert rival == []
     sim.kill(ip=lead, power=True)
     sim.heal()
-    assert first == [] and rival == []
+    assert first == []
+    assert rival == []
     sim.run(seconds=3.0)
     left = others(sim, lead)[0]
     assert read(sim, left) == 1
--- a/tests/integration/test_cluster.py
+++ b/tests/integration/test_cluster.py
@@ -218,7 +218,8 @@
     for _ in range(6):
         job_ids.append(caller.submit(stages=[TASK]))
         sim.run(seconds=0.3)
-    assert len(oracle.accepted) == 3 and len(oracle.refused) == 3
+    assert len(oracle.accepted) == 3
+    assert len(oracle.refused) == 3
     finish(sim, oracle, caller, [j for j in job_ids if j in oracle.accepted])
     assert all(caller.state(job_id=j)[0] == 410 for j in oracle.refused)
 
--- a/tests/integration/test_large_clusters.py
+++ b/tests/integration/test_large_clusters.py
@@ -96,9 +96,8 @@
     placer = sim.core(sim.serving(group_id=1)[0]).placers[1]
     job_ids = [caller.submit(stages=[STEP]) for _ in range(12)]
     sim.run(seconds=1.2)
-    assert placer.room.of[sim.node_ids[cut]] and not any(
-        placer.room.spots[minion_id].open for minion_id in placer.room.of[sim.node_ids[cut]]
-    )
+    assert placer.room.of[sim.node_ids[cut]]
+    assert not any(placer.room.spots[minion_id].open for minion_id in placer.room.of[sim.node_ids[cut]])
     assert sim.until(cond=lambda: all(caller.state(job_id=j) == (200, "complete") for j in job_ids), limit=5.0)
     sim.heal()
     sim.run(seconds=8.0)
@@ -117,9 +116,11 @@
         rig.agent.tick()
         assert rig.environment.now - began < 2.5  # a hold is 4 s
     assert rig.environment.last(Kind.NAK)["x"] == [["i", 1, TASK, 1]]
-    assert rig.agent.minions["i"].runs == {} and rig.ask(group_id=2) == []
+    assert rig.agent.minions["i"].runs == {}
+    assert rig.ask(group_id=2) == []
     assert "started" not in rig.beat()  # and it does not go out after all
-    assert rig.ask(group_id=2) != [] and JOB in TASK
+    assert rig.ask(group_id=2) != []
+    assert JOB in TASK
 
 
 # -- what every change and every heartbeat cost
@@ -147,7 +148,8 @@
     sim.core(ip).table = Table(document=document)
     placer.configured()
     waiting = {job_id for job_id, _ in placer.backlog.groups}
-    assert set(ranked) == waiting <= set(job_ids) and waiting
+    assert set(ranked) == waiting <= set(job_ids)
+    assert waiting
     assert {group.rank for group in placer.backlog.groups.values()} == {0}
     assert oracle.broken == []
 
@@ -163,7 +165,8 @@
     nodes = {f"e{i:03d}": {"kind": "edge"} for i in range(300)}
     relays = EdgeRelays()
     via = [relays.for_edge(node_id=node_id, now=5.0, nodes=nodes, alive=alive) for node_id in nodes]
-    assert looks == 300 and via[:FANOUT] == [[]] * FANOUT
+    assert looks == 300
+    assert via[:FANOUT] == [[]] * FANOUT
     assert all(len(row) == 2 and set(row) <= set(relays.names) for row in via[FANOUT:])
     few = dict(list(nodes.items())[:FANOUT])
     assert relays.for_edge(node_id="e299", now=5.0 + LOOK_S, nodes=few, alive=alive) == []
@@ -188,7 +191,8 @@
     node.too_late(node_id=edge, m=call)
     assert answers(node=node) == [(7, 503)]
     node.on(node_id=edge, kind=Kind.CALL, m=call)  # a repeat that was on its way
-    assert answers(node=node) == [(7, 503)] and "error" in OVERLOADED
+    assert answers(node=node) == [(7, 503)]
+    assert "error" in OVERLOADED
     node.on(node_id=edge, kind=Kind.CALL, m={**call, "rid": 8})
     node.too_late(node_id=edge, m={**call, "rid": 8})
     assert answers(node=node) == []
--- a/tests/integration/test_loopback.py
+++ b/tests/integration/test_loopback.py
@@ -92,14 +92,17 @@
                 assert (await call(pool, "PUT", f"http://{seed}/config", config(version=2), If_Match="0"))[0] == 200
                 assert (await call(pool, "PUT", f"http://{seed}/config", config(version=3), If_Match="1"))[0] == 412
                 bad, document = await call(pool, "PUT", f"http://{seed}/config", {"config-version": 3}, If_Match="2")
-                assert bad == 400 and len(document["findings"]) == 2
+                assert bad == 400
+                assert len(document["findings"]) == 2
                 nursery.start_soon(minion, pool, seed)
                 while (await call(pool, "GET", f"http://{HOST}:{ready}/readiness"))[0] != 200:
                     pass
                 load = Load(addresses=(f"{HOST}:{front}",), host=HOST_NAME, prefix="/fast/", jobs=5, rate=1000.0)
                 await load.run()
                 out = report(load=load)
-                assert out["accepted"] == 5 and out["lost"] == 0 and out["failed"] == 0
+                assert out["accepted"] == 5
+                assert out["lost"] == 0
+                assert out["failed"] == 0
                 url = f"http://{HOST}:{front}/fast/"
                 assert await call(pool, "GET", url, Host=HOST_NAME) == (200, {"pending": 0})
                 assert (await call(pool, "GET", url + "0123456789abcdef", Host=HOST_NAME))[0] == 410
--- a/tests/integration/test_overload.py
+++ b/tests/integration/test_overload.py
@@ -56,7 +56,8 @@
     def nobody_was_taken_for_dead(self) -> None:
         """Promises held, epochs and fences are as before, no rule is broken."""
         assert self.unserved == []
-        assert self.state() == self.before and self.before[2] == set()
+        assert self.state() == self.before
+        assert self.before[2] == set()
         assert self.oracle.broken == []
 
 
@@ -64,17 +65,20 @@
 def test_a_burst_beyond_capacity_is_worked_off_and_nobody_is_taken_for_dead(seed: int) -> None:
     sim, oracle, caller, fleet = cluster(seed=seed, cores=5, edges=4, minions=60, cap=(16000, 64000, 0), speed=SPEED)
     burst = Burst(sim=sim, oracle=oracle, caller=caller, fleet=fleet)
-    assert burst.busiest > 0.95 and burst.most > 300  # it was beyond capacity
+    assert burst.busiest > 0.95
+    assert burst.most > 300
     burst.watch(seconds=15.0)
     burst.nobody_was_taken_for_dead()
     assert burst.waiting() < 20
-    assert set(burst.job_ids) == set(oracle.accepted) and len(oracle.done) == 4 * len(burst.job_ids)
+    assert set(burst.job_ids) == set(oracle.accepted)
+    assert len(oracle.done) == 4 * len(burst.job_ids)
 
 
 def test_placing_that_falls_behind_for_want_of_room_harms_nobody_else() -> None:
     """The same burst onto a quarter of the room: placing takes all the time there is, and beats still pass it."""
     sim, oracle, caller, fleet = cluster(seed=103, cores=5, edges=4, minions=60, cap=(4000, 64000, 0), speed=SPEED)
     burst = Burst(sim=sim, oracle=oracle, caller=caller, fleet=fleet)
-    assert burst.busiest > 0.95 and burst.most > 300
+    assert burst.busiest > 0.95
+    assert burst.most > 300
     burst.watch(seconds=10.0)
     burst.nobody_was_taken_for_dead()
--- a/tests/integration/test_published_lines.py
+++ b/tests/integration/test_published_lines.py
@@ -91,8 +91,10 @@
         return trio.current_time() - begun
 
     took = trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
-    assert grace_s * 5 / 6 <= took + 1e-9 and took < grace_s
-    assert server.closing and not node.ready()
+    assert grace_s * 5 / 6 <= took + 1e-9
+    assert took < grace_s
+    assert server.closing
+    assert not node.ready()
 
 
 def test_a_new_life_of_another_kind_at_the_same_address_is_another_minion() -> None:
@@ -108,7 +110,8 @@
     new = day.hire(minion_id="i-new", zone=old.zone, cap=(2000, 4000, 0), labels=("a", "r9"), address=old.address)
     fits_new = day.job(task(n=5, requires="r9"))
     day.sim.run(seconds=10.0)
-    assert day.judge.shows[fits_new] == "complete" and new.fence > 0
+    assert day.judge.shows[fits_new] == "complete"
+    assert new.fence > 0
     assert day.judge.shows[needs_old] in ("pending", "active")
     day.hire(minion_id="i-third", zone=old.zone, cap=old.cap, labels=old.labels)
     day.finish()
@@ -133,7 +136,8 @@
             if day.judge.alive.get(name):
                 last[name] = day.sim.now
             assert day.sim.now - last[name] <= 9.0, (name, last[name] - begun)
-    assert day.judge.broken == [] and day.judge.shows[jid] == "active"
+    assert day.judge.broken == []
+    assert day.judge.shows[jid] == "active"
 
 
 def _end_a_run(*, day: Day, how: str) -> None:
--- a/tests/mutants/test_operator_request_mutants.py
+++ b/tests/mutants/test_operator_request_mutants.py
@@ -138,7 +138,7 @@
 ]
 
 
-@pytest.mark.parametrize("mutant,fault,rules", MUTANTS, ids=lambda x: getattr(x, "__name__", ""))
+@pytest.mark.parametrize(("mutant", "fault", "rules"), MUTANTS, ids=lambda x: getattr(x, "__name__", ""))
 def test_the_checkers_find_it(mutant: Mutant, fault: Fault, rules: set[str], monkeypatch: pytest.MonkeyPatch) -> None:
     mutant(monkeypatch)
     for seed in range(SEEDS):
--- a/tests/mutants/test_state_mutants.py
+++ b/tests/mutants/test_state_mutants.py
@@ -232,7 +232,8 @@
 
 def test_lost_only_failures_fail_a_job() -> None:
     real = Jobs._end
-    assert losses().judge.broken == [] and astray().judge.broken == []
+    assert losses().judge.broken == []
+    assert astray().judge.broken == []
     for how in ("lost", "lapsed", "void", "stopped", "broken"):
 
         def end(self: Jobs, event: dict[str, Any], how: str = how) -> list[Any]:
--- a/tests/node/test_busy_process.py
+++ b/tests/node/test_busy_process.py
@@ -33,7 +33,8 @@
         sim.freeze(ip=ip, seconds=seconds)
         sim.run(seconds=seconds + 1.5)
         assert sim.serving(group_id=group_id) == [ip]
-    assert epochs(sim)[group_id] == before[group_id] and oracle.broken == []
+    assert epochs(sim)[group_id] == before[group_id]
+    assert oracle.broken == []
     assert epochs(sim) == before or seconds > DOUBT_S  # as a backup of another group it was replaced
 
 
@@ -46,8 +47,10 @@
         sim.freeze(ip=ip, seconds=2.5)
     sim.run(seconds=6.0)
     owners = {row["o"] for row in sim.core(sim.serving(group_id=0)[0]).registry.minions.values()}
-    assert epochs(sim) == before and len(owners) == 3
-    assert all(caller.state(job_id=j) == (200, "complete") for j in job_ids) and oracle.broken == []
+    assert epochs(sim) == before
+    assert len(owners) == 3
+    assert all(caller.state(job_id=j) == (200, "complete") for j in job_ids)
+    assert oracle.broken == []
 
 
 def test_a_short_absence_of_a_witness_costs_no_campaign() -> None:
@@ -88,11 +91,14 @@
     mine = [s for s in sent if s[0] == ip and s[1] is Kind.CKPT]
     sim.run(seconds=10.0)
     tried = [s for s in sent if s[0] == ip and s[1] is Kind.CKPT and s[2]["g"] == 1 and s[2]["inst"] == before + 1]
-    assert mine and 2 <= len(tried) <= 7 and len({s[2]["tag"] for s in tried}) == 1
+    assert mine
+    assert 2 <= len(tried) <= 7
+    assert len({s[2]["tag"] for s in tried}) == 1
     assert len(made) <= 4  # of each group's two campaigners, one each
     sim.heal()
     assert sim.until(cond=lambda: len(sim.serving(group_id=1)) == 1, limit=8.0)
-    assert caller.state(job_id=job_id) == (200, "complete") and oracle.broken == []
+    assert caller.state(job_id=job_id) == (200, "complete")
+    assert oracle.broken == []
 
 
 def tap(sim: Sim) -> list[tuple[str, Kind | None, Any]]:
--- a/tests/node/test_call_identity.py
+++ b/tests/node/test_call_identity.py
@@ -71,7 +71,8 @@
     new = caller(sim=sim, incarnation=2_000_000)  # the numbers of both began alike: incarnation modulo a million
     ask(new)
     new.on(node_id=by, kind=Kind.REPLY, m=late)
-    assert ends(new) == [] and len(new.calls.open) == 1
+    assert ends(new) == []
+    assert len(new.calls.open) == 1
 
 
 def test_an_answer_to_a_node_that_lost_its_disk_is_not_taken_by_its_successor() -> None:
@@ -81,7 +82,8 @@
     new = caller(sim=sim, incarnation=1, node_id=ADDR + "#77")
     ask(new)
     new.on(node_id=by, kind=Kind.REPLY, m=late)
-    assert ends(new) == [] and len(new.calls.open) == 1
+    assert ends(new) == []
+    assert len(new.calls.open) == 1
 
 
 def test_an_answer_of_a_node_that_was_not_asked_is_refused() -> None:
@@ -90,9 +92,11 @@
     by, right = answered(sim, node_id=node.node_id, m=ask(node))
     other = next(sim.core(ip).node_id for ip in sim.core_ips if sim.core(ip).node_id != by)
     node.on(node_id=other, kind=Kind.REPLY, m=dict(right))
-    assert ends(node) == [] and len(node.calls.open) == 1
+    assert ends(node) == []
+    assert len(node.calls.open) == 1
     node.on(node_id=by, kind=Kind.REPLY, m=right)
-    assert ends(node) == [200] and not node.calls.open
+    assert ends(node) == [200]
+    assert not node.calls.open
 
 
 def test_an_answer_after_its_call_was_given_up_is_dropped() -> None:
@@ -104,4 +108,5 @@
     assert ends(node) == [503]
     ask(node)
     node.on(node_id=by, kind=Kind.REPLY, m=late)
-    assert ends(node) == [503] and len(node.calls.open) == 1
+    assert ends(node) == [503]
+    assert len(node.calls.open) == 1
--- a/tests/node/test_call_repeats.py
+++ b/tests/node/test_call_repeats.py
@@ -93,7 +93,8 @@
     other = {"id": job_id, "q": "another", "j": {}}
     assert answers(sim, new, m={"rid": 11, "to": "", "g": 1, "op": "put", "b": other}) == [(409, {})]
     sim.run(seconds=6.0)
-    assert caller.state(job_id=job_id) == (200, "complete") and oracle.broken == []
+    assert caller.state(job_id=job_id) == (200, "complete")
+    assert oracle.broken == []
 
 
 def test_a_cancelled_job_stays_so_when_the_call_that_handed_it_in_comes_late() -> None:
--- a/tests/node/test_config_dissemination.py
+++ b/tests/node/test_config_dissemination.py
@@ -35,7 +35,8 @@
     assert {n.table.config_version for n in edges(sim) if n.table} == {9}
     for node in edges(sim):
         node.take_news(document={"conf": config(version=3)})
-        assert node.table is not None and node.table.config_version == 9
+        assert node.table is not None
+        assert node.table.config_version == 9
 
 
 def test_edges_leave_a_relay_that_is_down_or_cut_off() -> None:
@@ -49,7 +50,8 @@
     live = [n for n in edges(sim) if n.settings.ip not in relays[:2]]
     assert all(n.ready() for n in live)
     cut = sim.procs[relays[1]].node
-    assert isinstance(cut, EdgeNode) and not cut.ready()
+    assert isinstance(cut, EdgeNode)
+    assert not cut.ready()
 
 
 def test_nothing_starts_in_an_evacuated_site_until_it_is_taken_back() -> None:
@@ -64,7 +66,8 @@
     def busy(m: SimMinion) -> bool:
         return bool(m.running)
 
-    assert not any(busy(m) for m in fleet if m.zone == "z0") and any(busy(m) for m in fleet)
+    assert not any(busy(m) for m in fleet if m.zone == "z0")
+    assert any(busy(m) for m in fleet)
     assert sim.ask(ip=sim.core_ips[2], method="DELETE", path="/evacuation/z0")[0] == 200
     sim.run(seconds=3.0)
     assert any(busy(m) for m in fleet if m.zone == "z0")
@@ -104,4 +107,5 @@
                 seen.setdefault(task, (sim.wall0 + sim.now) * 1000)
     assert sorted(seen) == [f"{job_id}.{k}.0.0" for k in range(3)]
     assert all(-250 <= at - (first + 3000 * int(t.split(".")[1])) < 1500 for t, at in seen.items())
-    assert caller.state(job_id=job_id) == (200, "complete") and oracle.broken == []
+    assert caller.state(job_id=job_id) == (200, "complete")
+    assert oracle.broken == []
--- a/tests/node/test_config_dissemination_tree.py
+++ b/tests/node/test_config_dissemination_tree.py
@@ -21,7 +21,8 @@
 def test_the_first_configuration_goes_to_each_edge_about_once() -> None:
     sim = ready(seed=1)
     wholes = sim.news(what="conf", since=0.0)
-    assert 33 <= len(wholes) <= 40 and all(size > 80_000 for *_, size in wholes)
+    assert 33 <= len(wholes) <= 40
+    assert all(size > 80_000 for *_, size in wholes)
     assert all(src in sim.core_ips for src, *_ in wholes)
 
 
@@ -35,7 +36,8 @@
         sim.run(seconds=2.0)
         rows = sim.news(what="delta", since=since)
         assert len({(src, dst) for src, dst, _ in rows}) == len(rows) <= 2 * 33 + 10
-        assert max(size for *_, size in rows) < 1500 and sim.news(what="conf", since=since) == []
+        assert max(size for *_, size in rows) < 1500
+        assert sim.news(what="conf", since=since) == []
         base = version
 
 
@@ -46,7 +48,8 @@
     assert sim.until(cond=lambda: sim.stamps() == {8}, limit=0.5)
     assert sim.news(what="conf", since=since) == []
     status, document = sim.ask(ip=sim.core_ips[0], method="GET", path="/config")
-    assert status == 200 and document == large(version=8, routes=512)
+    assert status == 200
+    assert document == large(version=8, routes=512)
 
 
 def test_news_that_got_lost_goes_again_within_the_bound() -> None:
@@ -75,7 +78,8 @@
     assert sim.until(cond=lambda: sim.stamps() == {5}, limit=2.5)
     assert {dst for _, dst, _ in sim.news(what="conf", since=since)} == {sim.edge_ips[7]}
     status, document = sim.ask(ip=sim.core_ips[0], method="GET", path="/config")
-    assert status == 200 and node.config == document
+    assert status == 200
+    assert node.config == document
 
 
 def test_an_edge_that_was_cut_off_for_some_changes_gets_one_change() -> None:
--- a/tests/node/test_config_freshness.py
+++ b/tests/node/test_config_freshness.py
@@ -76,7 +76,9 @@
     sim.run(seconds=APPLY_S)
     for n in range(len(sim.edge_ips)):
         node = edge(sim, n)
-        assert node.ready() and node.table is not None and node.table.config_version == version
+        assert node.ready()
+        assert node.table is not None
+        assert node.table.config_version == version
 
 
 def stale_for_the_rest_of_the_cut(sim: Sim, *, away: list[str], since: float) -> None:
@@ -85,7 +87,8 @@
     sim.run(seconds=max(0.0, since + APPLY_S - sim.now))
     while sim.now < since + CUT_S:
         node = edge(sim)
-        assert node.table is not None and node.table.config_version == 3
+        assert node.table is not None
+        assert node.table.config_version == 3
         assert not node.ready(), sim.now - since
         assert says(sim) == 503
         assert says(sim, path="/fast/0123456789abcdef", method="PATCH") == 503
@@ -120,7 +123,8 @@
     change(sim, document=config(version=9, more=1), base=3, away=watchers)
     sim.run(seconds=APPLY_S)
     table = edge(sim).table
-    assert table is not None and table.config_version == 9
+    assert table is not None
+    assert table.config_version == 9
     for _ in range(100):
         sim.run(seconds=0.1)
         assert edge(sim).ready()
@@ -151,7 +155,8 @@
     change(sim, document=config(version=9, more=1), base=3, away=[core])
     for _ in range(40):
         sim.run(seconds=0.25)
-        assert not edge(sim).ready() and says(sim) == 503
+        assert not edge(sim).ready()
+        assert says(sim) == 503
     returns(sim, version=9)
 
 
@@ -166,7 +171,8 @@
     child.via, child.via_at = [relay.node_id], sim.now
     sim.run(seconds=0.6)
     child.via, child.via_at = [relay.node_id], sim.now
-    assert edge(sim, 0).ready() and edge(sim, 1).ready()
+    assert edge(sim, 0).ready()
+    assert edge(sim, 1).ready()
     island(sim, [core, child.settings.ip, relay.settings.ip])
     since = sim.now
     change(sim, document=config(version=9, more=1), base=3, away=[core])
@@ -184,7 +190,8 @@
 def test_two_relays_that_answer_each_other_only_age(delay: float) -> None:
     sim, _, _, _ = cluster(seed=306, edges=2, minions=1)
     a, b = edge(sim, 0), edge(sim, 1)
-    assert a.ready() and b.ready()
+    assert a.ready()
+    assert b.ready()
     way: list[tuple[float, EdgeNode, str, Kind, Any]] = []
     now, end = sim.now, sim.now + CUT_S
     while now < end:
@@ -220,7 +227,9 @@
 def test_a_stale_edge_says_503_to_what_it_does_not_know_and_hands_valid_jobs_on() -> None:
     sim, _ = stale_edge(seed=307)
     sim.run(seconds=APPLY_S)
-    assert edge(sim).table is not None and edge(sim).table.config_version == 3  # type: ignore[union-attr]
+    held = edge(sim).table
+    assert held is not None
+    assert held.config_version == 3
     assert says(sim, path="/x1/") == 503
     status, _ = sim.ask(
         ip=sim.edge_ips[0], method="POST", path="/fast/00000000000000a1", document=JOB, headers={"host": HOST}
--- a/tests/node/test_config_freshness_core.py
+++ b/tests/node/test_config_freshness_core.py
@@ -48,13 +48,16 @@
             status, _ = sim.ask(ip=core, method=method, path=path, document=document, headers=head)
             assert status in (0, 503), (method, path, status)
         status, document = sim.ask(ip=core, method="GET", path="/state")
-        assert status == 200 and document["proof-age-ms"] > 1000 * (sim.now - since) - 700
+        assert status == 200
+        assert document["proof-age-ms"] > 1000 * (sim.now - since) - 700
     sim.heal()
     sim.run(seconds=APPLY_S)
     status, document = sim.ask(ip=core, method="GET", path="/config")
-    assert status == 200 and document["config-version"] == 9
+    assert status == 200
+    assert document["config-version"] == 9
     status, document = sim.ask(ip=core, method="GET", path="/state")
-    assert document["proof-age-ms"] < 1000 and document["config"] == 9
+    assert document["proof-age-ms"] < 1000
+    assert document["config"] == 9
     assert (
         document["evacuated"] == sim.core(settled(sim)).registry.evacuated_zones
     )  # orders of a deaf core arrive, without an answer
@@ -90,7 +93,8 @@
             moved = moved or len(now) == len(fleet)
         if sim.now > start + CUT_S:
             sim.heal()
-    assert moved and oracle.broken == []
+    assert moved
+    assert oracle.broken == []
 
 
 def test_an_agent_acts_only_with_the_evacuations_that_the_primary_knew_of() -> None:
@@ -111,12 +115,14 @@
     while sim.now < since + 10.0:
         node = sim.core(core)
         node.now = sim.now
-        assert "z0" not in node.evacuated_zones and not node.trusted()
+        assert "z0" not in node.evacuated_zones
+        assert not node.trusted()
         sim.run(seconds=0.1)
     sim.lose = lambda src, dst, kind, m: False
     sim.run(seconds=1.0)
     node = sim.core(core)
-    assert "z0" in node.evacuated_zones and node.trusted()
+    assert "z0" in node.evacuated_zones
+    assert node.trusted()
 
 
 def test_nothing_starts_in_a_site_that_was_evacuated_while_its_agent_was_cut_off() -> None:
@@ -138,7 +144,8 @@
         assert not any(busy(m) for m in fleet if m.zone == "z0")
         if n == 50:
             sim.heal()
-    assert any(busy(m) for m in fleet) and oracle.broken == []
+    assert any(busy(m) for m in fleet)
+    assert oracle.broken == []
 
 
 def test_a_placing_node_that_does_not_reach_the_primary_hears_of_changes_from_others() -> None:
@@ -153,7 +160,8 @@
         sim.run(seconds=APPLY_S)
         node = sim.core(placing)
         node.now = sim.now
-        assert node.config_version() == version and node.freshness.age(now=sim.now) < APPLY_S / 2
+        assert node.config_version() == version
+        assert node.freshness.age(now=sim.now) < APPLY_S / 2
 
 
 @pytest.mark.parametrize("cores", [3, 5])
@@ -187,13 +195,21 @@
             ):
                 break
         base = version
-    assert edge(sim, 1).table is not None and edge(sim, 1).table.config_version == 304  # type: ignore[union-attr]
-    assert sim.core(core).config_version() == 3 and edge(sim).table.config_version == 3  # type: ignore[union-attr]
+    newest = edge(sim, 1).table
+    assert newest is not None
+    assert newest.config_version == 304
+    assert sim.core(core).config_version() == 3
+    held = edge(sim).table
+    assert held is not None
+    assert held.config_version == 3
     sim.heal()
     sim.run(seconds=APPLY_S)
     for n in range(3):
         node = edge(sim, n)
-        assert node.ready() and node.sure() and node.table is not None and len(node.table.routes) == 352
+        assert node.ready()
+        assert node.sure()
+        assert node.table is not None
+        assert len(node.table.routes) == 352
     assert sim.core(core).config_version() == 304
     assert sim.ask(ip=sim.edge_ips[0], method="GET", path="/n304/", headers={"host": HOST})[0] == 200
 
@@ -234,7 +250,8 @@
     node = lone()
     assert node.proof() == {"age": 0.1, "by": 5, "conf": 3}
     node.torn = True
-    assert node.proof() == {} and "age" not in node.answer(b={"u": "x", "t": 1.0, "have": {}} | _heard(node))
+    assert node.proof() == {}
+    assert "age" not in node.answer(b={"u": "x", "t": 1.0, "have": {}} | _heard(node))
     node.confirm(sent=100.0, m={"age": 0.0, "by": 5, "conf": 3})
     assert node.freshness.proven_at == 99.9
 
--- a/tests/node/test_controller.py
+++ b/tests/node/test_controller.py
@@ -72,7 +72,8 @@
 def test_picks_keep_racks_together_and_spread_them() -> None:
     pick = Picker(owners=Owners(rows={}), zones={"a": "z0", "b": "z0", "c": "z1"})
     got = [pick.pick(spot=Place("z0", f"r{i // 12}")) for i in range(48)]
-    assert [got.count(u) for u in "abc"] == [24, 24, 0] and all(len(set(got[i : i + 12])) == 1 for i in (0, 12, 24, 36))
+    assert [got.count(u) for u in "abc"] == [24, 24, 0]
+    assert all(len(set(got[i : i + 12])) == 1 for i in (0, 12, 24, 36))
     assert {pick.pick(spot=Place("z9", f"q{i}")) for i in range(60)} == {"a", "b", "c"}
 
 
@@ -87,7 +88,8 @@
     zones = {"a": "z0", "b": "z0"}
     for a, b, some in ((7, 0, False), (40, 31, False), (9, 0, True), (60, 44, True)):
         got = Picker(owners=Owners(rows=rows(a=a, b=b)), zones=zones).uneven(most=16)
-        assert bool(got) is some and all(minion_id[0] == "a" and to == "b" for minion_id, to in got)
+        assert bool(got) is some
+        assert all(minion_id[0] == "a" and to == "b" for minion_id, to in got)
     assert Picker(owners=Owners(rows=rows(a=60, b=44)), zones={"a": "z0"}).uneven(most=16) == []
 
 
@@ -97,7 +99,9 @@
     sim, _, _, _ = herd(seed=31, minions=350)
     back(sim=sim, n=350)
     first = [n for at, n in made if at < 102.2]
-    assert sum(first) >= 350 and len(first) <= 1.3 / chief.ADMIT_S and max(first) <= chief.BATCH
+    assert sum(first) >= 350
+    assert len(first) <= 1.3 / chief.ADMIT_S
+    assert max(first) <= chief.BATCH
 
 
 def test_hearts_of_calm_times_do_not_list_minions() -> None:
@@ -116,7 +120,8 @@
         node.heart = heart  # type: ignore[method-assign]
     applied = primary.replicas[0].applied
     sim.run(seconds=5.0)
-    assert len(seen) >= 5 * 18 and not any(seen)
+    assert len(seen) >= 5 * 18
+    assert not any(seen)
     assert primary.replicas[0].applied == applied
 
 
@@ -126,17 +131,20 @@
     sim, oracle, caller = settled(n=210, seed=33 + lost)
     even = loads(sim=sim)
     ip = sim.core_ips[lost]
-    assert even[ip] >= 24 and all(len(o) == 1 for o in racks(sim=sim).values())
+    assert even[ip] >= 24
+    assert all(len(o) == 1 for o in racks(sim=sim).values())
     made = watch(sim=sim, monkeypatch=monkeypatch)
     t0 = sim.now
     sim.kill(ip=ip, power=True)
     assert sim.until(cond=lambda: serves(sim=sim) and len(attached(sim=sim)) == 210, limit=6.0)
-    assert sum(n for _, n in made) == even[ip] and max(n for _, n in made) <= chief.BATCH
+    assert sum(n for _, n in made) == even[ip]
+    assert max(n for _, n in made) <= chief.BATCH
     assert all(len(o) == 1 for o in racks(sim=sim).values())
     now = loads(sim=sim)
     if lost == 2:
         gain = [now[u] - even[u] for u in sim.core_ips if u != ip]
-        assert sum(gain) == even[ip] and min(gain) >= 12
+        assert sum(gain) == even[ip]
+        assert min(gain) >= 12
     job_ids = [caller.submit(stages=[TASK]) for _ in range(5)]
     sim.run(seconds=12.0)
     made.clear()
@@ -145,13 +153,16 @@
         job_ids.append(caller.submit(stages=[{**TASK, "task-count": 12}]))
         sim.run(seconds=1.0)
     after = loads(sim=sim)
-    assert max(abs(after[u] - even[u]) for u in even) <= 12 and len(attached(sim=sim)) == 210
-    assert made and max(n for _, n in made) <= chief.EASE
+    assert max(abs(after[u] - even[u]) for u in even) <= 12
+    assert len(attached(sim=sim)) == 210
+    assert made
+    assert max(n for _, n in made) <= chief.EASE
     for at, _ in made:
         assert sum(n for when, n in made if at <= when < at + 1.0) <= 1.0 / chief.EASE_S * chief.EASE + chief.EASE
     sim.run(seconds=5.0)
     assert all(caller.state(job_id=j) == (200, "complete") for j in job_ids)
-    assert oracle.broken == [] and sim.now > t0
+    assert oracle.broken == []
+    assert sim.now > t0
 
 
 def test_an_agent_keeps_minions_that_leave_are_silent_or_have_an_order_on_its_way_out() -> None:
@@ -179,7 +190,9 @@
     sim.kill(ip=ip)
     assert sim.until(cond=lambda: serves(sim=sim) and len(attached(sim=sim)) == 120, limit=8.0)
     rows = [n for _, n in made]
-    assert sum(rows) == had > 20 and max(rows) <= 10 and len({at for at, _ in made}) == len(made)
+    assert sum(rows) == had > 20
+    assert max(rows) <= 10
+    assert len({at for at, _ in made}) == len(made)
     assert oracle.broken == []
 
 
@@ -194,7 +207,8 @@
     assert sim.until(cond=lambda: len(attached(sim=sim)) == 120, limit=6.0)
     registry = sim.core(sim.serving(group_id=0)[0]).registry
     held = sim.core(ip).agent.minions
-    assert set(held) == minion_ids and len(minion_ids) > 20
+    assert set(held) == minion_ids
+    assert len(minion_ids) > 20
     assert all(held[m].fence == registry.minions[m]["f"] > before[m] for m in minion_ids)
     assert oracle.broken == []
 
@@ -211,10 +225,13 @@
         sim.at(delay=0.6 + 0.4 * sim.rng.random(), fn=lambda ip=ip: sim.boot(ip=ip))  # type: ignore[misc]
     sim.run(seconds=1.0)
     served, whole = back(sim=sim, n=minions)
-    assert served <= 1.5 and whole <= 2.5
-    assert loads(sim=sim) == had and sum(n for _, n in made) == 0
+    assert served <= 1.5
+    assert whole <= 2.5
+    assert loads(sim=sim) == had
+    assert sum(n for _, n in made) == 0
     sim.run(seconds=8.0)
-    assert all(caller.state(job_id=j) == (200, "complete") for j in job_ids) and oracle.broken == []
+    assert all(caller.state(job_id=j) == (200, "complete") for j in job_ids)
+    assert oracle.broken == []
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -249,6 +266,7 @@
     sim.loss = 0.0
     monkeypatch.setattr(Picker, "uneven", lambda self, *, most: [])
     sim.run(seconds=15.0)
-    assert oracle.broken == [] and sum(n for _, n in made) > 60
+    assert oracle.broken == []
+    assert sum(n for _, n in made) > 60
     assert all(caller.state(job_id=j)[1] == "complete" for j in job_ids if j in oracle.accepted)
     assert len(attached(sim=sim)) == len(fleet)
--- a/tests/node/test_edge.py
+++ b/tests/node/test_edge.py
@@ -58,16 +58,20 @@
     for n in range(900):
         call(sim, got, n=n)
     sim.run(seconds=0.1)
-    assert len(got) == 900 - 512 and len(node.calls.open) == 512 == node.calls.request_id - request_id
+    assert len(got) == 900 - 512
+    assert len(node.calls.open) == 512 == node.calls.request_id - request_id
     assert all(r.status == 503 and ("retry-after", "1") in r.headers and at - t0 < 0.05 for at, r in got.values())
     assert sim.ask(ip=sim.edge_ips[0], method="GET", path="/none/", headers={"host": HOST})[0] == 404
     sim.run(seconds=3.0)
-    assert len(got) == 900 and not node.calls.open and node.hand == 0
+    assert len(got) == 900
+    assert not node.calls.open
+    assert node.hand == 0
     sim.heal()
     sim.run(seconds=2.0)
     job_id = call(sim, got, n=1000)
     sim.run(seconds=1.0)
-    assert got[job_id][1].status == 200 and node.hand == 0
+    assert got[job_id][1].status == 200
+    assert node.hand == 0
 
 
 def test_large_bodies_in_hand_are_bounded_too() -> None:
@@ -78,10 +82,13 @@
     for n in range(200):
         call(sim, got, n=n, document=document)
     sim.run(seconds=0.1)
-    assert 0 < len(node.calls.open) < 200 and node.hand <= 256 << 16
-    assert len(got) == 200 - len(node.calls.open) and {r.status for _, r in got.values()} == {503}
+    assert 0 < len(node.calls.open) < 200
+    assert node.hand <= 256 << 16
+    assert len(got) == 200 - len(node.calls.open)
+    assert {r.status for _, r in got.values()} == {503}
     sim.run(seconds=3.0)
-    assert node.hand == 0 and len(got) == 200
+    assert node.hand == 0
+    assert len(got) == 200
 
 
 @pytest.mark.parametrize("deadline", [400, 1000, 3000, 9000, "inf", "nan", "soon"])
@@ -94,7 +101,8 @@
         call(sim, got, n=n, method=method, deadline=deadline)
     limit = min(deadline, 3000) / 1000 if isinstance(deadline, int) else 3.0
     sim.run(seconds=limit)
-    assert len(got) == 3 and all(limit * 0.5 < at - t0 < limit and r.status == 504 for at, r in got.values())
+    assert len(got) == 3
+    assert all(limit * 0.5 < at - t0 < limit and r.status == 504 for at, r in got.values())
 
 
 @pytest.mark.parametrize("deadline", [0, -5])
@@ -104,7 +112,8 @@
     request_id = node.calls.request_id
     call(sim, got, n=1, deadline=deadline)
     sim.run(seconds=0.05)
-    assert [r.status for _, r in got.values()] == [503] and node.calls.request_id == request_id
+    assert [r.status for _, r in got.values()] == [503]
+    assert node.calls.request_id == request_id
 
 
 def test_asking_for_a_state_logs_nothing() -> None:
@@ -119,7 +128,8 @@
         call(sim, got, n=7, method="GET")
         sim.run(seconds=0.02)
         assert got[job_id][1].status == 200
-    assert primary.replicas[1].applied == applied and node.calls.request_id == request_id + 50
+    assert primary.replicas[1].applied == applied
+    assert node.calls.request_id == request_id + 50
 
 
 def test_an_edge_stays_ready_while_cores_are_busy_and_says_so_when_it_is_cut_off() -> None:
--- a/tests/node/test_input_scheduler.py
+++ b/tests/node/test_input_scheduler.py
@@ -21,7 +21,8 @@
         before = len(answered)
         fn()
         now += 0.0003 if len(answered) > before else 0.022
-    assert len(answered) >= 740 and refused == []
+    assert len(answered) >= 740
+    assert refused == []
 
 
 def test_a_call_that_waited_too_long_is_refused_in_its_turn_and_not_dropped() -> None:
@@ -31,4 +32,5 @@
     turns.put(fn=lambda: done.append("next"), rank=Rank.LATE, until=9.0, expired=lambda: done.append("no"))
     while (fn := turns.take(now=1.0)) is not None:
         fn()
-    assert done == ["refused", "next"] and turns.load.expired == 1
+    assert done == ["refused", "next"]
+    assert turns.load.expired == 1
--- a/tests/node/test_recovery.py
+++ b/tests/node/test_recovery.py
@@ -148,7 +148,8 @@
         sim.run(seconds=0.3)
         sim.boot(ip=ip)
         for group_id, (base, applied, _) in states(sim.core(ip)).items():
-            assert base == before[group_id][0] and applied <= before[group_id][1]
+            assert base == before[group_id][0]
+            assert applied <= before[group_id][1]
     version = load(sim, caller, seconds=2.0, version=version)
     assert sum(sim.rotations.values()) > 40 and version > 20, (sim.rotations, version)
     sim.run(seconds=8.0)
@@ -156,7 +157,8 @@
     agree(sim)
     assert sim.core(sim.serving(group_id=0)[0]).registry.config_version == version
     jobs = sim.core(sim.serving(group_id=1)[0]).jobs[1].jobs
-    assert set(oracle.accepted) <= set(jobs) and not oracle.broken
+    assert set(oracle.accepted) <= set(jobs)
+    assert not oracle.broken
 
 
 @pytest.mark.parametrize("power", [False, True])
@@ -264,10 +266,11 @@
         token="new",
     )
     ((event, fields),) = log.warned
-    assert event == "journal-unusable" and fields["cause"] and fields["record"] in range(len(sim.disks[ip].synced))
-    assert found.node_id == f"{ip}:7000#new" and all(
-        replica.base < 0 and replica.epoch is None for replica in found.replicas.values()
-    )
+    assert event == "journal-unusable"
+    assert fields["cause"]
+    assert fields["record"] in range(len(sim.disks[ip].synced))
+    assert found.node_id == f"{ip}:7000#new"
+    assert all(replica.base < 0 and replica.epoch is None for replica in found.replicas.values())
     old = sim.node_ids[ip]
     sim.boot(ip=ip, first=True)
     assert sim.node_ids[ip] not in (old, f"{ip}:7000#0")
@@ -279,13 +282,19 @@
     assert not led
     version = load(sim, caller, seconds=2.0, version=version)
     sim.run(seconds=6.0)
-    assert sim.procs[ip].up and sim.core(ip) is node
+    assert sim.procs[ip].up
+    assert sim.core(ip) is node
     members = sim.core(sim.serving(group_id=0)[0]).registry.members
-    assert node.node_id in members and old not in members
+    assert node.node_id in members
+    assert old not in members
     for group_id in (0, 1):
         replica = sim.core(sim.serving(group_id=group_id)[0]).replicas[group_id]
-        assert replica.epoch is not None and node.node_id in replica.epoch["w"] and old not in replica.epoch["w"]
-    assert node.table is not None and node.table.config_version == version and not oracle.broken
+        assert replica.epoch is not None
+        assert node.node_id in replica.epoch["w"]
+        assert old not in replica.epoch["w"]
+    assert node.table is not None
+    assert node.table.config_version == version
+    assert not oracle.broken
     sim.kill(ip=ip)
     sim.boot(ip=ip)
     assert sim.node_ids[ip] == node.node_id  # the new identity is in the journal: it is no newcomer again
@@ -307,7 +316,8 @@
             token="new",
         ).node_id
 
-    assert last_snapshot(records=head) == -1 and last_snapshot(records=[*head, END]) == 0
+    assert last_snapshot(records=head) == -1
+    assert last_snapshot(records=[*head, END]) == 0
     assert start(records=[], first=True) == start(records=head, first=True) == f"{ip}:7000#0"
     assert start(records=[], first=False) == start(records=head, first=False) == f"{ip}:7000#new"
     assert start(records=[*head, END, *head], first=False) == f"{ip}:7000#0"
--- a/tests/prediction/test_backfill.py
+++ b/tests/prediction/test_backfill.py
@@ -68,9 +68,11 @@
             m.start(run=Run(f"f{j}", float(upper), size, filler=True))
             assert min(m.free) >= 0
     again = brute(now=0, minions=minions, want=want, n=n, tight=tight, apart=apart)
-    assert again is not None and again <= got.at
+    assert again is not None
+    assert again <= got.at
     kept = reserve(now=0, minions=minions, form=want, n=n, tight=tight, apart=apart)
-    assert kept is not None and kept.at <= got.at
+    assert kept is not None
+    assert kept.at <= got.at
 
 
 @pytest.mark.parametrize("seed", range(100))
@@ -83,13 +85,14 @@
     if first is None:
         return
     ends = {r.task: rng.randint(1, int(r.ends)) for m in minions for r in m.runs}
-    for t in range(0, 60):
+    for t in range(60):
         for m in minions:
             for r in [r for r in m.runs if ends[r.task] <= t]:
                 m.runs.remove(r)
                 m.free = m.free[0] + r.form.cpu, m.free[1] + r.form.mem, m.free[2] + r.form.gpu
         now = reserve(now=t, minions=minions, form=want, n=n)
-        assert now is not None and now.at <= first.at
+        assert now is not None
+        assert now.at <= first.at
         if now.at <= t:
             return
         for j in range(6):
@@ -142,7 +145,8 @@
 def test_overdue_runs_are_not_taken_for_free_room() -> None:
     m = Minion(minion_id="m", rack="r", labels=frozenset(), free=(0, 0, 0), runs=[Run("t", 5.0, Form(1, 0, 0, ""))])
     got = reserve(now=100.0, minions=[m], form=Form(1, 0, 0, ""), n=1)
-    assert got is not None and got.at == 100.0 + OVERDUE_MS
+    assert got is not None
+    assert got.at == 100.0 + OVERDUE_MS
 
 
 def test_asking_changes_nothing_and_figures_are_plain() -> None:
--- a/tests/prediction/test_call_times.py
+++ b/tests/prediction/test_call_times.py
@@ -98,7 +98,8 @@
         for j in range(12):
             s.job(at=T0 + 30_000 * i + 10 * j)
     p = s.ask(now=T0 + 30_000 * 20 - 2_000)
-    assert p is not None and 8 <= p.jobs <= 13
+    assert p is not None
+    assert 8 <= p.jobs <= 13
     for j in range(50_000):
         s.job(at=T0 + 30_000 * 20 + j // 1000)
     p = s.ask(now=T0 + 30_000 * 21 - 2_000)
@@ -125,8 +126,10 @@
             told += p is not None and p.why is Why.FOLLOW
             right += p is not None and p.early <= then <= p.late
         s.job(at=then, q="b", rows=b)
-    assert told >= 35 and right >= 0.85 * told
-    assert p is not None and (p.n, p.gang, p.near, p.service) == (9, True, "r1", "s-b")
+    assert told >= 35
+    assert right >= 0.85 * told
+    assert p is not None
+    assert (p.n, p.gang, p.near, p.service) == (9, True, "r1", "s-b")
 
 
 def test_chance_neighbours_are_no_followers() -> None:
@@ -158,7 +161,8 @@
         states.append(score.trust.value)
     flips = [b for a, b in zip(["fresh", *states], states, strict=False) if a != b]
     assert flips == ["on", "off", "on"]
-    assert states[6] == "on" and states[-8] == "off"
+    assert states[6] == "on"
+    assert states[-8] == "off"
     assert Score.load(score.dump()).dump() == score.dump()
 
 
@@ -213,7 +217,9 @@
         at += 4_000
         s.job(at=at)
     p = s.ask(now=at + 3_000)
-    assert p is not None and abs(p.likely - at - 4_000) < 300 and p.confidence > 0.8
+    assert p is not None
+    assert abs(p.likely - at - 4_000) < 300
+    assert p.confidence > 0.8
 
 
 def test_silence_ends_predictions_without_any_event() -> None:
@@ -223,7 +229,9 @@
     end = T0 + 5_000 * 39
     seen = [s.ask(now=end + 5_000 * k + 2_000) for k in range(8)]
     confs = [p.confidence if p is not None else 0.0 for p in seen]
-    assert confs[0] > 0.8 and confs == sorted(confs, reverse=True) and confs[-1] == 0.0
+    assert confs[0] > 0.8
+    assert confs == sorted(confs, reverse=True)
+    assert confs[-1] == 0.0
 
 
 @pytest.mark.parametrize("jump", [-3_600_000, -30_000, -1_500, 1_500, 30_000, 3_600_000])
@@ -239,7 +247,8 @@
         s.job(at=shifted + 6_000 * i)
         s.job(at=shifted + 6_000 * i + 1_000, q="other", rows=steps({"task-count": 1, "cpus": 9}))
     p2 = s.ask(now=shifted + 6_000 * 11 + 4_000)
-    assert p2 is not None and abs(p2.likely - shifted - 6_000 * 12) < 400
+    assert p2 is not None
+    assert abs(p2.likely - shifted - 6_000 * 12) < 400
 
 
 def test_known_times_are_told_without_learning_until_the_job_is_over() -> None:
@@ -251,7 +260,8 @@
         9_000,
     ]
     p = s.ask(now=T0, horizon=60_000)
-    assert p is not None and (p.why, p.jobs, p.confidence) == (Why.TIMED, 3.0, 1.0)
+    assert p is not None
+    assert (p.why, p.jobs, p.confidence) == (Why.TIMED, 3.0, 1.0)
     s.h.note_over(at=T0 + 3_000, job_id=f"{1:016x}", q="q", steps=steps(), done=False)
     assert s.ask(now=T0 + 3_000, horizon=60_000) is None
 
@@ -274,14 +284,18 @@
 
 
 def _bounds(h: History) -> None:
-    assert len(h.fresh) <= hist_mod.FRESH and len(h.kinds) <= hist_mod.KINDS and len(h.timers) <= hist_mod.TIMERS
+    assert len(h.fresh) <= hist_mod.FRESH
+    assert len(h.kinds) <= hist_mod.KINDS
+    assert len(h.timers) <= hist_mod.TIMERS
     assert not set(h.fresh) & set(h.kinds)
     assert h.follow.count == sum(len(m) for m in h.follow.pairs.values()) <= follow_mod.PAIRS
     assert all(len(m) <= follow_mod.EACH for m in h.follow.pairs.values())
     assert len(h.follow.recent) <= follow_mod.RECENT
     for kind in [*h.fresh.values(), *h.kinds.values()]:
         c = kind.calls
-        assert len(c.gaps) <= calls_mod.GAPS and len(c.forms) <= calls_mod.FORMS and len(c.racks) <= calls_mod.RACKS
+        assert len(c.gaps) <= calls_mod.GAPS
+        assert len(c.forms) <= calls_mod.FORMS
+        assert len(c.racks) <= calls_mod.RACKS
     got = h.predict(now_ms=h.clock - h.shift, horizon_ms=10**9)
     assert len(got) <= hist_mod.MOST
     assert h.looked <= hist_mod.KINDS + hist_mod.TIMERS + follow_mod.RECENT * follow_mod.EACH
@@ -330,8 +344,10 @@
             was = s.h.dump()
             now = at + rng.randint(-(10**5), 10**5)
             for p in s.h.predict(now_ms=now, horizon_ms=20_000):
-                assert p.early <= p.likely <= p.late and now <= p.early <= now + 20_000
-                assert 0 < p.confidence <= 1 and 1 <= p.jobs <= calls_mod.JOBS_MOST
+                assert p.early <= p.likely <= p.late
+                assert now <= p.early <= now + 20_000
+                assert 0 < p.confidence <= 1
+                assert 1 <= p.jobs <= calls_mod.JOBS_MOST
             _bounds(s.h)
             assert s.h.dump() == was
             twin = History()
--- a/tests/prediction/test_run_times.py
+++ b/tests/prediction/test_run_times.py
@@ -153,7 +153,8 @@
         if i % 50 == 0:
             h.note_end(q="q", step=step(), task=f"g.0.0.{i}", run=1, how="done", ms=3000, minion_id=f"n{i}")
     assert len(h.runs.slow.rows) <= slow_mod.MINIONS
-    assert len(h.runs.rings) <= runs_mod.KEYS and len(h.runs.seen) <= runs_mod.SEEN
+    assert len(h.runs.rings) <= runs_mod.KEYS
+    assert len(h.runs.seen) <= runs_mod.SEEN
     assert all(len(r.rows) <= runs_mod.KEEP for r in h.runs.rings.values())
     assert 2800 < h.times(q="q", step=step()).p50 < 3300
 
--- a/tests/prediction/test_warm_plan.py
+++ b/tests/prediction/test_warm_plan.py
@@ -72,7 +72,9 @@
     w = rich()
     w.plan(now_ms=900, steady=900.0, preds=[pred()])
     w.set(bounds=Bounds(on=False), steady=950.0)
-    assert w.plan(now_ms=960, steady=960.0, preds=[pred(kind="x")]) == [] and w.misses == 0 and w.gone == 1
+    assert w.plan(now_ms=960, steady=960.0, preds=[pred(kind="x")]) == []
+    assert w.misses == 0
+    assert w.gone == 1
     assert Bounds().on is False
 
 
@@ -89,7 +91,9 @@
         t += 100.0
         before = set(w.rooms)
         begun += bool(set(r.kind for r in w.plan(now_ms=0, steady=t, preds=[pred(early=0, likely=0, late=0)])) - before)
-    assert begun <= 10 and w.misses >= 5 and w.report()["off"] == ["k"]
+    assert begun <= 10
+    assert w.misses >= 5
+    assert w.report()["off"] == ["k"]
     for _ in range(10):
         w.began_cold(kind="k", wait_ms=500)
     assert w.plan(now_ms=0, steady=t + 1, preds=[pred(early=0, likely=0, late=0)])
@@ -179,7 +183,9 @@
             elif rng.random() < 0.1:
                 w.lost(kind=kind, steady=t)
         follow(now=t)
-        assert len(w.rooms) <= 2 * bounds.tasks and len(w.back) <= warm_mod.KINDS and len(w.by) <= warm_mod.KINDS
+        assert len(w.rooms) <= 2 * bounds.tasks
+        assert len(w.back) <= warm_mod.KINDS
+        assert len(w.by) <= warm_mod.KINDS
     w.drop(steady=t)
     follow(now=t)
     assert w.held == pytest.approx(sum((b - a) * c / 1000 for a, b, c in log))
@@ -202,6 +208,7 @@
     small = [pred(kind=f"s{i}", queue="small", early=0, likely=0, late=10**6) for i in range(50)]
     weight = {"urgent": 100.0, "small": 1.0}
     w.plan(now_ms=0, steady=0.0, preds=small, weight=weight)
-    assert w.rooms and sum(r.cores * (r.until - r.since) / 1000 for r in w.rooms.values()) <= 10.0
+    assert w.rooms
+    assert sum(r.cores * (r.until - r.since) / 1000 for r in w.rooms.values()) <= 10.0
     got = w.plan(now_ms=0, steady=0.0, preds=[pred(kind="u", queue="urgent", early=0, late=10**6)], weight=weight)
     assert got[0].kind == "u"
--- a/tests/project/test_deploy_file.py
+++ b/tests/project/test_deploy_file.py
@@ -16,7 +16,8 @@
 
 def test_packages_are_names_of_system_packages_each_listed_once() -> None:
     packages = deploy_file()["packages"]
-    assert isinstance(packages, list) and packages
+    assert isinstance(packages, list)
+    assert packages
     assert all(isinstance(name, str) and DEBIAN_NAME.fullmatch(name) for name in packages)
     assert len(set(packages)) == len(packages)
 
@@ -24,7 +25,9 @@
 def test_every_program_of_the_build_and_of_the_roles_comes_with_a_listed_package() -> None:
     deploy = deploy_file()
     build, roles, packages = deploy["build"], deploy["roles"], deploy["packages"]
-    assert isinstance(build, str) and isinstance(roles, dict) and isinstance(packages, list)
+    assert isinstance(build, str)
+    assert isinstance(roles, dict)
+    assert isinstance(packages, list)
     commands = [part.strip() for part in re.split(r"\|\||&&|;", build)]
     programs = {words[0] for words in map(str.split, commands) if words[0] != "["}  # the shell's own test
     programs |= {role["run"].split()[0] for role in roles.values()}
--- a/tests/replication/test_model.py
+++ b/tests/replication/test_model.py
@@ -79,14 +79,17 @@
     found = Search(swaps=case.swaps, faults=case.faults, window=case.window, kinds=case.kinds).run(case.world())
     print(name, found.states, found.steps, found.ways, found.kinds)
     assert found.broken == []
-    assert found.states >= case.states and found.steps >= case.steps
+    assert found.states >= case.states
+    assert found.steps >= case.steps
     assert {"deliver", "sync", "op", "tick"} <= found.kinds.keys()
     assert case.kinds == ALL or not case.faults or case.kinds & FAULTS <= found.kinds.keys()
 
 
 def test_the_same_search_meets_the_same_states() -> None:
     one, two = (Search(swaps=1, faults=0, window=40).run(Case().world()) for _ in range(2))
-    assert one.seen == two.seen and one.steps == two.steps and one.states > 60
+    assert one.seen == two.seen
+    assert one.steps == two.steps
+    assert one.states > 60
 
 
 def test_a_calm_cluster_answers_all_calls() -> None:
@@ -94,7 +97,8 @@
     w.closing = True
     while w.unsettled():
         do(w, calm(w))
-    assert list(w.acked) == [1, 2, 3, 4] and set(w.acked.values()) == {1}
+    assert list(w.acked) == [1, 2, 3, 4]
+    assert set(w.acked.values()) == {1}
 
 
 WALKS = {
--- a/tests/replication/test_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -139,7 +139,8 @@
 
     def fire(self: Replica) -> None:
         real(self)
-        assert self.in_flight is not None and self.acceptor.seen is not None
+        assert self.in_flight is not None
+        assert self.acceptor.seen is not None
         self.in_flight.acknowledged_by.update(self.acceptor.seen["b"])
 
     p.setattr(Replica, "_fire", fire)
--- a/tests/replication/test_quorum_contact.py
+++ b/tests/replication/test_quorum_contact.py
@@ -41,7 +41,8 @@
     sim, _, _, _ = cluster(seed=seed, cores=7, losses=losses)
     sim.run(seconds=SETTLE_S)
     epoch = newest(sim, group_id=0)
-    assert len(epoch["w"]) == 7 and len(epoch["b"]) == losses
+    assert len(epoch["w"]) == 7
+    assert len(epoch["b"]) == losses
     small = holders(epoch)
     split(sim, left=small)
     sim.run(seconds=2.0)
@@ -104,7 +105,8 @@
         node = sim.core(ip)
         assert node.node_id not in newest(sim, group_id=0)["w"]
         assert node.replicas[0].acceptor.promised is None
-    assert sim.serving(group_id=0) == [] and newest(sim, group_id=0)["n"] == epoch["n"]
+    assert sim.serving(group_id=0) == []
+    assert newest(sim, group_id=0)["n"] == epoch["n"]
 
 
 def test_cost_of_contact(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/replication/test_single_core.py
+++ b/tests/replication/test_single_core.py
@@ -22,4 +22,5 @@
     sim.stalls[sim.core_ips[0]] = sim.now + 3.0
     job_id = caller.submit(stages=[task])
     sim.run(seconds=20.0)
-    assert caller.state(job_id=job_id) == (200, "complete") and oracle.broken == []
+    assert caller.state(job_id=job_id) == (200, "complete")
+    assert oracle.broken == []
--- a/tests/replication/test_snapshot.py
+++ b/tests/replication/test_snapshot.py
@@ -59,7 +59,8 @@
     cell.commit(x=1)
     primary.replica.flush()
     arrive(cell)
-    assert backup.state.rows == [1] and backup.unsynced
+    assert backup.state.rows == [1]
+    assert backup.unsynced
     backup.rotate(count=len(backup.unsynced))
     _, replayed = backup.replayed(journal=backup.journal)
     assert replayed.rows == [1]
@@ -72,12 +73,14 @@
     primary = cell.primary()
     spare = [raw for raw in primary.journal if b'"ck"' in raw]
     before = [raw for raw in primary.journal if b'"w"' in raw][:1]
-    assert spare and before
+    assert spare
+    assert before
     cell.commit(x=1)
     cell.settle(seconds=0.3)
     records = [orjson.loads(raw) for raw in [*before, *spare, *primary.snapshot()[1:-1]]]
     replica, replayed = primary.replayed(journal=[orjson.dumps(record) for record in records])
-    assert replayed.rows == [1] and replica.base == primary.replica.base
+    assert replayed.rows == [1]
+    assert replica.base == primary.replica.base
 
 
 def test_a_witness_record_that_waited_while_a_snapshot_was_taken_takes_nothing_back() -> None:
@@ -100,7 +103,8 @@
     head = primary.snapshot()
     for kept in range(len(head)):
         replica, replayed = primary.replayed(journal=before + head[:kept])
-        assert replayed.rows == [1] and replica.role is Role.LAPSED
+        assert replayed.rows == [1]
+        assert replica.role is Role.LAPSED
 
 
 def test_a_spare_copy_of_an_undecided_epoch_is_kept_by_a_snapshot_and_used_once_it_is_decided() -> None:
@@ -170,9 +174,12 @@
         return rows
 
     assert log(first=1, events=[1, 2]) == [2]
-    assert log(first=1, events=[1, 2]) == [2] and backup.state.rows == [1, 2]
-    assert log(first=2, events=[2, 3]) == [3] and backup.state.rows == [1, 2, 3]
-    assert log(first=5, events=[5]) == [] and backup.state.rows == [1, 2, 3]
+    assert log(first=1, events=[1, 2]) == [2]
+    assert backup.state.rows == [1, 2]
+    assert log(first=2, events=[2, 3]) == [3]
+    assert backup.state.rows == [1, 2, 3]
+    assert log(first=5, events=[5]) == []
+    assert backup.state.rows == [1, 2, 3]
     assert backup.notes[-1][0] == "log-gap"
     _, replayed = backup.replayed(journal=backup.journal)
     assert replayed.rows == [1, 2, 3]
@@ -191,13 +198,16 @@
     cell.cut(node_id=primary.node_id)
     primary.rotate(count=0)
     primary.restart()
-    assert primary.state.rows == [1, 2] and primary.replica.role is Role.LAPSED
+    assert primary.state.rows == [1, 2]
+    assert primary.replica.role is Role.LAPSED
     for _ in range(60):
         cell.now += 0.05
         primary.replica.tick()
         primary.sync(count=len(primary.unsynced))
         cell.cut(node_id=primary.node_id)
-        assert not primary.replica.serving() and not cell.confirmed and primary.replica.base == 1
+        assert not primary.replica.serving()
+        assert not cell.confirmed
+        assert primary.replica.base == 1
     assert cell.settle(seconds=20.0, until=lambda: bool(cell.serving()))
     for member in holders(cell):
         _, replayed = member.replayed(journal=member.journal)
@@ -240,7 +250,8 @@
     backup.state.refused = 2
     cell.commit(x=2)
     cell.settle(seconds=0.3)
-    assert backup.replica.role is Role.IDLE and backup.replica.base == -1
+    assert backup.replica.role is Role.IDLE
+    assert backup.replica.base == -1
     assert 2 not in cell.confirmed
     assert [name for name, _ in backup.notes].count("copy-void") == 1
     assert cell.settle(seconds=20.0, until=lambda: 2 in cell.confirmed)
@@ -268,5 +279,7 @@
     primary.state.refused = 2
     with pytest.raises(AssertionError, match="refused by the reducer"):
         cell.commit(x=2)
-    assert not primary.replica.serving() and primary.replica.role is Role.IDLE
-    assert cell.primary() is not primary and cell.primary().state.rows == [1]
+    assert not primary.replica.serving()
+    assert primary.replica.role is Role.IDLE
+    assert cell.primary() is not primary
+    assert cell.primary().state.rows == [1]
--- a/tests/replication/test_snapshot_any_order.py
+++ b/tests/replication/test_snapshot_any_order.py
@@ -135,7 +135,8 @@
 def test_each_copy_is_a_beginning_and_holds_what_was_confirmed_once(seed: int) -> None:
     play = Play(seed=seed)
     play.run()
-    assert play.restarts and play.overlaps
+    assert play.restarts
+    assert play.overlaps
 
 
 @contextmanager
--- a/tests/replication/test_stalled_process.py
+++ b/tests/replication/test_stalled_process.py
@@ -77,7 +77,8 @@
     status = sim.ask(ip=other, method="PUT", path="/config", document=rival, headers={"if-match": "3"})[0]
     assert status == 200
     sim.run(seconds=STILL_S)
-    assert still.begun and not [response for response in first if response.status == 200]
+    assert still.begun
+    assert not [response for response in first if response.status == 200]
     for ip in (primary, other):
         assert sim.ask(ip=ip, method="GET", path="/config")[1]["route-table"] == rival["route-table"]
 
@@ -98,13 +99,15 @@
     confirmed = sim.now
     second = sim.ask(ip=other, method="GET", path="/config")
     sim.run(seconds=STILL_S)
-    assert called < still.begun < confirmed and len(first) <= 1
+    assert called < still.begun < confirmed
+    assert len(first) <= 1
     assert [orjson.loads(response.body)["config-version"] for response in first if response.status == 200] in (
         [],
         [3],
         [4],
     )
-    assert second[0] == 200 and second[1]["config-version"] == 4
+    assert second[0] == 200
+    assert second[1]["config-version"] == 4
     for ip in sim.core_ips:
         assert sim.ask(ip=ip, method="GET", path="/config")[1]["config-version"] == 4
 
@@ -159,7 +162,8 @@
         assert len(sim.serving(group_id=0)) <= 1
         if newest(sim, group_id=0)["n"] == number:
             assert replica.lease.until <= before + 1.2
-    assert newest(sim, group_id=0)["n"] > number and len(sim.serving(group_id=0)) == 1
+    assert newest(sim, group_id=0)["n"] > number
+    assert len(sim.serving(group_id=0)) == 1
 
 
 @pytest.mark.parametrize("seed", [16, 17])
--- a/tests/replication/test_two_disks_lost.py
+++ b/tests/replication/test_two_disks_lost.py
@@ -93,4 +93,5 @@
     while left and sim.now < end:
         left = [j for j in left if caller.state(job_id=j)[1] != "complete"]
         sim.run(seconds=0.5)
-    assert left == [] and oracle.broken == []
+    assert left == []
+    assert oracle.broken == []
--- a/tests/replication/test_zones.py
+++ b/tests/replication/test_zones.py
@@ -107,7 +107,8 @@
     node.roster = dict.fromkeys(node.members, node.now)
     have = sorted(node.members)[:2]
     found = node.witnesses(have=have)
-    assert len(found) == size and node.witnesses(have=found) == found
+    assert len(found) == size
+    assert node.witnesses(have=found) == found
     zones = {u: str(row["site"]) for u, row in node.members.items()}
     most = max(sum(zones[u] == z for u in found) for z in shape)
     possible = spread(order=sorted(zones), zones=zones, size=len(found), most=len(found) // 2)
--- a/tests/scheduling/test_binding.py
+++ b/tests/scheduling/test_binding.py
@@ -72,7 +72,8 @@
         sim.run(seconds=0.2)
     sim.run(seconds=6.0)
     finish(sim=sim, oracle=oracle, caller=caller)
-    assert len(hit) == 1 and len(oracle.accepted) >= 8
+    assert len(hit) == 1
+    assert len(oracle.accepted) >= 8
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -86,7 +87,8 @@
     assert sum(len(m.running) for m in fleet) == 0
     core = sim.core(sim.serving(group_id=1)[0])
     placer = core.placers[1]
-    assert not placer.backlog.groups and not placer.asks
+    assert not placer.backlog.groups
+    assert not placer.asks
     assert all(s.fly == (0, 0, 0) and s.free == s.cap for s in placer.room.spots.values())
 
 
@@ -102,7 +104,8 @@
     for job_id in (never, odd, wide):
         assert caller.state(job_id=job_id) == (200, "pending")
         rows = placer.explain(job_id=job_id)
-        assert rows[0]["cycles-failed"] > 0 and rows[0]["last"]
+        assert rows[0]["cycles-failed"] > 0
+        assert rows[0]["last"]
     assert oracle.broken == []
 
 
@@ -142,7 +145,8 @@
         assert sim.now - begun < MOST_S, seed
         for unit, group in core.placers[1].backlog.groups.items():
             seen.setdefault(unit, set()).add(group.seen)
-    assert all(len(times) == 1 for times in seen.values()) and len(seen) == 4
+    assert all(len(times) == 1 for times in seen.values())
+    assert len(seen) == 4
     assert all(caller.state(job_id=j)[1] in ("complete", "failed") for j in job_ids)
     assert [b for b in oracle.broken if not b.startswith("BUDGET")] == oracle.broken == []
     return sim.now - begun
@@ -169,8 +173,10 @@
     got: list[tuple[int, Any]] = [sim.ask(ip=ip, method="GET", path=f"/jobs/{job_id}") for ip in sim.core_ips]
     assert sorted(status for status, _ in got) == [200, 307, 307]
     document = next(document for status, document in got if status == 200)
-    assert document["state"] == "pending" and document["groups"][0]["members-waiting"] == 0
-    assert "never" in document["groups"][0]["last"] and document["groups"][0]["cycles-failed"] > 1
+    assert document["state"] == "pending"
+    assert document["groups"][0]["members-waiting"] == 0
+    assert "never" in document["groups"][0]["last"]
+    assert document["groups"][0]["cycles-failed"] > 1
     home = sim.serving(group_id=1)[0]
     assert sim.ask(ip=home, method="GET", path="/jobs/0000000000000001")[0] == 410
     assert sim.ask(ip=home, method="GET", path="/jobs/zz")[0] == 400
--- a/tests/scheduling/test_binding_model.py
+++ b/tests/scheduling/test_binding_model.py
@@ -40,14 +40,17 @@
     found = search(jobs=jobs, swaps=swaps, faults=faults, window=window)
     print(name, found.states, found.steps, found.ways, found.kinds)
     assert found.broken == []
-    assert found.states >= states and found.steps >= steps
+    assert found.states >= states
+    assert found.steps >= steps
     assert {"deliver", "rooms", "write", "beat", "end", "tick"} <= found.kinds.keys()
     assert {"lose", "die"} <= found.kinds.keys() or not faults
 
 
 def test_the_same_search_meets_the_same_states() -> None:
     one, two = (search(jobs=LONE, swaps=1, faults=0, window=40) for _ in range(2))
-    assert one.seen == two.seen and one.steps == two.steps and one.states > 60
+    assert one.seen == two.seen
+    assert one.steps == two.steps
+    assert one.states > 60
 
 
 # -- mutants: with a guard taken out, the search finds what breaks
@@ -145,7 +148,8 @@
         return Search(swaps=1, faults=0, window=30, stop_at=1000).run(w)
 
     calm = after_death()
-    assert calm.broken == [] and calm.states > 60
+    assert calm.broken == []
+    assert calm.states > 60
     real = Agent.attach
 
     def attach(self: Agent, *, node_id: str, b: dict[str, Any]) -> None:
--- a/tests/scheduling/test_lease_identity.py
+++ b/tests/scheduling/test_lease_identity.py
@@ -35,9 +35,11 @@
     )
     answer = {"g": 1, "rid": request_id, "x": [], "to": "", "r": [], "size": [1, 1, 0]}
     placer.grant(node_id=other, b=dict(answer))
-    assert request_id in placer.asks and landed == []
+    assert request_id in placer.asks
+    assert landed == []
     placer.grant(node_id=asked, b=dict(answer))
-    assert request_id not in placer.asks and landed == [request_id]
+    assert request_id not in placer.asks
+    assert landed == [request_id]
 
 
 def test_the_asks_of_two_epochs_and_the_leases_of_two_lives_are_numbered_apart() -> None:
@@ -57,4 +59,6 @@
         sim.run(seconds=0.3)
         sim.boot(ip=ip)
         sim.run(seconds=2.0)
-    assert len(set(asks)) == 4 and len(set(leases)) == 4 and oracle.broken == []
+    assert len(set(asks)) == 4
+    assert len(set(leases)) == 4
+    assert oracle.broken == []
--- a/tests/scheduling/test_scheduling_cycle.py
+++ b/tests/scheduling/test_scheduling_cycle.py
@@ -244,7 +244,8 @@
         room.report(node_id="a", rows=[[f"m{i:05}", 1000 if i % 4 else 9000, 64000, i % 9]], shut=[], now=1.0)
     before = room.looks
     got = cycle.run(room=room, ask=Ask(service="s", size=Size(2000, 1, 1), members=[0, 1, 2, 3, 4], need=5))
-    assert got.feasible and room.looks - before <= 5
+    assert got.feasible
+    assert room.looks - before <= 5
 
 
 @pytest.mark.parametrize("waiting", [50, 400, 3200])
@@ -267,7 +268,8 @@
         found = log.pop(service="s", walk=walk)
         slices += 1
         assert walk.looks >= 0
-    assert found is not None and found.size.cpu == 100
+    assert found is not None
+    assert found.size.cpu == 100
     assert slices <= waiting // 400 + 1
 
 
@@ -297,9 +299,11 @@
         now = group.again
         assert log.due(now=now) == [group]
         log.wake(group=group)
-    assert waits[:3] == pytest.approx([0.1, 0.2, 0.4]) and waits[-1] == pytest.approx(2.0)
+    assert waits[:3] == pytest.approx([0.1, 0.2, 0.4])
+    assert waits[-1] == pytest.approx(2.0)
     log.remove(job_id=group.job_id, key=group.key)
-    assert group.phase is Phase.GONE and log.load.get(("s", 1), [0, 0]) == [0, 0]
+    assert group.phase is Phase.GONE
+    assert log.load.get(("s", 1), [0, 0]) == [0, 0]
 
 
 @pytest.mark.parametrize("grows", [True, False])
@@ -323,4 +327,6 @@
         walk.looks = 100
         while (popped := log.pop(service="s", walk=walk)) is not None:
             log.park(group=popped, now=now)
-    assert len(log.parked["s"]) <= 64 + 2 * 20 + 1 and len(log.active["s"]) <= 40 and len(log.wait) <= 40
+    assert len(log.parked["s"]) <= 64 + 2 * 20 + 1
+    assert len(log.active["s"]) <= 40
+    assert len(log.wait) <= 40
--- a/tests/scheduling/test_warm_capacity.py
+++ b/tests/scheduling/test_warm_capacity.py
@@ -44,7 +44,8 @@
             if caller.state(job_id=j)[1] != "complete" and caller.state(job_id=j, queue="slow")[1] != "complete"
         ]
         sim.run(seconds=0.5)
-    assert left == [] and oracle.broken == []
+    assert left == []
+    assert oracle.broken == []
 
 
 def test_room_is_kept_before_the_call_and_nothing_starts_in_it(warm: None) -> None:
@@ -54,7 +55,8 @@
     assert sim.until(cond=lambda: bool(placer.warmer.kept), limit=4.0)
     assert not any(m.running for m in fleet)
     kept = next(iter(placer.warmer.kept.values()))
-    assert sum(kept.at.values()) == 2 and kept.size.cpu == 4000
+    assert sum(kept.at.values()) == 2
+    assert kept.size.cpu == 4000
     slow = caller.submit(stages=[{**FILL, "task-count": 8}], queue="slow")
     sim.run(seconds=0.1)
     busy = {m.minion_id for m in fleet if m.running}
@@ -197,7 +199,9 @@
     sim, oracle, caller, fleet = cluster(seed=8601, minions=4, work=0.4)
     beat(sim=sim, caller=caller, times=14, gap=3.0)
     placer = placer_of(sim)
-    assert not placer.warmer.kept and not minions_used(fleet)
-    assert placer.figures()["warm"]["on"] is False and placer.figures()["warm"]["core-s-held"] == 0
+    assert not placer.warmer.kept
+    assert not minions_used(fleet)
+    assert placer.figures()["warm"]["on"] is False
+    assert placer.figures()["warm"]["core-s-held"] == 0
     assert history(placer) == History().dump()
     ended(sim=sim, oracle=oracle, caller=caller)
--- a/tests/simulator/test_cluster_faults.py
+++ b/tests/simulator/test_cluster_faults.py
@@ -97,7 +97,9 @@
     for _ in range(21):
         up.append(sum(sim.procs[ip].up for ip in sim.core_ips))
         sim.run(seconds=0.2)
-    assert up[0] == size and up[10] == 0 and up[20] == size
+    assert up[0] == size
+    assert up[10] == 0
+    assert up[20] == size
     assert 0 < up[5] < size or 0 < up[15] < size  # one after the other, not all at once
     lost = [ip for ip in sim.core_ips if sim.disks[ip] is not before[ip]]
     assert len(lost) == run.settings.shape.losses
--- a/tests/simulator/test_digest.py
+++ b/tests/simulator/test_digest.py
@@ -91,7 +91,8 @@
     play(settings=RunSettings(seed=4137, seconds=20.0, size=5), digest=taken)
     assert {int(Kind.HEART), int(Kind.ACCEPT), int(Kind.CALL), NO_KIND} <= taken.kinds
     assert taken.checkpoint_ends > 5  # more than the one that each of five core nodes writes at its boot
-    assert {"op", "caller"} < taken.callers and "" not in taken.callers
+    assert {"op", "caller"} < taken.callers
+    assert "" not in taken.callers
 
 
 class Recorder(RunDigest):
@@ -208,9 +209,12 @@
 
 def test_the_order_of_hashes_does_not_change_the_digest() -> None:
     outputs = {simulate("--seed=4137", "--size=5", "--digest", hash_seed=number).stdout for number in (1, 2, 3)}
-    assert len(outputs) == 1 and outputs != {""}
+    assert len(outputs) == 1
+    assert outputs != {""}
 
 
 def test_a_digest_flag_with_another_value_is_refused() -> None:
     done = simulate("--digest=7")
-    assert done.returncode == 64 and "--digest" in done.stderr and "Traceback" not in done.stderr
+    assert done.returncode == 64
+    assert "--digest" in done.stderr
+    assert "Traceback" not in done.stderr
--- a/tests/simulator/test_disk.py
+++ b/tests/simulator/test_disk.py
@@ -56,7 +56,8 @@
     disk, handle = made(folder_synced=True)
     disk.write(handle=handle, position=0, data=b"X")
     disk.kill()
-    assert disk.content(path=PATH) == b"Xbc" and left(disk) == {b"abc", b"Xbc"}
+    assert disk.content(path=PATH) == b"Xbc"
+    assert left(disk) == {b"abc", b"Xbc"}
     with pytest.raises(OSError, match="Bad file"):
         disk.write(handle=handle, position=0, data=b"Y")
     again = disk.open(path=PATH, create=False)
@@ -81,10 +82,12 @@
 def test_names_renamed_and_removed() -> None:
     disk, _ = made(folder_synced=True)
     disk.rename(old=PATH, new="/data/b")
-    assert left(disk) == {b"abc", None} and left(disk, path="/data/b") == {b"abc", None}
+    assert left(disk) == {b"abc", None}
+    assert left(disk, path="/data/b") == {b"abc", None}
     disk.sync_folder(path="/data")
     disk.remove(path="/data/b")
-    assert disk.content(path="/data/b") is None and left(disk, path="/data/b") == {b"abc", None}
+    assert disk.content(path="/data/b") is None
+    assert left(disk, path="/data/b") == {b"abc", None}
     with pytest.raises(FileNotFoundError):
         disk.open(path=PATH, create=False)
 
@@ -101,7 +104,9 @@
     with pytest.raises(OSError, match="Input"):
         disk.write(handle=handle, position=1, data=b"bcd")
     disk.sync(handle=handle)
-    assert disk.content(path=PATH) == b"abc" and waits == [2.5] and disk.stalled_s == 2.5
+    assert disk.content(path=PATH) == b"abc"
+    assert waits == [2.5]
+    assert disk.stalled_s == 2.5
     with pytest.raises(OSError, match="No space"):
         disk.write(handle=handle, position=2, data=b"CDEF")
     assert disk.content(path=PATH) == b"abCDE"
@@ -116,5 +121,7 @@
     with pytest.raises(PowerCutError):
         disk.write(handle=handle, position=0, data=b"?")
     rows = list(disk.outcomes(rng=random.Random(2), most=50, cuts=lambda _: [1]))
-    assert len(rows) == 50 and rows[0].writes == (0,) * 11 and rows[1].writes == (2,) * 11
+    assert len(rows) == 50
+    assert rows[0].writes == (0,) * 11
+    assert rows[1].writes == (2,) * 11
     assert rows == list(disk.outcomes(rng=random.Random(2), most=50, cuts=lambda _: [1]))
--- a/tests/simulator/test_faults.py
+++ b/tests/simulator/test_faults.py
@@ -133,9 +133,14 @@
     assert report.breaches == ()
     assert any(e.who == "fault" and f"{kind} of {where}" in e.text for e in report.story.events)
     sim = run.sim
-    assert isinstance(sim.cuts, Cuts) and not sim.cuts.whole
-    assert not sim.holds and not sim.link_delay and not sim.disk_factor
-    assert sim.loss == 0.0 and not sim.refusing and not any(sim.skew.values())
+    assert isinstance(sim.cuts, Cuts)
+    assert not sim.cuts.whole
+    assert not sim.holds
+    assert not sim.link_delay
+    assert not sim.disk_factor
+    assert sim.loss == 0.0
+    assert not sim.refusing
+    assert not any(sim.skew.values())
     up = [ip for ip in sim.core_ips if sim.procs[ip].up]
     assert len(up) == (2 if kind is FaultKind.REMOVE else 3)
 
@@ -144,7 +149,9 @@
     run = run_of(fault(FaultKind.REPLACE, "core-1"))
     old = run.sim.core_ips[1]
     assert run.play().breaches == ()
-    assert run.sim.core_ips[1] != old and run.sim.procs[run.sim.core_ips[1]].up and not run.sim.procs[old].up
+    assert run.sim.core_ips[1] != old
+    assert run.sim.procs[run.sim.core_ips[1]].up
+    assert not run.sim.procs[old].up
 
 
 def test_held_frames_arrive_in_order_or_are_lost() -> None:
--- a/tests/simulator/test_history_checks.py
+++ b/tests/simulator/test_history_checks.py
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize(
-    "rule,make",
+    ("rule", "make"),
     [
         ("accepted-job-gone", gone),
         ("accepted-job-gone", gone_after_it_was_seen),
@@ -61,7 +61,8 @@
     book = Book()
     make(book)
     breach = check_jobs(history=book.history)
-    assert breach is not None and breach.rule == rule
+    assert breach is not None
+    assert breach.rule == rule
 
 
 def test_good_histories_of_a_job_pass() -> None:
@@ -86,11 +87,13 @@
     assert check_answers(history=book.history) is None
     job(book, JobVerb.SHOW, 2, 3, 200, "active", nonce="n3", echo="n2")
     breach = check_answers(history=book.history)
-    assert breach is not None and breach.rule == "answer-to-another" and breach.operations[0].nonce == "n3"
+    assert breach is not None
+    assert breach.rule == "answer-to-another"
+    assert breach.operations[0].nonce == "n3"
 
 
 @pytest.mark.parametrize(
-    "calls,now,good",
+    ("calls", "now", "good"),
     [
         ([], False, True),
         ([], True, False),
@@ -114,4 +117,5 @@
     for on, start, end, status in calls:
         book.add(Evacuate(zone="z", on=on), start, end, status)
     breach = check_evacuations(history=book.history, final={"z": now}, at_s=99.0)
-    assert (breach is None) is good and (breach is None or breach.rule == "evacuation-undone")
+    assert (breach is None) is good
+    assert breach is None or breach.rule == "evacuation-undone"
--- a/tests/simulator/test_job_rules.py
+++ b/tests/simulator/test_job_rules.py
@@ -214,4 +214,5 @@
     day = lone(task(n=5))
     day.fleet[0].guards = True
     limit(day)
-    assert day.judge.broken == [] and [e[2] for e in day.fleet[0].ends.values()] == ["refused"]
+    assert day.judge.broken == []
+    assert [e[2] for e in day.fleet[0].ends.values()] == ["refused"]
--- a/tests/simulator/test_linearizability.py
+++ b/tests/simulator/test_linearizability.py
@@ -153,7 +153,7 @@
 ]
 
 
-@pytest.mark.parametrize("rule,make", BAD, ids=lambda x: x if isinstance(x, str) else x.__name__)
+@pytest.mark.parametrize(("rule", "make"), BAD, ids=lambda x: x if isinstance(x, str) else x.__name__)
 def test_each_bad_history_is_found_and_named(rule: str, make: Callable[[Book], None]) -> None:
     book = Book()
     make(book)
@@ -168,7 +168,8 @@
     assert book.rule() == ""
     book.order("o70", 70, 71, 5000, 5001, 412)
     wrong = book.number
-    assert book.rule() == "repeat-refused" and book.guilty() == [141, wrong]
+    assert book.rule() == "repeat-refused"
+    assert book.guilty() == [141, wrong]
 
 
 def test_unclear_answers_may_have_happened_at_any_later_time() -> None:
--- a/tests/simulator/test_operators.py
+++ b/tests/simulator/test_operators.py
@@ -162,4 +162,5 @@
         run.sim.heal()
     breach = run.finish()
     assert breach is None, str(breach)
-    assert confirmed(run) >= 300 and most == 8
+    assert confirmed(run) >= 300
+    assert most == 8
--- a/tests/simulator/test_simulator.py
+++ b/tests/simulator/test_simulator.py
@@ -41,7 +41,8 @@
         ).stdout
         for n in range(2)
     }
-    assert len(seen) == 1 and seen != {""}
+    assert len(seen) == 1
+    assert seen != {""}
 
 
 class Recorder:
@@ -66,14 +67,16 @@
     assert load_begun == sorted(load_begun, key=lambda e: e.at_s)
     asked = {e.number: e for e in check.events if isinstance(e, Invocation)}
     answers = [e for e in check.events if isinstance(e, Answer)]
-    assert len(answers) > 20 and len({e.number for e in answers}) == len(answers)
+    assert len(answers) > 20
+    assert len({e.number for e in answers}) == len(answers)
     assert all(asked[e.number].who == e.who and asked[e.number].at_s <= e.at_s for e in answers)
     assert any(e.method == "PATCH" and e.path == "/config" and e.body for e in asked.values())
 
 
 def test_a_breach_of_a_check_ends_the_run() -> None:
     report = play(settings=RunSettings(seed=2, seconds=8.0, faults=()), checks=(Recorder(breach="REGISTER odd"),))
-    assert report.rules == {"REGISTER"} and report.simulated_s < 4.0
+    assert report.rules == {"REGISTER"}
+    assert report.simulated_s < 4.0
 
 
 def test_a_process_that_raises_has_ended_by_itself(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -167,7 +170,9 @@
         jobs=2,
         progress=lambda report: seen.append(report.settings.seed),
     )
-    assert found.runs == 5 and found.broken == () and sorted(seen) == list(range(50, 55))
+    assert found.runs == 5
+    assert found.broken == ()
+    assert sorted(seen) == list(range(50, 55))
 
 
 def test_what_a_hunt_tells_can_be_played_again(tmp_path: Path) -> None:
@@ -179,7 +184,8 @@
     plan = load(path=str(path))
     assert plan == plan_of(report=report) == Plan(faults=report.faults, seed=7, seconds=5.0, size=3)
     again = command("hunt", f"--replay={path}")
-    assert again.returncode == 0 and "begins: kill of core-0 for 1 s" in again.stdout
+    assert again.returncode == 0
+    assert "begins: kill of core-0 for 1 s" in again.stdout
 
 
 def command(*args: str) -> subprocess.CompletedProcess[str]:
@@ -188,7 +194,9 @@
 
 def test_the_command_reports_a_clean_run() -> None:
     done = command("simulate", "--seed=3", "--seconds=3")
-    assert done.returncode == 0 and "breaches 0" in done.stdout and done.stderr == ""
+    assert done.returncode == 0
+    assert "breaches 0" in done.stdout
+    assert done.stderr == ""
 
 
 def test_the_command_reports_a_breach_with_its_exit_code(tmp_path: Path) -> None:
@@ -197,7 +205,8 @@
         "seconds = 3\n" + "".join(f'[[faults]]\nkind = "remove"\nat-s = 1.0\nwhere = "core-{i}"\n' for i in range(2))
     )
     done = command("simulate", f"--faults={path}")
-    assert done.returncode == 1 and "breaches 1" in done.stdout
+    assert done.returncode == 1
+    assert "breaches 1" in done.stdout
 
 
 @pytest.mark.parametrize(
@@ -215,4 +224,6 @@
 )
 def test_flags_that_cannot_be_used(args: list[str], code: int, place: str) -> None:
     done = command(*args)
-    assert done.returncode == code and place in done.stderr and "Traceback" not in done.stderr
+    assert done.returncode == code
+    assert place in done.stderr
+    assert "Traceback" not in done.stderr
--- a/tests/storage/test_crash_proof.py
+++ b/tests/storage/test_crash_proof.py
@@ -15,21 +15,25 @@
 
 def test_power_cut_at_each_call_of_a_life() -> None:
     tally = explore(lives=[FIRST], bounds=[Bounds(outcomes=2000, followed=0)])
-    assert tally.ends > 50 and tally.outcomes > 500 and tally.sampled == 0
+    assert tally.ends > 50
+    assert tally.outcomes > 500
+    assert tally.sampled == 0
 
 
 def test_power_cut_at_each_call_of_a_life_with_writes_torn_at_every_byte() -> None:
     """Where a file grows two writes are unsynced: there a random choice of the outcomes."""
     tally = explore(lives=[FIRST], bounds=[Bounds(outcomes=2000, followed=0, every_byte=True)])
     print(tally)
-    assert tally.outcomes > 5000 and tally.sampled <= 8
+    assert tally.outcomes > 5000
+    assert tally.sampled <= 8
 
 
 def test_second_end_at_each_call_of_the_life_after() -> None:
     lives = [Life(batches=(3, 4, 3, 2)), Life(batches=(3,))]
     tally = explore(lives=lives, bounds=[Bounds(outcomes=500, followed=2), Bounds(outcomes=500, followed=0)])
     print(tally)
-    assert tally.outcomes > 5000 and tally.sampled == 0
+    assert tally.outcomes > 5000
+    assert tally.sampled == 0
 
 
 @pytest.mark.parametrize("seed", range(4))
--- a/tests/storage/test_ring_journal.py
+++ b/tests/storage/test_ring_journal.py
@@ -87,7 +87,8 @@
             ring.rotate(need=ring.room(bodies=big))
             ring.append(bodies=big)
         ring.append(bodies=record)
-    assert rotations == 0 and ring.size == 16384
+    assert rotations == 0
+    assert ring.size == 16384
     again = Ring(folder=str(tmp_path), files=4, size=4096, most=32768)
     assert again.load()[:2] == [b"old", big[0]]
     assert len(again.load()) >= 2
--- a/tests/storage/test_storage.py
+++ b/tests/storage/test_storage.py
@@ -117,7 +117,9 @@
         lose_all(disk=disk)
         found.append(verdict(disk=disk))
     first = found.index(Verdict.WHOLE)  # from the sync of the first batch on
-    assert first > 10 and set(found[:first]) == {Verdict.EMPTY} and set(found[first:]) == {Verdict.WHOLE}
+    assert first > 10
+    assert set(found[:first]) == {Verdict.EMPTY}
+    assert set(found[first:]) == {Verdict.WHOLE}
     assert verdict(disk=SimDisk()) is Verdict.EMPTY
 
 
@@ -288,7 +290,8 @@
         while not ring.full(extra=70_000):
             ring.append(bodies=[b"e" * 60_000])
     used = sum(file.stat().st_size for file in tmp_path.iterdir())
-    assert ring.size == most and used == 4 * most <= 8 * MIB
+    assert ring.size == most
+    assert used == 4 * most <= 8 * MIB
 
 
 def test_a_ring_of_two_files_is_refused() -> None:
--- a/tests/storage/test_writer.py
+++ b/tests/storage/test_writer.py
@@ -66,7 +66,8 @@
     # The checkpoint that begins the next file stands for the entries before it.
     for left in (disk, killed):
         found = written(disk=left)
-        assert found == sorted(set(found)) and found[-1] == 2 * BATCHES - 1
+        assert found == sorted(set(found))
+        assert found[-1] == 2 * BATCHES - 1
 
 
 def test_a_disk_that_hangs_holds_up_effects_and_nothing_else() -> None:
@@ -98,7 +99,8 @@
             nursery.cancel_scope.cancel()
 
     trio.run(main)
-    assert turns == 10 and written(disk=disk) == [0]
+    assert turns == 10
+    assert written(disk=disk) == [0]
 
 
 def test_a_batch_that_is_cut_off_comes_back_as_its_beginning_or_whole() -> None:
--- a/tests/support/binding_explorer.py
+++ b/tests/support/binding_explorer.py
@@ -169,7 +169,7 @@
 
 def plain(x: Any, seen: set[int]) -> Any:
     """A state as plain data; what is met again is left out."""
-    if x is None or isinstance(x, (str, int, float)) and not isinstance(x, Enum):
+    if x is None or (isinstance(x, (str, int, float)) and not isinstance(x, Enum)):
         return x
     if isinstance(x, Enum):
         return x.value
--- a/tests/support/handwritten_history.py
+++ b/tests/support/handwritten_history.py
@@ -42,5 +42,6 @@
 
     def guilty(self) -> list[int]:
         breach = check_configuration(history=self.history)
-        assert breach is not None and str(breach).count("\n") == len(breach.operations)
+        assert breach is not None
+        assert str(breach).count("\n") == len(breach.operations)
         return [op.number for op in breach.operations]
--- a/tests/support/replication_adapter.py
+++ b/tests/support/replication_adapter.py
@@ -263,10 +263,8 @@
     def on_disk(self, *, kind: Kind, body: dict[str, Any]) -> bool:
         """Whether what an answer says is synced."""
         if kind is Kind.CKPTOK:
-            return (
-                any(r["k"] == "ck" and r["tag"] == body["tag"] for r in self.synced)
-                or self.epoch is not None
-                and (self.epoch["t"] == body["tag"])
+            return any(r["k"] == "ck" and r["tag"] == body["tag"] for r in self.synced) or (
+                self.epoch is not None and (self.epoch["t"] == body["tag"])
             )
         if kind is Kind.LOGOK:
             rows = [r for r in self.synced if r["k"] in ("lg", "st") and r["n"] == body["n"]]
--- a/tests/support/replication_explorer.py
+++ b/tests/support/replication_explorer.py
@@ -40,7 +40,7 @@
         if m.running and 0 <= m.frozen_until <= w.now:
             return ("thaw", m.index)
         spent = w.now - m.leaving_since
-        if m.awake and m.leaving_since >= 0 and (spent >= DRAIN_MOST_S or spent >= DRAIN_S and m.may_end()):
+        if m.awake and m.leaving_since >= 0 and (spent >= DRAIN_MOST_S or (spent >= DRAIN_S and m.may_end())):
             return ("end", m.index)
     for way, cut in w.cuts.items():
         if cut.until <= w.now:
@@ -287,7 +287,7 @@
     def ended(self, w: World, left: tuple[int, int, int]) -> bool:
         """All is settled and nothing but calm is left, or the state was met before."""
         w.closing = not left[2] or not (left[0] or left[1])
-        return w.closing and w.settled() or self.known(w, left)
+        return (w.closing and w.settled()) or self.known(w, left)
 
     def known(self, w: World, left: tuple[int, int, int]) -> bool:
         """Beyond what is branched from, only states in which nothing but time can go on are compared."""
--- a/tests/support/replication_model.py
+++ b/tests/support/replication_model.py
@@ -271,7 +271,7 @@
             member.asked_votes = max(member.asked_votes, body["n"] - 1)
         if kind is Kind.PONG:
             self.check_left(member=member, n=body["n"])
-        if kind is Kind.PROMISE and body["ok"] or kind is Kind.ACCEPTED and body["ok"]:
+        if (kind is Kind.PROMISE and body["ok"]) or (kind is Kind.ACCEPTED and body["ok"]):
             before = self.decided[body["n"] - 1]
             need(member.node_id in before["w"], "ABSTAIN", member.node_id, "is no witness of", before)
         if kind is Kind.ACCEPT and "BALLOT" not in self.unasked:
--- a/tests/testbed/test_plan.py
+++ b/tests/testbed/test_plan.py
@@ -20,7 +20,8 @@
 
 def test_defaults_stand_for_what_is_left_out() -> None:
     plan = check(document=GOOD)
-    assert plan.cluster["cores"] == 3 and plan.jobs == 0
+    assert plan.cluster["cores"] == 3
+    assert plan.jobs == 0
     assert [q.name for q in plan.queues] == ["urgent", "usual", "bulk"]
 
 
@@ -109,5 +110,6 @@
     with rig("experiment", str(path), f"--out={tmp_path}") as proc:
         out, err = proc.communicate(timeout=BOUND_S)
     assert proc.returncode == 0, err
-    assert "lost=0" in out and (tmp_path / "one" / "figures.json").exists()
+    assert "lost=0" in out
+    assert (tmp_path / "one" / "figures.json").exists()
     assert "| urgent-done |" in (tmp_path / "one" / "report.md").read_text()
--- a/tests/testbed/test_simulated_minion.py
+++ b/tests/testbed/test_simulated_minion.py
@@ -107,7 +107,8 @@
     job_ids = [caller.submit(stages=[TASK, {**TASK, "depends-on": [0]}]) for _ in range(6)]
     job_ids.append(caller.submit(stages=[{**TASK, "task-count": 1}, {**TASK, "anti-affinity": 1}]))
     finish(sim, oracle, caller, job_ids)
-    assert judge.broken == [] and judge.starts >= 6 * 6 + 4
+    assert judge.broken == []
+    assert judge.starts >= 6 * 6 + 4
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -172,7 +173,9 @@
     m = one()
     tell(m, now=0.0, fence_no=7, hold_ms=4000, started=[order(m)])
     tell(m, now=0.1, fence_no=6, hold_ms=9000, started=[order(m, idx=1)], stopped=[[f"{JID}.0.0.0", 1]])
-    assert list(m.running) == [f"{JID}.0.0.0"] and m.hold == 4.0 and m.fence == 7
+    assert list(m.running) == [f"{JID}.0.0.0"]
+    assert m.hold == 4.0
+    assert m.fence == 7
     tell(m, now=0.2, started=[order(m, idx=1)])
     assert len(m.running) == 1
 
@@ -181,15 +184,19 @@
     m = one(max_hold=5.0)
     tell(m, now=0.0, hold_ms=60000, started=[order(m, step=2)])
     tell(m, now=1.0, hold_ms=100)
-    assert m.hold == 5.0 and m.wake() == 5.0
+    assert m.hold == 5.0
+    assert m.wake() == 5.0
     m.advance(now=5.0)
-    assert m.running == {} and [e[2] for e in m.ends.values()] == ["lapsed"]
+    assert m.running == {}
+    assert [e[2] for e in m.ends.values()] == ["lapsed"]
 
 
 def test_answer_a_second_late_is_dropped() -> None:
     m = one()
     tell(m, now=0.0, lag=1.01, hold_ms=4000, started=[order(m)])
-    assert m.running == {} and m.hold == 0.0 and m.due > 1.0
+    assert m.running == {}
+    assert m.hold == 0.0
+    assert m.due > 1.0
 
 
 def test_nothing_starts_without_a_hold() -> None:
@@ -205,7 +212,8 @@
     assert m.due == 0.55
     first = m.beat(now=0.55)["finished"]
     m.miss(seq=m.seq, now=1.55)
-    assert [row[0] for row in first] == [1, 2, 3, 4] and m.beat(now=1.7)["finished"] == first
+    assert [row[0] for row in first] == [1, 2, 3, 4]
+    assert m.beat(now=1.7)["finished"] == first
     m.answer(seq=m.seq, document={"last-seen": 3}, sent=1.7, now=1.7)
     assert list(m.ends) == [4]
 
@@ -217,7 +225,8 @@
         tell(m, now=0.0, hold_ms=3000, started=[order(m)])
         m.advance(now=0.5)
         tell(m, now=3.5 if late else 2.5, hold_ms=3000, last_seen=1)
-        assert m.ends == {} and (f"{JID}.0.0.0" in judge.noted) is not late
+        assert m.ends == {}
+        assert (f"{JID}.0.0.0" in judge.noted) is not late
 
 
 def test_run_that_does_not_rise_is_turned_away() -> None:
@@ -232,7 +241,8 @@
 def test_guard_refuses_what_does_not_fit_and_no_guard_breaks_the_limit() -> None:
     m = one(guards=True)
     tell(m, now=0.0, hold_ms=9000, started=[order(m, step=3)])
-    assert m.running == {} and [e[2] for e in m.ends.values()] == ["refused"]
+    assert m.running == {}
+    assert [e[2] for e in m.ends.values()] == ["refused"]
     judge = Judge()
     m = one(judge=judge)
     tell(m, now=0.0, hold_ms=9000, started=[order(m, step=3)])
@@ -257,7 +267,8 @@
     assert [e[2] for e in m.ends.values()] == ["alone"]
     tell(m, now=4.0, hold_ms=9000, last_seen=1, started=[order(m, step=1, run=2), order(m, step=1, idx=1, run=2)])
     m.advance(now=4.5)
-    assert [e[2] for e in m.ends.values()] == ["done", "done"] and m.yard.gangs == {}
+    assert [e[2] for e in m.ends.values()] == ["done", "done"]
+    assert m.yard.gangs == {}
     tell(m, now=5.0, hold_ms=9000, last_seen=3, started=[order(m, step=1, run=3), order(m, step=1, idx=1, run=3)])
     m.running[f"{JID}.0.1.0"].fail = True
     m.advance(now=5.5)
@@ -279,7 +290,8 @@
         assert not m.running or now < hold, "runs beyond its hold"
         document = m.beat(now=now)
         nums = [row[0] for row in document["finished"]]
-        assert nums == sorted(nums) and all(n > seen for n in nums)
+        assert nums == sorted(nums)
+        assert all(n > seen for n in nums)
         for row in document["finished"]:
             assert listed.setdefault(row[0], row) == row, "an end changed"
         assert [n for n in sorted(listed) if n > seen] == nums, "an end was forgotten"
@@ -310,7 +322,7 @@
         for name, num, *_ in ans.get("started", []):
             fresh = num > top.get(name, 0) and now < hold
             assert (name in m.running and m.running[name].run == num) == (
-                fresh or before.get(name) == num and (name in m.running)
+                fresh or (before.get(name) == num and (name in m.running))
             ), "a start against the rules"
             if fresh:
                 top[name] = num
--- a/tests/testbed/test_testbed.py
+++ b/tests/testbed/test_testbed.py
@@ -57,7 +57,8 @@
                 break
         proc.send_signal(sig)
         out, rest = proc.communicate(timeout=BOUND_S)
-    assert proc.returncode == 128 + sig and sig.name in rest
+    assert proc.returncode == 128 + sig
+    assert sig.name in rest
     assert left_behind(err) == []
 
 
@@ -87,7 +88,8 @@
 def test_sizes_out_of_bounds_are_wrong_use(args: list[str]) -> None:
     with rig("local", *args) as proc:
         _, err = proc.communicate(timeout=BOUND_S)
-    assert proc.returncode == 64 and "event=starting" not in err
+    assert proc.returncode == 64
+    assert "event=starting" not in err
 
 
 def test_help_lists_every_subcommand_with_its_flags() -> None:
@@ -115,4 +117,5 @@
         timeout=BOUND_S,
         env={"PATH": os.environ["PATH"]},
     )
-    assert response.returncode == 64 and "missing dependency fire" in response.stderr
+    assert response.returncode == 64
+    assert "missing dependency fire" in response.stderr
--- a/tests/testbed/test_virtual_testbed.py
+++ b/tests/testbed/test_virtual_testbed.py
@@ -11,19 +11,24 @@
 
 def test_idle_minions_cost_their_agents() -> None:
     row = beats(minions=6, seed=1, seconds=2.0)
-    assert row["beats-a-minion-s"] > 0.5 and row["agent-us-a-minion-s"] > 0 and row["heart-bytes-a-minion-s"] > 0
+    assert row["beats-a-minion-s"] > 0.5
+    assert row["agent-us-a-minion-s"] > 0
+    assert row["heart-bytes-a-minion-s"] > 0
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_mix_starts_all_and_breaks_no_rule(seed: int) -> None:
     row = starts(minions=12, rate=5.0, seed=seed, seconds=4.0)
     assert (row["accepted"], row["refused"], row["rules-broken"]) == (20, 0, 0)
-    assert row["starts-a-s"] > 0 and row["log-bytes-a-start"] > 0 and row["first-start-p50-ms"] > 0
+    assert row["starts-a-s"] > 0
+    assert row["log-bytes-a-start"] > 0
+    assert row["first-start-p50-ms"] > 0
 
 
 def test_changes_reach_every_node() -> None:
     row = changes(routes=5, seed=1, cores=3, edges=3, count=2)
-    assert row["bytes-a-node-change"] > 0 and row["everywhere-ms"] < 30_000
+    assert row["bytes-a-node-change"] > 0
+    assert row["everywhere-ms"] < 30_000
 
 
 def test_state_figures_are_there() -> None:
@@ -38,7 +43,8 @@
 
 def test_gang_runs_whole_and_ends_done() -> None:
     row = gang(size=5, minions=6, seed=1)
-    assert (row["done"], row["alone"], row["rules-broken"]) == (5, 0, 0) and row["all-run-ms"] > 0
+    assert (row["done"], row["alone"], row["rules-broken"]) == (5, 0, 0)
+    assert row["all-run-ms"] > 0
 
 
 def test_unknown_run_is_wrong_use() -> None:
--- a/tests/transport/test_codec.py
+++ b/tests/transport/test_codec.py
@@ -89,7 +89,8 @@
             body = rng.randbytes(rng.choice([1, 126, 127, 128, 20000]))
             want = Frame(lane=int(lane), src=src, node_id=src + "#0", incarnation=incarnation, seq=num, body=body)
             raw = sealer.seal(seq=num, body=body)
-            assert raw == pack(frame=want) and cut.feed(raw) == [want]
+            assert raw == pack(frame=want)
+            assert cut.feed(raw) == [want]
     torn = bytearray(raw)
     torn[rng.randrange(4, len(torn))] ^= 1 << rng.randint(0, 7)
     try:
@@ -106,10 +107,12 @@
     try:
         job = parse(body=body)
     except InvalidError as err:
-        assert err.findings and all(f.place for f in err.findings)
+        assert err.findings
+        assert all(f.place for f in err.findings)
         return
     for at, step in enumerate(job["steps"]):
-        assert step["n"] >= 1 and all(0 <= d < at for d in step["deps"])
+        assert step["n"] >= 1
+        assert all(0 <= d < at for d in step["deps"])
 
 
 @pytest.mark.parametrize("seed", range(300))
@@ -164,7 +167,8 @@
     assert put(base="0", document={**CONF, "config-version": 9}) == "stale-base"
     assert put(base="4", document=CONF) == "invalid"
     assert put(base="4", document={"config-version": 6, "removals": {"route-table": ["b"]}}, method="PATCH") == "ok"
-    assert registry.config is not None and [r["name"] for r in registry.config["route-table"]] == ["a"]
+    assert registry.config is not None
+    assert [r["name"] for r in registry.config["route-table"]] == ["a"]
     assert (
         put(base="4", document={"config-version": 7, "removals": {"route-table": ["a"]}}, method="PATCH")
         == "stale-base"
@@ -211,6 +215,7 @@
     try:
         check_startup(document=noise(rng=rng, document=document))
     except StartupError as err:
-        assert err.findings and err.exit_code == 78
+        assert err.findings
+        assert err.exit_code == 78
     except YarrowError as err:
         raise AssertionError("another code") from err
--- a/tests/transport/test_http_exchange.py
+++ b/tests/transport/test_http_exchange.py
@@ -159,7 +159,8 @@
         await bench.asks("/c")
         bench.answer("/c")
         bench.answer("/b")
-        assert b'"for":"/b"' in await answers(other, count=1) and b'"for":"/c"' in await answers(again, count=1)
+        assert b'"for":"/b"' in await answers(other, count=1)
+        assert b'"for":"/c"' in await answers(again, count=1)
         assert sorted(bench.asked) == ["/b", "/c"]
 
     play(script)
@@ -181,7 +182,9 @@
         bench.answer("/a")
         bench.answer("/b")
         got = await answers(again, count=1)
-        assert b'"for":"/b"' in got and b"/a" not in got and got.count(b"HTTP/1.1") == 1
+        assert b'"for":"/b"' in got
+        assert b"/a" not in got
+        assert got.count(b"HTTP/1.1") == 1
         assert bench.shell.waits == {}
 
     play(script)
@@ -217,10 +220,12 @@
         bench.answer("/a")
         with trio.move_on_after(0) as scope:
             await trio.sleep_forever()
-        assert scope.cancelled_caught and len(bench.shell.waits) == 1
+        assert scope.cancelled_caught
+        assert len(bench.shell.waits) == 1
         bench.answer("/b")
         got = await answers(stream, count=1)
-        assert got.count(b"HTTP/1.1") == 1 and b'"for":"/b"' in got
+        assert got.count(b"HTTP/1.1") == 1
+        assert b'"for":"/b"' in got
 
     play(script)
 
--- a/tests/transport/test_http_server.py
+++ b/tests/transport/test_http_server.py
@@ -39,13 +39,15 @@
     got, took = talk(
         data=b"GET /a HTTP/1.1\r\nHost: h\r\n\r\nPOST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc"
     )
-    assert got.count(b"HTTP/1.1 200") == 2 and b'{"n":3}' in got
+    assert got.count(b"HTTP/1.1 200") == 2
+    assert b'{"n":3}' in got
     assert 14 < took < 16
 
 
 def test_slow_head_is_told_so_and_let_go() -> None:
     got, took = talk(data=b"GET /a HTTP/1.1\r\nHos")
-    assert got.startswith(b"HTTP/1.1 408") and 2.9 < took < 3.5
+    assert got.startswith(b"HTTP/1.1 408")
+    assert 2.9 < took < 3.5
 
 
 def test_oversized_head_and_body() -> None:
@@ -63,12 +65,15 @@
 
 def test_unreadable_head() -> None:
     got, took = talk(data=b"\x00\x01 nonsense\r\n\r\n")
-    assert got.startswith(b"HTTP/1.1 400") and took < 1
+    assert got.startswith(b"HTTP/1.1 400")
+    assert took < 1
 
 
 def test_draining_answers_then_closes() -> None:
     got, took = talk(data=b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n", closing=True)
-    assert b"HTTP/1.1 200" in got and b"connection: close" in got.lower() and took < 1
+    assert b"HTTP/1.1 200" in got
+    assert b"connection: close" in got.lower()
+    assert took < 1
 
 
 async def mirror(req: Request) -> Response:
@@ -148,7 +153,8 @@
     got, took = pieces(parts=parts, gap=gap, end=end)
     monkeypatch.setattr(http, "read_head", lambda **_: False)
     want, until = pieces(parts=parts, gap=gap, end=end)
-    assert got.lower() == want.lower() and abs(took - until) < 0.01
+    assert got.lower() == want.lower()
+    assert abs(took - until) < 0.01
 
 
 def test_a_header_that_cannot_be_written_is_refused() -> None:
--- a/tests/transport/test_incarnations_wire.py
+++ b/tests/transport/test_incarnations_wire.py
@@ -42,7 +42,8 @@
 
 def test_a_retired_life_does_not_count_again_whatever_its_connection() -> None:
     seen = Seen()
-    assert take(seen, node_id="#a", connection=1) and take(seen, node_id="#b", connection=2)
+    assert take(seen, node_id="#a", connection=1)
+    assert take(seen, node_id="#b", connection=2)
     assert not take(seen, node_id="#a", seq=9, connection=3)
     for life in range(3, 3 * RETIRED_MOST):  # the set is bounded; the numbers of connections hold beyond it
         assert take(seen, node_id=f"#{life}", connection=life)
@@ -84,7 +85,8 @@
         seen = Seen()
         took = [take(seen, node_id=f"#{life}", seq=1, connection=life) for life in order]
         assert took == ([True, True] if order == [1, 2] else [True, False])
-        assert take(seen, node_id="#2", seq=2, connection=2) and not take(seen, node_id="#1", seq=2, connection=1)
+        assert take(seen, node_id="#2", seq=2, connection=2)
+        assert not take(seen, node_id="#1", seq=2, connection=1)
 
 
 @pytest.mark.parametrize("seed", range(60))
@@ -107,7 +109,8 @@
         life, connection, lane, seq = rng.choice([rows for rows in queues if rows]).pop(0)
         node_id, incarnation = lives[life]
         if take(seen, node_id=node_id, incarnation=incarnation, seq=seq, connection=connection, lane=lane):
-            assert life >= last and seq > heads.get((life, lane), 0)
+            assert life >= last
+            assert seq > heads.get((life, lane), 0)
             last, heads[life, lane] = life, seq
         else:
             assert life < last or seq <= heads.get((life, lane), 0)
@@ -169,7 +172,8 @@
             ghost = await to.connect()
             await ghost.send_all(opening + frame(node_id="#a", seq=1, m=1))
             await trio.testing.wait_all_tasks_blocked()
-            assert to.got == [] and await ghost.receive_some(CHALLENGE_BYTES)
+            assert to.got == []
+            assert await ghost.receive_some(CHALLENGE_BYTES)
             assert await ghost.receive_some(1) == b""
             nursery.cancel_scope.cancel()
 
@@ -197,22 +201,26 @@
     document = settings(binds={"control": f"{HOST}:1"}, inner=7000, seed=f"{HOST}:1", data=str(tmp_path / "d"))
     for life in range(1, 5):
         shell = open_core(settings=check(document=document), log=LOG)
-        assert shell.node.incarnation == life and shell.peers.incarnation == life
+        assert shell.node.incarnation == life
+        assert shell.peers.incarnation == life
         known = last_life(records=Ring(folder=str(tmp_path / "d"), size=2 << 20).load())
-        assert known is not None and (known.node_id, known.incarnation) == (shell.node.node_id, life)
+        assert known is not None
+        assert (known.node_id, known.incarnation) == (shell.node.node_id, life)
         assert shell.ring is not None
         shell.ring.close()
 
 
 def test_a_journal_from_before_lives_were_counted_goes_on_with_the_first(tmp_path: pathlib.Path) -> None:
     known = last_life(records=[orjson.dumps({"k": "id", "uid": "a:1#0"}), b'{"k":"none","end":true}'])
-    assert known is not None and (known.node_id, known.next) == ("a:1#0", 1)
+    assert known is not None
+    assert (known.node_id, known.next) == ("a:1#0", 1)
 
 
 def test_no_two_lives_of_an_edge_share_a_uid() -> None:
     document = settings(binds={"front": f"{HOST}:1"}, inner=7000, seed=f"{HOST}:2", data=None)
     shells = [open_edge(settings=check(document={**document, "role": "edge"}), log=LOG) for _ in range(20)]
-    assert len({shell.node.node_id for shell in shells}) == 20 and {shell.node.incarnation for shell in shells} == {1}
+    assert len({shell.node.node_id for shell in shells}) == 20
+    assert {shell.node.incarnation for shell in shells} == {1}
 
 
 def test_two_lives_at_one_address_over_real_sockets() -> None:
--- a/tests/transport/test_lanes.py
+++ b/tests/transport/test_lanes.py
@@ -41,9 +41,11 @@
         line.sent(real=True)
         fresh, gap = take(seen, incarnation=7, seq=seq)
         rows = [m for _, m in unbundle(body=body)]
-        assert fresh and rows
+        assert fresh
+        assert rows
         if got and rows[0] != got[-1] + 1:
-            assert gap and lost_after >= 0
+            assert gap
+            assert lost_after >= 0
         assert not got or rows[0] > got[-1]
         got += rows
         assert take(seen, incarnation=7, seq=seq) == (False, False)
@@ -55,7 +57,8 @@
     line, seen = Line(), Seen()
     assert take(seen, incarnation=1, seq=line.take()[0])[0]
     kept = [line.put(kind=Kind.ORDER, body=b"%d" % i) for i in range(QUEUE_MOST + 5)]
-    assert kept.count(False) == 5 and len(line.rows) == QUEUE_MOST
+    assert kept.count(False) == 5
+    assert len(line.rows) == QUEUE_MOST
     assert take(seen, incarnation=1, seq=line.take()[0]) == (True, True)
     assert take(seen, incarnation=1, seq=line.take()[0]) == (True, False)
 
@@ -171,9 +174,11 @@
     for i in range(100):
         line.put(kind=Kind.ENDS, body=b"%d" % i)
     seq, body = line.take()
-    assert seq == 1 and not line.rows
+    assert seq == 1
+    assert not line.rows
     raw = pack(frame=Frame(lane=2, src="a", node_id="a#0", incarnation=1, seq=seq, body=body))
-    assert len(raw) < 1000 and body == bundle(rows=[(48, b"%d" % i) for i in range(100)])
+    assert len(raw) < 1000
+    assert body == bundle(rows=[(48, b"%d" % i) for i in range(100)])
 
 
 def test_ticks_and_urgent_inputs_pass_a_backlog() -> None:
@@ -203,12 +208,14 @@
 def test_late_calls_that_nobody_waits_for_are_passed_over() -> None:
     done: list[float] = []
     turns = Turns(tick=lambda: None, gap=9.0)
-    assert turns.take(now=0.0) is not None and turns.take(now=0.0) is None  # the tick
+    assert turns.take(now=0.0) is not None
+    assert turns.take(now=0.0) is None
     for until in (1.0, 5.0):
         turns.put(fn=lambda until=until: done.append(until), rank=Rank.LATE, until=until)  # type: ignore[misc]
     while (fn := turns.take(now=2.0)) is not None:
         fn()
-    assert done == [5.0] and len(turns) == 0
+    assert done == [5.0]
+    assert len(turns) == 0
 
 
 class Node:
@@ -243,7 +250,9 @@
         calls.tick()
         node.now += 0.05
     gaps = [b[0] - a[0] for a, b in zip(node.sent, node.sent[1:], strict=False)]
-    assert len(node.sent) <= 5 and gaps == sorted(gaps) and max(gaps) <= RESEND_MOST_S + 0.11
+    assert len(node.sent) <= 5
+    assert gaps == sorted(gaps)
+    assert max(gaps) <= RESEND_MOST_S + 0.11
     before = len(node.sent)
     node.at = ("p2", 2)
     calls.tick()
@@ -253,7 +262,8 @@
     calls.lost(node_id="p2")
     assert len(node.sent) == before + 2
     calls.reply(node_id="p2", m={"rid": 1, "to": "me", "s": 421, "d": [("p3", 3)]})
-    assert node.sent[-1][1] == "p3" and node.ended == []
+    assert node.sent[-1][1] == "p3"
+    assert node.ended == []
     calls.reply(node_id="p3", m={"rid": 1, "to": "me", "s": 200, "d": {}})
     assert node.ended == [200]
 
@@ -308,7 +318,8 @@
         fn()
         now += took[done[-1]]
     spent = {k: done.count(k) * s for k, s in took.items()}
-    assert spent["chores"] < 0.55 * end and spent["ends"] > 0.2 * end
+    assert spent["chores"] < 0.55 * end
+    assert spent["ends"] > 0.2 * end
     last, at, worst = 0.0, 0.0, 0.0
     for d in done:
         at += took[d]
@@ -342,7 +353,8 @@
         assert replica.screen(node_id="a", kind=kind, m=m) is m
         assert replica.screen(node_id="a", kind=kind, m=dict(m)) is None
         assert replica.screen(node_id="b", kind=kind, m=m) is m
-        assert replica.taken(node_id="a", kind=kind, m=m) is m and replica.screen(node_id="a", kind=kind, m=m) is m
+        assert replica.taken(node_id="a", kind=kind, m=m) is m
+        assert replica.screen(node_id="a", kind=kind, m=m) is m
     assert replica.screen(node_id="a", kind=Kind.ENDS, m={**ends, "f": 4}) is not None  # under a newer fence it is news
     assert (
         replica.screen(node_id="a", kind=Kind.ORDER, m={}) == replica.screen(node_id="a", kind=Kind.ORDER, m={}) == {}
--- a/tests/transport/test_listener.py
+++ b/tests/transport/test_listener.py
@@ -82,7 +82,8 @@
             sock.close()
 
     trio.run(main)
-    assert served == RUSH and rounds <= 6 * (RUSH // accept.ACCEPTS_MOST + 1)
+    assert served == RUSH
+    assert rounds <= 6 * (RUSH // accept.ACCEPTS_MOST + 1)
 
 
 @pytest.mark.parametrize(
--- a/tests/transport/test_malformed_frames.py
+++ b/tests/transport/test_malformed_frames.py
@@ -126,7 +126,8 @@
         await wire.bring(data=BAD[name])
         assert wire.got == [] and len(wire.log.rows) == 1, wire.log.rows
         event, fields = wire.log.rows[0]
-        assert event in ("peer-malformed", "frame-malformed", "frame-kind-unknown") and fields
+        assert event in ("peer-malformed", "frame-malformed", "frame-kind-unknown")
+        assert fields
         await wire.bring(data=good(seq=2, m=7))
         assert wire.got == [7]
 
--- a/yarrowloom/agent/agent.py
+++ b/yarrowloom/agent/agent.py
@@ -23,7 +23,8 @@
 class Agent:
     """Invariants: room is granted by this agent alone and only for minions it owns; the leases on a minion never
     exceed its capacity; an order is taken only from the group's newest epoch, on a lease it holds; no two lives of
-    its process number a lease alike."""
+    its process number a lease alike.
+    """
 
     def __init__(
         self,
@@ -121,7 +122,8 @@
     def leave(self, *, minion_id: str, call: Any) -> None:
         """A minion says that it ends. One that said before that it drains ends now. For another this is the notice: it
         serves on for `drain-ms` or longer, and what it runs counts as running until an end is listed or its hold is
-        over."""
+        over.
+        """
         m = self.minions.get(minion_id)
         if m is not None and m.phase is not Phase.LOST:
             if m.warned:
@@ -261,7 +263,8 @@
 
     def overdue(self, *, m: Minion) -> bool:
         """Whether a beat that should have come has not: the minion may be cut off or dead. A beat that waits for its
-        answer does so for LATE_S at most."""
+        answer does so for LATE_S at most.
+        """
         return self.environment.now > m.heard + m.pause + max(self.lag_ms / 1000, LATE_S) + OVERDUE_S
 
     def open(self, *, m: Minion) -> bool:
@@ -277,7 +280,8 @@
 
     def lease(self, *, node_id: str, b: dict[str, Any]) -> None:
         """Grant room by a task's metadata, on the minions that a cycle chose or (`on` empty) where it fits best; or
-        name another agent that seems to have it. What is left on the minions asked for goes back with the answer."""
+        name another agent that seems to have it. What is left on the minions asked for goes back with the answer.
+        """
         grants: list[Any] = []
         if self.environment.trusted():
             for m in named(agent=self, b=b) if b.get("on") else pick(agent=self, b=b):
@@ -316,7 +320,8 @@
 
     def giveback(self, *, b: dict[str, Any]) -> None:
         """Leases that a group returns. One whose run has ended, by a beat's list, is free even before that end is
-        durable: nothing runs there any more."""
+        durable: nothing runs there any more.
+        """
         for minion_id, lease_id in b["x"]:
             m = self.minions.get(minion_id)
             les = m.leases.get(lease_id) if m is not None else None
--- a/yarrowloom/agent/capacity_reports.py
+++ b/yarrowloom/agent/capacity_reports.py
@@ -15,7 +15,8 @@
 
 class Share:
     """Invariants: `stale` names every minion whose room changed since it was last told; `shown` those last told to
-    be open; `told` holds, by group, the primary that has been told all and every change since."""
+    be open; `told` holds, by group, the primary that has been told all and every change since.
+    """
 
     def __init__(self, *, agent: "Agent") -> None:
         self.agent = agent
@@ -41,7 +42,7 @@
             for group_id in environment.groups()
             if (prim := environment.primary(group_id=group_id)) is not None
         }
-        due = self.stale and now - self.roomed > ROOM_S or now - self.roomed > ROOM_IDLE_S
+        due = (self.stale and now - self.roomed > ROOM_S) or now - self.roomed > ROOM_IDLE_S
         if not due and fresh == self.told:
             return
         rows, shut = [], []
--- a/yarrowloom/agent/lease_selection.py
+++ b/yarrowloom/agent/lease_selection.py
@@ -33,7 +33,8 @@
 
 def named(*, agent: "Agent", b: dict[str, Any]) -> list["Minion"]:
     """Of the minions that a cycle chose, those that can take what was planned (one entry a lease); all or none where
-    `all` is asked. The agent decides by its own table: the cycle's snapshot may be old."""
+    `all` is asked. The agent decides by its own table: the cycle's snapshot may be old.
+    """
     out: list[Minion] = []
     for minion_id, n in b["on"]:
         m = agent.minions.get(minion_id)
--- a/yarrowloom/agent/minion.py
+++ b/yarrowloom/agent/minion.py
@@ -28,7 +28,8 @@
 class Lease:
     """Room on one minion, granted to one group. Invariant: counts against the minion until released; serves one
     run at a time; without a run it lapses at `until`. `own`: made for a run found at an attachment, so that no
-    placing node knows it and it ends with its run."""
+    placing node knows it and it ends with its run.
+    """
 
     lease_id: int
     minion_id: str
@@ -44,7 +45,8 @@
 @dataclass(kw_only=True)
 class Run:
     """A start that the record holds. Invariant: `sent` only after the order was put into an answer; `live` once a
-    beat listed it; it stays until its end is acknowledged by the group. `est` is below 0 for tasks that last."""
+    beat listed it; it stays until its end is acknowledged by the group. `est` is below 0 for tasks that last.
+    """
 
     task: str
     run: int
@@ -76,7 +78,8 @@
 class Minion:
     """Invariants: `seen` reaches an end only when its group has it on both disks; `fence` is group 0's newest for
     this minion; no order leaves unless phase is KNOWN and every group was attached once
-    under this fence (`met`); `att` holds the groups whose attachment stands now; `used` is the sum of `leases`."""
+    under this fence (`met`); `att` holds the groups whose attachment stands now; `used` is the sum of `leases`.
+    """
 
     minion_id: str
     fence: int
--- a/yarrowloom/cli.py
+++ b/yarrowloom/cli.py
@@ -110,7 +110,8 @@
     ) -> None:
         """Play one simulated run of SIZE core nodes with faults from a file (TOML) or drawn from the seed; exits 1 if
         a rule was broken. --digest also prints, as the last line, a SHA-256 over all frames, disk records and HTTP
-        responses of the run; --more-faults also draws kinds of faults that are not drawn as a rule."""
+        responses of the run; --more-faults also draws kinds of faults that are not drawn as a rule.
+        """
         from .simulator.command import simulate
 
         sys.exit(simulate(seed=seed, seconds=seconds, size=size, faults=faults, digest=digest, more_faults=more_faults))
@@ -128,7 +129,8 @@
         more_faults: bool = False,
     ) -> None:
         """Play many simulated runs until MOST of them broke a rule, shrink and tell these, keep them as files in OUT;
-        or REPLAY such a file step by step. --more-faults as with `simulate`. Exits 1 if a rule was broken."""
+        or REPLAY such a file step by step. --more-faults as with `simulate`. Exits 1 if a rule was broken.
+        """
         from .simulator.command import hunting
         from .simulator.command import replay as again
 
--- a/yarrowloom/cluster_state/config.py
+++ b/yarrowloom/cluster_state/config.py
@@ -170,7 +170,8 @@
 class Table:
     """Routes by host and prefix, ready for look-ups; one is built for each configuration.
 
-    Invariant: `hosts` holds, by host, the routes by prefix and the prefixes' lengths, longest first."""
+    Invariant: `hosts` holds, by host, the routes by prefix and the prefixes' lengths, longest first.
+    """
 
     def __init__(self, *, document: dict[str, Any]) -> None:
         self.config_version: int = document["config-version"]
--- a/yarrowloom/cluster_state/config_delta.py
+++ b/yarrowloom/cluster_state/config_delta.py
@@ -106,7 +106,8 @@
     """The last configurations of a node, for changes from versions that others still have.
 
     Invariants: versions rise; at most `STAMPS` of them and, beside the newest, at most `ROWS` rows not shared with
-    the version after (memory: about 1 KB a row); the newest is always there."""
+    the version after (memory: about 1 KB a row); the newest is always there.
+    """
 
     STAMPS = 64
     ROWS = 4096
--- a/yarrowloom/cluster_state/minion_ownership.py
+++ b/yarrowloom/cluster_state/minion_ownership.py
@@ -37,7 +37,8 @@
 
 class Owners:
     """Invariants: `by` has each minion under its row's owner and no empty entries; `sums` are the sums of marks of
-    those; `spots` has, by place and owner, the minions there."""
+    those; `spots` has, by place and owner, the minions there.
+    """
 
     def __init__(self, *, rows: dict[str, Row]) -> None:
         self.by: dict[str, dict[str, None]] = {}
@@ -80,7 +81,8 @@
 class Picker:
     """Picks agents for many minions at once; each pick counts for the next. Invariant: `load` has live agents only.
 
-    `sites`: the live agents and the sites they stand in."""
+    `sites`: the live agents and the sites they stand in.
+    """
 
     def __init__(self, *, owners: Owners, zones: dict[str, str]) -> None:
         self.owners = owners
@@ -105,7 +107,8 @@
 
     def uneven(self, *, most: int) -> list[tuple[str, str]]:
         """Up to `most` minions that should move, and to whom: what is away from a site that has agents comes home,
-        the lesser part of a rack joins the greater, and the fullest agent of a site gives a rack to the emptiest."""
+        the lesser part of a rack joins the greater, and the fullest agent of a site gives a rack to the emptiest.
+        """
         out: list[tuple[str, str]] = []
         for spot, there in self.owners.spots.items():
             home = self.near.get(spot.zone, [])
--- a/yarrowloom/cluster_state/operator_requests.py
+++ b/yarrowloom/cluster_state/operator_requests.py
@@ -14,7 +14,8 @@
 class AcceptedChanges:
     """The last accepted configuration changes: version -> digest of the order that made it.
 
-    Invariants: versions rise; every accepted change with a version above `forgotten` is held; `add` costs O(1)."""
+    Invariants: versions rise; every accepted change with a version above `forgotten` is held; `add` costs O(1).
+    """
 
     def __init__(self) -> None:
         self.forgotten = 0
@@ -57,7 +58,8 @@
 class ZoneVersions:
     """By zone, the registry's version at the last evacuation order that was taken.
 
-    Invariants: the versions held are above `forgotten`, the newest of those dropped; `add` costs O(1)."""
+    Invariants: the versions held are above `forgotten`, the newest of those dropped; `add` costs O(1).
+    """
 
     def __init__(self) -> None:
         self.forgotten = -1
--- a/yarrowloom/cluster_state/registry.py
+++ b/yarrowloom/cluster_state/registry.py
@@ -43,7 +43,8 @@
 class Registry:
     """Invariants: the configuration's stamp only rises; `fence` is above every fence given out; a minion has at
     most one owner; `mods` rises with every change of evacuations or members, and with every evacuation order that
-    is taken; `owners` follows `minions`; `changes` and `zones` know what orders were taken."""
+    is taken; `owners` follows `minions`; `changes` and `zones` know what orders were taken.
+    """
 
     def __init__(self) -> None:
         self.config: dict[str, Any] | None = None
@@ -131,7 +132,8 @@
 
         An order that would change the zone's state, but was taken by its node before that node knew of the zone's
         last order, may be a copy that was delayed: it is left without a clear answer. An order that asks for the
-        present state makes an event too, since it must fence what was sent before it."""
+        present state makes an event too, since it must fence what was sent before it.
+        """
         if (zone in self.evacuated_zones) is not on and known < self.zones.last(zone=zone):
             raise UnclearError(text=f"another order for {zone} came meanwhile")
         return {"t": "evac", "site": zone, "on": on}
@@ -141,7 +143,8 @@
 
         Versions are unique and rise, so an order can only have been accepted under its own version: with the digest
         that `changes` holds for that. Below what `changes` knows nobody can tell, and neither 200 nor a refusal would
-        be right. The event holds the change (`d`) if that is small, else the whole (`doc`)."""
+        be right. The event holds the change (`d`) if that is small, else the whole (`doc`).
+        """
         built_on = base_version(header=base)
         mark = digest(base=built_on, body=method.encode() + body)
         try:
--- a/yarrowloom/common/defaults.py
+++ b/yarrowloom/common/defaults.py
@@ -16,7 +16,8 @@
 class WarmRow(TypedDict):
     """`[warm]`: room kept for jobs that are about to be called. `core_s`: most core-seconds held in a minute; `tasks`:
     most tasks kept for one service; `expiry_ms`: longest that one room is held; `lead_ms`: how long before the call;
-    `least`: confidence needed, 0 to 1."""
+    `least`: confidence needed, 0 to 1.
+    """
 
     on: bool
     core_s: float
@@ -28,7 +29,8 @@
 
 class LearnRow(TypedDict):
     """`[learn]`: whether the history of calls and run times is kept with the jobs' record. Warming needs it; it takes
-    about a third of a busy placing node's time (simulated cluster, docs/warm.md)."""
+    about a third of a busy placing node's time (simulated cluster, docs/warm.md).
+    """
 
     on: bool
 
--- a/yarrowloom/jobs/state_machine.py
+++ b/yarrowloom/jobs/state_machine.py
@@ -56,7 +56,8 @@
     """Invariants: a task's run number only rises; a task is RUN exactly while its run may be alive on the minion
     named; a unit's `left` counts its tasks that are not DONE; `on` indexes all RUN tasks by minion; a gang's
     members share run, saved progress (held at index 0) and the count of failed runs; `past` is what was learned of
-    the same events, if it is kept."""
+    the same events, if it is kept.
+    """
 
     def __init__(self, *, learn: bool = True) -> None:
         self.jobs: dict[str, dict[str, Any]] = {}
@@ -71,7 +72,8 @@
 
     def load(self, document: Any) -> None:
         """Replace all of it; indexes are derived. `doc` is its own from now on. Checkpoints older than the history are
-        the jobs alone."""
+        the jobs alone.
+        """
         past: Any = {}
         if "jobs" in document and "past" in document:
             document, past = document["jobs"], document["past"]
@@ -207,7 +209,8 @@
         if job["st"] == State.PENDING:
             self._show(job=job, st=State.ACTIVE)
         for i, run, minion_id in event["x"]:
-            assert unit["s"][i] == WAIT and run > unit["r"][i]
+            assert unit["s"][i] == WAIT
+            assert run > unit["r"][i]
             unit["s"][i], unit["r"][i], unit["m"][i] = RUN, run, minion_id
             unit.setdefault("t", {})[str(i)] = event.get("at", 0)
             self.on.setdefault(minion_id, set()).add((job_id, key, i))
--- a/yarrowloom/node/busy_time.py
+++ b/yarrowloom/node/busy_time.py
@@ -9,7 +9,8 @@
 @dataclass(kw_only=True)
 class Load:
     """Invariant: `seconds`, `turns` and `expired` count what ran since the last report. `expired`: calls that waited
-    until nobody waited for their answer."""
+    until nobody waited for their answer.
+    """
 
     classes: list[str]
     seconds: dict[str, float] = field(default_factory=dict)
--- a/yarrowloom/node/config_freshness.py
+++ b/yarrowloom/node/config_freshness.py
@@ -17,7 +17,8 @@
 
 class Freshness:
     """Invariant: at `proven_at` on this node's clock, or later, a primary of `epoch` held its lease, and this node's
-    configuration is no older than that primary's was then."""
+    configuration is no older than that primary's was then.
+    """
 
     def __init__(self, *, apply_ms: float) -> None:
         self.proven_at = -math.inf
--- a/yarrowloom/node/controller.py
+++ b/yarrowloom/node/controller.py
@@ -27,12 +27,13 @@
 class Chief:
     """Volatile; one lives while this node serves group 0. Invariants: a minion is given to another agent only once
     the former agent's word from any chief has run out, or it has said that it let go; an agent gets the word only
-    in answer to a heart whose digest fits what it should hold, or which lists what it holds."""
+    in answer to a heart whose digest fits what it should hold, or which lists what it holds.
+    """
 
     def __init__(self, *, node: "CoreEnvironment", late: str) -> None:
         self.node = node
         now = node.now
-        self.last: dict[str, float] = {u: now for u in {*node.registry.members, *node.registry.owners.by}}
+        self.last: dict[str, float] = dict.fromkeys({*node.registry.members, *node.registry.owners.by}, now)
         if late in self.last:
             # The primary before this one: its agent acted on that duty's promise alone, which has run out.
             self.last[late] = now - DEAD_S + LATE_S
@@ -52,7 +53,8 @@
 
     def deaf(self, *, b: dict[str, Any]) -> bool:
         """Whether the sender of a heart is heard but hears nothing: each answer tells the chief's time, which the next
-        heart gives back. Such an agent can't act, so nothing is renewed for it, and its minions go to others."""
+        heart gives back. Such an agent can't act, so nothing is renewed for it, and its minions go to others.
+        """
         node, node_id, echo = self.node, b["u"], b.get("echo", ())
         epoch = node.replicas[0].epoch
         self.echoed.setdefault(node_id, node.now)
@@ -67,7 +69,8 @@
     def heart(self, *, b: dict[str, Any]) -> dict[str, Any]:
         """A core's heart: enrol it, renew its word, tell it what it owns.
 
-        `dig`: the digest of what it holds; `own`: all of that, if it was asked for (`list` in the answer)."""
+        `dig`: the digest of what it holds; `own`: all of that, if it was asked for (`list` in the answer).
+        """
         self._resumed()
         node, node_id = self.node, b["u"]
         if b["kind"] != "core":
@@ -208,7 +211,7 @@
     def _ease(self) -> None:
         """In calm times, ask an agent to let go of minions that belong elsewhere, a few at a time."""
         node, now = self.node, self.node.now
-        if self.shed and now - self.eased < SHED_S or now - self.eased < EASE_S:
+        if (self.shed and now - self.eased < SHED_S) or now - self.eased < EASE_S:
             return
         self.shed.clear()
         self.asked.clear()
@@ -221,7 +224,8 @@
 
     def _resumed(self) -> None:
         """This primary serves. Hearts that came while it did not, without a lease or contact, were not counted: that
-        time is no silence of the agents."""
+        time is no silence of the agents.
+        """
         paused = self.node.now - self.served
         self.served = self.node.now
         if paused > PAUSE_S:
--- a/yarrowloom/node/core.py
+++ b/yarrowloom/node/core.py
@@ -192,7 +192,8 @@
     def too_late(self, *, node_id: str, m: dict[str, Any]) -> None:
         """A call about jobs waited until its caller is about to give up: it is not taken and never will be, unless a
         copy of it was, whose answer may have got lost. Told so, the caller may try again; told nothing, it could not
-        know."""
+        know.
+        """
         request_id = m["rid"]
         if self.hand.holds(node_id=node_id, request_id=request_id):
             return
--- a/yarrowloom/node/core_environment.py
+++ b/yarrowloom/node/core_environment.py
@@ -25,7 +25,8 @@
 
 class CoreEnvironment(MemberView):
     """Invariants: a replica's effects leave in the order of their events; a placer lives exactly while its group is
-    served here; the agent acts only while `trusted`."""
+    served here; the agent acts only while `trusted`.
+    """
 
     def __init__(
         self,
@@ -139,7 +140,8 @@
 
     def let_go(self, *, minion_ids: list[str]) -> None:
         """The chief wants these given to others. Let go of are those in good order, with none on its way out: the
-        next agent would have to find out anew that a minion is silent or about to leave."""
+        next agent would have to find out anew that a minion is silent or about to leave.
+        """
         for minion_id in minion_ids:
             m = self.agent.minions.get(minion_id)
             if m is not None and self.agent.open(m=m) and all(r.sent or r.live for r in m.runs.values()):
--- a/yarrowloom/node/counters.py
+++ b/yarrowloom/node/counters.py
@@ -11,7 +11,8 @@
 class Tally:
     """Invariant: counts only rise. `sent` by kind is [messages, bytes of bodies], `got` by kind messages; `disk` is
     [records, bytes, batches, checkpoints, bytes of checkpoints]; `calls` counts HTTP calls by method and first part
-    of the path."""
+    of the path.
+    """
 
     sent: dict[str, list[int]] = field(default_factory=dict)
     got: dict[str, int] = field(default_factory=dict)
--- a/yarrowloom/node/edge.py
+++ b/yarrowloom/node/edge.py
@@ -40,7 +40,8 @@
 
 class EdgeNode(NodeBase):
     """Invariants: a request is answered 503 or 429 only if nothing of it was sent on; `hand` counts the bytes of the
-    bodies of the calls in hand, which are at most `hand_most` calls and about a sixteenth of the memory."""
+    bodies of the calls in hand, which are at most `hand_most` calls and about a sixteenth of the memory.
+    """
 
     def __init__(self, *, settings: NodeSettings, node_id: str, incarnation: int, log: Log) -> None:
         super().__init__(settings=settings, node_id=node_id, incarnation=incarnation, kind="edge", log=log)
@@ -72,7 +73,8 @@
 
     def ready(self) -> bool:
         """Can serve: configured, with a proof of contact with a primary that is young enough, and knows who keeps the
-        records."""
+        records.
+        """
         near = self.freshness.age(now=self.now) < self.freshness.ready_s
         return (
             near
@@ -176,7 +178,8 @@
 
     def _seen(self, way: Way) -> dict[str, Any]:
         """By which configuration a call was routed; and while that may be out of date, whither the caller wrote, so
-        that the placing node can look in its own."""
+        that the placing node can look in its own.
+        """
         assert self.table is not None
         at = {} if self.sure() else {"at": [way.req.headers.get("host", ""), way.path]}
         return {"cv": self.table.config_version, **at}
@@ -253,7 +256,8 @@
 
     def targets(self) -> list[str]:
         """Relays named by a core that feeds enough edges, as long as they are in contact; else the ring. The whole
-        configuration comes from cores, whose links carry it."""
+        configuration comes from cores, whose links carry it.
+        """
         if self.via and self.now - self.via_at < VIA_S and self.table is not None and not self.torn:
             return self.via + self.probes(known=self.via)
         return super().targets()
--- a/yarrowloom/node/edge_relays.py
+++ b/yarrowloom/node/edge_relays.py
@@ -12,7 +12,8 @@
 
 class EdgeRelays:
     """Invariant: `names` are the edges that this core fed itself when it last looked, and empty while it can feed
-    all."""
+    all.
+    """
 
     def __init__(self) -> None:
         self.names: list[str] = []
--- a/yarrowloom/node/group_calls.py
+++ b/yarrowloom/node/group_calls.py
@@ -70,7 +70,8 @@
 
 class Calls:
     """Invariants: each call ends exactly once, by its answer or at its horizon; an answer is taken only if it names
-    this caller and an open call of this life, and comes from a node that was asked."""
+    this caller and an open call of this life, and comes from a node that was asked.
+    """
 
     def __init__(self, *, environment: CallEnvironment, base: int) -> None:
         self.environment = environment
@@ -174,7 +175,8 @@
 class InHand:
     """Calls taken and not yet answered here, by their identity: caller and number. Invariant: a call is taken again
     only once its answer has left, or this node no longer serves its group; so an answer that got lost is made again.
-    One that was refused is refused again: its caller may have heard so, while a repeat was still on its way."""
+    One that was refused is refused again: its caller may have heard so, while a repeat was still on its way.
+    """
 
     def __init__(self) -> None:
         self._at: dict[tuple[str, int], tuple[int, float]] = {}
--- a/yarrowloom/node/http_routes.py
+++ b/yarrowloom/node/http_routes.py
@@ -127,7 +127,8 @@
 
 def _evacuate(*, node: "CoreEnvironment", call: Any, zone: str, on: bool) -> None:
     """The order goes with the registry's version that is known here now: a copy that is delayed can't undo a later
-    order."""
+    order.
+    """
     node.calls.start(
         group_id=0,
         op="evac",
@@ -146,7 +147,8 @@
 @declare("GET", r"/jobs/([^/]+)")
 def explain(node: "CoreEnvironment", call: Any, req: Request, job_id: str) -> None:
     """Why a job waits: its groups, their last cycle, its place in the queue. Elsewhere than at the placing node, the
-    answer names that one (307)."""
+    answer names that one (307).
+    """
     if not is_job_id(text=job_id):
         node.respond(call=call, response=Response.of(400, {"error": "not a job id"}))
         return
--- a/yarrowloom/node/identity.py
+++ b/yarrowloom/node/identity.py
@@ -18,7 +18,8 @@
     @property
     def next(self) -> int:
         """The incarnation of the life that goes on from that journal. It counts only once it is on disk: whoever
-        starts a node writes a snapshot with it, and syncs that, before any frame leaves."""
+        starts a node writes a snapshot with it, and syncs that, before any frame leaves.
+        """
         return self.incarnation + 1
 
 
--- a/yarrowloom/node/input_scheduler.py
+++ b/yarrowloom/node/input_scheduler.py
@@ -16,7 +16,8 @@
 class Rank(enum.IntEnum):
     """Classes of inputs. What one of them has to wait for is never in a later one. Messages of one peer in different
     classes belong to different conversations: as an agent with the placing node here, as a placing node with the
-    agent here, as a caller."""
+    agent here, as a caller.
+    """
 
     URGENT = 0  # hearts, news, records, synced disks
     AGENT = 1  # beats, and what placing nodes want of the agent; calls between cores
@@ -54,7 +55,8 @@
 class Repeats:
     """Rows of reports that wait to be handled: an agent tells ends, claims and losses again until they are answered,
     and a backlog must not grow by that. Summaries of room replace the one that waits. Invariant: what is passed over
-    has an earlier message in the queue that says the same (or, of room, takes on what the later one says)."""
+    has an earlier message in the queue that says the same (or, of room, takes on what the later one says).
+    """
 
     def __init__(self) -> None:
         self._rows: set[tuple[Any, ...]] = set()
@@ -117,7 +119,8 @@
 
 class Clock:
     """An input that comes by time. Invariants: it is due `gap` after its last run ended, and as long after it as the
-    run took, so that long runs do not follow each other at once; not while it waits."""
+    run took, so that long runs do not follow each other at once; not while it waits.
+    """
 
     def __init__(self, *, fn: Input, gap: float) -> None:
         self.fn = fn
@@ -142,7 +145,8 @@
 class Turns:
     """Invariants: what is urgent goes before a tick that is due, so that a tick judges silence only after all that
     was heard; a due tick goes before the other classes, which share the time by `SHARES`; inside a class, first come,
-    first taken. Chores by time queue in their class: they too judge only after what was heard before."""
+    first taken. Chores by time queue in their class: they too judge only after what was heard before.
+    """
 
     def __init__(self, *, tick: Input, gap: float, chores: dict[Rank, Input] | None = None) -> None:
         self._tick = Clock(fn=tick, gap=gap)
--- a/yarrowloom/node/membership.py
+++ b/yarrowloom/node/membership.py
@@ -29,7 +29,8 @@
 
 class MemberView(NodeBase):
     """Invariant: what it tells of members follows from heartbeats, the registry's members and the epochs known; it
-    changes none of them."""
+    changes none of them.
+    """
 
     def __init__(
         self, *, settings: NodeSettings, node_id: str, incarnation: int, log: Log, now: float, rand: float
@@ -46,7 +47,8 @@
 
     def partners(self, *, first: list[str]) -> list[str]:
         """Members that may be a backup: alive ones first, then one zone after another, beginning with those that are
-        not this node's; within a zone those in `first`, then the least loaded."""
+        not this node's; within a zone those in `first`, then the least loaded.
+        """
         load: dict[str, int] = {}
         for e in self.epochs.values():
             for holder in (e["p"], *e["b"]):
@@ -72,7 +74,8 @@
 
     def peers(self) -> dict[str, str]:
         """Core nodes and their sites as far as known. After a restart of all there are no members yet, only what
-        epochs name and whose hearts are heard; a uid that gave way to another at its address does not count."""
+        epochs name and whose hearts are heard; a uid that gave way to another at its address does not count.
+        """
         named = {u for e in self.epochs.values() for u in (*e["w"], e["p"], *e["b"]) if u}
         heard = {u for u, i in self.info.items() if i["kind"] == "core" and self.alive(node_id=u)} | {self.node_id}
         new = {addr_of(node_id=u): u for u in heard}
@@ -93,7 +96,8 @@
 
     def witnesses(self, *, have: list[str]) -> list[str]:
         """Widen to all core nodes, replace the absent by the present; an odd number of them, and never fewer, but for
-        a set of which one zone holds the majority while a smaller one, still enough for the budget, would not."""
+        a set of which one zone holds the majority while a smaller one, still enough for the budget, would not.
+        """
         zones = {u: str(row.get("site", "")) for u, row in self.members.items() if self.up(node_id=u)}
         order = [u for u in have if u in zones] + [u for u in sorted(zones) if u not in have]
         size = min(len(order) - 1 + len(order) % 2, WITNESSES)
--- a/yarrowloom/node/node_base.py
+++ b/yarrowloom/node/node_base.py
@@ -30,7 +30,8 @@
     """Invariants: `now` is the steady clock and rises; `table` never goes back to an older stamp; an epoch known
     is never replaced by one with a lower number; `table` is that of the newest document in `past`; `have` is what
     nodes said in their last hearts, `sent` what left for them since. `incarnation` numbers this life: with `uid` it
-    tells the life from all others; nothing but its equality means anything outside `wire`."""
+    tells the life from all others; nothing but its equality means anything outside `wire`.
+    """
 
     def __init__(self, *, settings: NodeSettings, node_id: str, incarnation: int, kind: str, log: Log) -> None:
         self.settings = settings
@@ -109,7 +110,8 @@
 
     def newer(self, *, node_id: str) -> dict[str, Any]:
         """News that a node lacks by its last heart and that are not on their way to it: of the configuration the
-        change, or the whole to who asks for it and has nothing that the change could be made to."""
+        change, or the whole to who asks for it and has nothing that the change could be made to.
+        """
         have, way = self.have[node_id], self.sent.setdefault(node_id, Sent())
         out: dict[str, Any] = {}
         if (
@@ -244,7 +246,8 @@
     def targets(self) -> list[str]:
         """Who gets this node's hearts: its watchers on the ring, group 0's primary; seeds and all that epochs name
         while nobody answers or no members are known (the address of a primary may answer that lost its disk); some
-        of these in turn while those that answer can't prove contact with a primary."""
+        of these in turn while those that answer can't prove contact with a primary.
+        """
         out = ring(node_id=self.node_id, among=list(self.members), n=WATCHERS if self.kind == "core" else 2)
         prim = self.primary(group_id=0)
         if self.kind == "core" and prim is not None and prim[0] != self.node_id:
@@ -264,7 +267,8 @@
 
     def probes(self, *, known: list[str]) -> list[str]:
         """A few of the others, in turn, while the proof is old: a change of primary ages all proofs at once, and must
-        not have every node ask every other."""
+        not have every node ask every other.
+        """
         if self.freshness.age(now=self.now) < self.freshness.probe_s:
             return []
         rest = [u for u in dict.fromkeys(self._others(known=known)) if u not in known]
@@ -289,7 +293,8 @@
 
     def confirm(self, *, sent: float, m: dict[str, Any]) -> bool:
         """Take the proof that an answer carries to what was sent at `sent`, unless it tells of a newer configuration
-        than is here; whether its sender is in touch. Word of an epoch that is over proves nothing."""
+        than is here; whether its sender is in touch. Word of an epoch that is over proves nothing.
+        """
         age, epoch = m.get("age"), m.get("by")
         if not isinstance(age, (int, float)) or not isinstance(epoch, int) or age < 0 or sent > self.now:
             return False
@@ -315,7 +320,8 @@
 
     def beat_hearts(self) -> None:
         """Send hearts when due. One watcher at a time is asked for the whole configuration, should it be needed;
-        a watcher is told if news of its got lost."""
+        a watcher is told if news of its got lost.
+        """
         hasty = self.missed if self.behind < 0 else self.now - self.behind < ASK_S
         if self.now - self.hearted < (GAP_S if hasty else HEART_S):
             return
@@ -335,7 +341,8 @@
     def told(self, *, node_id: str, m: dict[str, Any]) -> bool:
         """A watcher answered a heart and tells of its versions; its news came before on the same way, or got lost:
         the next heart says so, and soon. Whether it is in touch: only such a one is asked for a whole
-        configuration."""
+        configuration.
+        """
         in_touch = self.confirm(sent=m["t"], m=m)
         if in_touch:
             self.spoke[addr_of(node_id=node_id)] = self.now
--- a/yarrowloom/node/recovery.py
+++ b/yarrowloom/node/recovery.py
@@ -54,7 +54,8 @@
     defaults: Defaults | None = None,
 ) -> CoreNode:
     """A core node with what its journal tells. `blank`: nothing was ever confirmed from this disk, else a node without
-    records does not start as one of the first. `token` is random: it makes a new identity unlike all before it."""
+    records does not start as one of the first. `token` is random: it makes a new identity unlike all before it.
+    """
 
     def build(*, node_id: str, first: bool, incarnation: int = FIRST) -> CoreNode:
         return CoreNode(
--- a/yarrowloom/node/runtime.py
+++ b/yarrowloom/node/runtime.py
@@ -99,7 +99,8 @@
 
     def _drain(self) -> None:
         """Take inputs in their order, whoever brought them. Invariant: between two rounds in which all tasks run, no
-        more than a slice is spent here and one input longer than that."""
+        more than a slice is spent here and one input longer than that.
+        """
         if self.running:
             return
         self.running = True
@@ -215,7 +216,8 @@
     async def writer(self) -> None:
         """Write and sync records in batches; effects follow."""
         ring, node = self.ring, self.node
-        assert ring is not None and isinstance(node, CoreNode)
+        assert ring is not None
+        assert isinstance(node, CoreNode)
         while True:
             await self.dirty.wait()
             self.dirty = trio.Event()
@@ -300,7 +302,7 @@
         while True:
             await trio.sleep(0.05)
             spent = time.monotonic() - begun
-            if spent >= most or spent >= DRAIN_LEAST_S and node.may_end():
+            if spent >= most or (spent >= DRAIN_LEAST_S and node.may_end()):
                 break
         alone = node.only_copies()
         if alone:
--- a/yarrowloom/prediction/__init__.py
+++ b/yarrowloom/prediction/__init__.py
@@ -1,7 +1,8 @@
 """What the system learns from its own record: when kinds of job are called, how long their tasks run.
 
 Pure: no sockets, no clocks. `History` is state of the jobs' reducer; `Warm`, `Filler`, `reserve`, `may_fill` and
-`in_the_way` are for placing nodes."""
+`in_the_way` are for placing nodes.
+"""
 
 from .backfill import Filler, Minion, Reservation, Run, in_the_way, may_fill, reserve
 from .history import History
--- a/yarrowloom/prediction/accuracy.py
+++ b/yarrowloom/prediction/accuracy.py
@@ -27,7 +27,8 @@
 
 class Score:
     """Invariants: `bits` holds the last `tries` (at most KEEP) outcomes, newest lowest; ON turns OFF only below
-    OFF_AT, OFF or FRESH turns ON only from ON_AT and LEAST outcomes; outcomes count on while OFF."""
+    OFF_AT, OFF or FRESH turns ON only from ON_AT and LEAST outcomes; outcomes count on while OFF.
+    """
 
     __slots__ = ("bits", "tries", "trust")
 
--- a/yarrowloom/prediction/backfill.py
+++ b/yarrowloom/prediction/backfill.py
@@ -13,7 +13,8 @@
 
 class Run(NamedTuple):
     """What holds room: its predicted end (upper quantile, milliseconds of the caller's clock) and its size. `filler`:
-    it went ahead of a reservation; `saves`: it keeps its progress when stopped."""
+    it went ahead of a reservation; `saves`: it keeps its progress when stopped.
+    """
 
     task: str
     ends: float
@@ -117,7 +118,8 @@
 ) -> Reservation | None:
     """The earliest time at which `n` tasks fit at once (`tight`: in one rack; `apart`: so many a minion at most, 0 is
     any), if nothing more starts and room of earlier reservations `held` stays untouched; None if not even once all
-    that runs has ended. Weighs log2(runs) times all minions."""
+    that runs has ended. Weighs log2(runs) times all minions.
+    """
     times = sorted({now, *(r.ends if r.ends > now else now + OVERDUE_MS for m in minions for r in m.runs)})
     low, high = 0, len(times) - 1
     best: dict[str, int] | None = None
@@ -143,7 +145,7 @@
     >>> [may_fill(now=0.0, minion=m, form=one, upper_ms=ms, held=[r]) for ms in (500, 501)]
     [True, False]
     """
-    if form.req and form.req not in minion.labels or not copies(free=minion.free, form=form, most=1):
+    if (form.req and form.req not in minion.labels) or not copies(free=minion.free, form=form, most=1):
         return False
     mine = [r for r in held if minion.minion_id in r.places]
     if not mine:
@@ -159,7 +161,8 @@
 
 def in_the_way(*, now: float, minion: Minion, held: Reservation) -> list[Run]:
     """Once a reservation's time has come: the fillers to stop on a minion so that it can start, those that keep
-    their progress first, then the ones that would end last, none in vain; nothing if stopping them does not help."""
+    their progress first, then the ones that would end last, none in vain; nothing if stopping them does not help.
+    """
     n = held.places.get(minion.minion_id, 0)
 
     def enough(runs: Sequence[Run]) -> bool:
--- a/yarrowloom/prediction/call_times.py
+++ b/yarrowloom/prediction/call_times.py
@@ -22,7 +22,8 @@
 class Calls:
     """Times are History's inner ones, which never go back. Invariants: `gaps` holds the newest GAPS gaps between
     calls; `period` 0 means not locked, else the next beat is due at `ref` + `period`; `lo`..`hi` is where the next
-    gap was expected when the last call came; `forms` and `racks` are bounded by FORMS and RACKS."""
+    gap was expected when the last call came; `forms` and `racks` are bounded by FORMS and RACKS.
+    """
 
     __slots__ = (
         "at",
--- a/yarrowloom/prediction/history.py
+++ b/yarrowloom/prediction/history.py
@@ -95,7 +95,8 @@
         times: int = 0,
     ) -> None:
         """A job was taken at wall time `at`, of queue `q`, with tasks for service `svc`. Never raises for a job that
-        `job.spec.parse` lets through. With `times`, the due times are known and nothing is learned."""
+        `job.spec.parse` lets through. With `times`, the due times are known and nothing is learned.
+        """
         first_step = root(steps=steps)
         key = kind_key(q=q, steps=steps, period=period if times else 0)
         form = Form(first_step["cpu"], first_step["mem"], first_step["gpu"], first_step["req"])
@@ -179,19 +180,22 @@
         """Run `run` of `task` ended as `how` after `ms` milliseconds of running. `far`: by how much being away from
         its data made it longer (1.0: not at all); `whole`: it began without saved progress; `mid`: the minion, if slow
         ones are to be told apart. All but whole `done` runs are passed over, and so is an end told again among the
-        last SEEN ones. One member of a gang stands for all."""
+        last SEEN ones. One member of a gang stands for all.
+        """
         self.runs.note(q=q, step=step, task=task, run=run, how=how, ms=ms, far=far, whole=whole, minion_id=minion_id)
 
     # -- questions; none of them changes the state
 
     def times(self, *, q: str, step: "Step", far: float = 1.0, minion_id: str = "") -> Times:
         """How long a task of this step runs, in milliseconds, if being away makes it `far` times as long; on the
-        minion `mid`, or on one that is not slow."""
+        minion `mid`, or on one that is not slow.
+        """
         return self.runs.times(q=q, step=step, far=far, minion_id=minion_id)
 
     def predict(self, *, now_ms: int, horizon_ms: int) -> list[Prediction]:
         """Calls expected from now until the horizon, the earliest first; at most MOST, one for each kind beside the
-        known times. Weighs at most KINDS + TIMERS + RECENT x EACH candidates."""
+        known times. Weighs at most KINDS + TIMERS + RECENT x EACH candidates.
+        """
         now = max(now_ms + self.shift, self.clock)
         off = now - now_ms
         best: dict[str, Prediction] = {}
--- a/yarrowloom/prediction/job_kind.py
+++ b/yarrowloom/prediction/job_kind.py
@@ -45,7 +45,8 @@
 class Prediction(NamedTuple):
     """A call that is expected. Times are wall milliseconds; `confidence` is the learned chance, from 0 to 1, that the
     call comes within the horizon asked for; `jobs` how many jobs are expected by then; `n` tasks of one job that can
-    start at its arrival (its largest first step)."""
+    start at its arrival (its largest first step).
+    """
 
     kind: str
     why: Why
--- a/yarrowloom/prediction/run_times.py
+++ b/yarrowloom/prediction/run_times.py
@@ -50,7 +50,8 @@
 
 class Ring:
     """Invariants: at most KEEP pairs (log of the run time, log of the estimate), oldest first; `out` counts the
-    newest in a row that lie outside the cached band on one side (negative: below)."""
+    newest in a row that lie outside the cached band on one side (negative: below).
+    """
 
     __slots__ = ("cache", "hi", "lo", "out", "rows", "since")
 
@@ -98,7 +99,8 @@
 
 class Runs:
     """Invariants: at most KEYS rings, the one used longest ago is forgotten first; an end counts once; only runs
-    that ended `done` and began from nothing count. Estimates 0 have keys of their own."""
+    that ended `done` and began from nothing count. Estimates 0 have keys of their own.
+    """
 
     def __init__(self) -> None:
         self.rings: dict[RunKey, Ring] = {}
--- a/yarrowloom/prediction/slow_minions.py
+++ b/yarrowloom/prediction/slow_minions.py
@@ -12,7 +12,8 @@
 class Slow:
     """Invariants: at most MINIONS rows [runs, mean log of how much longer], the one first heard of goes first;
     residuals are of plain run times, never of corrected ones; slowness is relative to the middle minion, so that a
-    change which all see is none."""
+    change which all see is none.
+    """
 
     __slots__ = ("base", "left", "rows")
 
--- a/yarrowloom/prediction/successor_jobs.py
+++ b/yarrowloom/prediction/successor_jobs.py
@@ -71,7 +71,8 @@
 
 class Follow:
     """Invariants: at most PAIRS pairs, EACH for one trigger; `recent` holds at most RECENT triggers, oldest first,
-    one for each (kind, what)."""
+    one for each (kind, what).
+    """
 
     def __init__(self) -> None:
         self.pairs: dict[tuple[str, What], dict[str, Pair]] = {}
--- a/yarrowloom/prediction/warm_plan.py
+++ b/yarrowloom/prediction/warm_plan.py
@@ -16,7 +16,8 @@
 class Bounds:
     """Settings of warming. `core_s`: most core-seconds held in any 60 s (a GPU counts as 8 cores); `tasks`: most
     tasks kept warm for one service; `expiry_ms`: longest time that one room is held, and the horizon to predict
-    with; `lead_ms`: room is wanted this long before the earliest call; `least`: confidence needed."""
+    with; `lead_ms`: room is wanted this long before the earliest call; `least`: confidence needed.
+    """
 
     on: bool = False
     core_s: float = 1200.0
@@ -29,7 +30,8 @@
 class Room(NamedTuple):
     """Room wanted for `n` tasks of `form` on minions of `svc`, near a rack if one is named (together if `tight`, all
     or nothing if `gang`), until `until` (steady milliseconds). A wish to keep room free: nothing runs in it before
-    a caller's job is there, anything urgent may take it. `worth`: chance of use x weight, for each core-second."""
+    a caller's job is there, anything urgent may take it. `worth`: chance of use x weight, for each core-second.
+    """
 
     kind: str
     queue: str
@@ -54,7 +56,8 @@
 
     Invariants: `purse` (core-seconds) is at most half of `core_s`, refilled by half of `core_s` a minute, so at most
     `core_s` is held in any minute; it always covers what is left of all rooms; one room for each kind; for each
-    service at most `tasks` tasks are warm; `back` holds for at most KINDS kinds (misses in a row, off until)."""
+    service at most `tasks` tasks are warm; `back` holds for at most KINDS kinds (misses in a row, off until).
+    """
 
     def __init__(self, *, bounds: Bounds) -> None:
         self.bounds = bounds
@@ -79,7 +82,8 @@
     ) -> list[Room]:
         """All room wanted from now on, the worthiest first. `now_ms`: wall, as the predictions; `steady`: a clock
         that never goes back, milliseconds; `weight` of queues (1 if not named): all but the weightiest leave half of
-        the purse to those. Weighs at most WEIGH_MOST."""
+        the purse to those. Weighs at most WEIGH_MOST.
+        """
         self._settle(steady=steady)
         if not self.bounds.on:
             self.drop(steady=steady)
--- a/yarrowloom/replication/__init__.py
+++ b/yarrowloom/replication/__init__.py
@@ -4,4 +4,4 @@
 from .epoch import Acceptor, Epoch
 from .replica import Replica
 
-__all__ = ["Epoch", "ReplicaEnvironment", "Reducer", "Replica", "Role", "Acceptor"]
+__all__ = ["Acceptor", "Epoch", "Reducer", "Replica", "ReplicaEnvironment", "Role"]
--- a/yarrowloom/replication/batch.py
+++ b/yarrowloom/replication/batch.py
@@ -8,7 +8,8 @@
 class Batch:
     """Events `first` to `last` of an epoch, sent together; one batch is in flight at a time. Invariant: `effects` are
     carried out only once the batch is `local_durable` and `acknowledged_by` names all backups. Times are seconds of the
-    node's steady clock."""
+    node's steady clock.
+    """
 
     first: int
     last: int
--- a/yarrowloom/replication/election.py
+++ b/yarrowloom/replication/election.py
@@ -46,7 +46,8 @@
 class Election:
     """Invariant: what is proposed names as backup only a member that has synced the checkpoint with this tag, and
     a value that any witness may already have voted for is finished rather than replaced. Nothing is committed during
-    a campaign, so the state is encoded once, and one tag stands for it with all members that are tried."""
+    a campaign, so the state is encoded once, and one tag stands for it with all members that are tried.
+    """
 
     def __init__(self, *, replica: "Replica", why: str, avoid: set[str], first: list[str]) -> None:
         self.replica = replica
@@ -107,7 +108,8 @@
 
     def _keep_calm(self) -> None:
         """The epoch's primary tells its backups that it is at work: a campaign of theirs would only send more copies
-        over the same links. Not for ever: one of them may be able to do what this member is not."""
+        over the same links. Not for ever: one of them may be able to do what this member is not.
+        """
         environment, e = self.replica.environment, self.replica.acceptor.seen
         if (
             e is None
--- a/yarrowloom/replication/environment.py
+++ b/yarrowloom/replication/environment.py
@@ -26,7 +26,8 @@
 
 def encode(*, state: Reducer) -> str:
     """The whole state as JSON text. It goes into records and frames as a string, so that none of those who only
-    carry it has to parse it or to write it anew."""
+    carry it has to parse it or to write it anew.
+    """
     return dump(body=state.dump()).decode()
 
 
--- a/yarrowloom/replication/epoch.py
+++ b/yarrowloom/replication/epoch.py
@@ -5,7 +5,8 @@
 
 class Epoch(TypedDict):
     """Who serves a group. `n` is its number, `p` the primary, `b` the backups, `w` the witnesses, `t` the tag of
-    the checkpoint that primary and backups share. Invariant: for each number at most one epoch is ever decided."""
+    the checkpoint that primary and backups share. Invariant: for each number at most one epoch is ever decided.
+    """
 
     n: int
     p: str
@@ -56,7 +57,8 @@
 
 class Acceptor:
     """The acceptor of one group. Invariants: `seen` never goes back; `promised` and `value` belong to the number
-    after `seen`; every answer is given only once what it says is on disk (the caller's duty)."""
+    after `seen`; every answer is given only once what it says is on disk (the caller's duty).
+    """
 
     def __init__(self, *, node_id: str, seen: Epoch | None = None) -> None:
         self.node_id = node_id
--- a/yarrowloom/replication/handover.py
+++ b/yarrowloom/replication/handover.py
@@ -46,7 +46,8 @@
 
 def may_end(*, environment: ReplicaEnvironment, epoch: Epoch | None, asked_s: float) -> bool:
     """No epoch needs this member any more; or another holder is there, and no further one is to be had or has been
-    found in RELIEF_S; or no other member is known at all. `asked_s`: how long it has been leaving."""
+    found in RELIEF_S; or no other member is known at all. `asked_s`: how long it has been leaving.
+    """
     if epoch is None or environment.node_id not in (epoch["p"], *epoch["b"]) or not environment.partners(first=[]):
         return True
     if not copied_elsewhere(environment=environment, epoch=epoch):
@@ -57,7 +58,8 @@
 class Relief:
     """Of a member that is about to end, and of backups of this primary that are. Invariant: a leaving member asks
     until no decided epoch names it as holder, or for RELIEF_S if another holder is there. It takes copies all the
-    same: nobody else may be there to take them."""
+    same: nobody else may be there to take them.
+    """
 
     def __init__(self, *, member: Member) -> None:
         self.leaving = False
--- a/yarrowloom/replication/leader_lease.py
+++ b/yarrowloom/replication/leader_lease.py
@@ -13,7 +13,8 @@
 
 class Lease:
     """Invariants: `until` is at most PROMISE_S after the time at which the question was sent that the backup longest
-    silent has answered; a primary without `contact` stays one, asks on, and serves again once it is back."""
+    silent has answered; a primary without `contact` stays one, asks on, and serves again once it is back.
+    """
 
     def __init__(self, *, environment: ReplicaEnvironment, group_id: int) -> None:
         self.until = 0.0
@@ -94,7 +95,8 @@
     ) -> dict[str, Any] | None:
         """What to answer a holder of the epoch; None: nothing. `renews`: this member is a backup and stays one for a
         while, which is what its answer means. A witness answers also if it has promised a ballot: whoever may campaign
-        has ended the lease before. To a primary that lost contact a backup tells whether it has it, and looks."""
+        has ended the lease before. To a primary that lost contact a backup tells whether it has it, and looks.
+        """
         if epoch is None or epoch["n"] != question["n"]:
             return None
         if self._environment.node_id not in epoch["b"]:
@@ -110,7 +112,8 @@
 
     def better_off(self, *, answer: dict[str, Any]) -> bool:
         """Contact is lost here, and a backup has told for a while that it has it: after a cut that heals, this member
-        has it back by then."""
+        has it back by then.
+        """
         now = self._environment.now
         if self._apart is None or not answer.get("contact"):
             self._elsewhere = None
--- a/yarrowloom/replication/quorum_contact.py
+++ b/yarrowloom/replication/quorum_contact.py
@@ -13,7 +13,8 @@
 
 class Contact:
     """Answers of the witnesses of one epoch. Invariant: each answer counts from when its question was sent, so
-    `until` is never later than PROMISE_S after a majority (this member, if it is a witness, included) was there."""
+    `until` is never later than PROMISE_S after a majority (this member, if it is a witness, included) was there.
+    """
 
     def __init__(self) -> None:
         self.until = -math.inf
--- a/yarrowloom/replication/reconfiguration.py
+++ b/yarrowloom/replication/reconfiguration.py
@@ -31,7 +31,8 @@
 class Renewal:
     """Invariant: an election costs service, so a better set must have been there for WANT_S, and for RISK_S while the
     budget's losses could take the majority of the witnesses or the last copy; a witness set that is too small for the
-    budget even with all of them there grows at once."""
+    budget even with all of them there grows at once.
+    """
 
     def __init__(self) -> None:
         self.short = 0  # epochs in a row that had to give up on live members: each makes the next try rarer
--- a/yarrowloom/replication/replica.py
+++ b/yarrowloom/replication/replica.py
@@ -20,7 +20,8 @@
     or read leaves for those in `queue` and `in_flight` before they are on the disks of the primary and all backups; a
     primary serves only while its `lease` is valid; a backup that began to take over never again answers the epoch it
     leaves, also not after a restart. What a restarted member has is a beginning of its epoch's events with all that
-    were confirmed: a proposal, which counts once the backups of a new epoch have copied it."""
+    were confirmed: a proposal, which counts once the backups of a new epoch have copied it.
+    """
 
     def __init__(self, *, group_id: int, environment: ReplicaEnvironment, state: Reducer, epoch: Epoch | None) -> None:
         super().__init__(group_id=group_id, node_id=environment.node_id, state=state, epoch=epoch)
@@ -64,7 +65,8 @@
 
     def _apply(self, *, event: dict[str, Any]) -> Any:
         """Apply the next event. A reducer that raises may have changed a part of the state: the copy is void, so this
-        member neither leads nor answers until it is sent another."""
+        member neither leads nor answers until it is sent another.
+        """
         try:
             result = self.state.apply(event)
         except Exception as err:
@@ -91,11 +93,8 @@
     def _become(self, role: Role) -> None:
         assert role in MOVES[self.role], (self.role, role)
         was, self.role = self.role, role
-        if (
-            was is Role.PRIMARY
-            and role is not Role.TAKING
-            or was is Role.TAKING
-            and role in (Role.IDLE, Role.BACKUP, Role.LAPSED)
+        if (was is Role.PRIMARY and role is not Role.TAKING) or (
+            was is Role.TAKING and role in (Role.IDLE, Role.BACKUP, Role.LAPSED)
         ):
             self.queue.clear()
             self.in_flight = None
@@ -280,7 +279,8 @@
 
     def _fire(self) -> None:
         e, batch = self.acceptor.seen, self.in_flight
-        assert e is not None and batch is not None
+        assert e is not None
+        assert batch is not None
         batch.sent_at = self.environment.now
         for node_id in e["b"]:
             if node_id not in batch.acknowledged_by:
--- a/yarrowloom/replication/replica_storage.py
+++ b/yarrowloom/replication/replica_storage.py
@@ -10,7 +10,8 @@
 
 class StoredCopy:
     """Invariants: `state` holds exactly the events up to number `applied` of epoch `base`, each once; a journal that
-    is replayed from its last whole snapshot on gives a beginning of these that has all that was synced."""
+    is replayed from its last whole snapshot on gives a beginning of these that has all that was synced.
+    """
 
     def __init__(self, *, group_id: int, node_id: str, state: Reducer, epoch: Epoch | None) -> None:
         self.group_id = group_id
@@ -68,7 +69,8 @@
 
     def keep(self, *, record: dict[str, Any]) -> None:
         """Hold on to a checkpoint until its epoch is decided. Those for one number are no more than an epoch has
-        holders; of others, the lowest number makes room, as an epoch after it is under way."""
+        holders; of others, the lowest number makes room, as an epoch after it is under way.
+        """
         self.spares[record["tag"]] = record
         while len(self.spares) > SPARES:
             del self.spares[
--- a/yarrowloom/scheduling/admission.py
+++ b/yarrowloom/scheduling/admission.py
@@ -62,7 +62,8 @@
 
     def _unrouted(self, *, b: dict[str, Any]) -> bool:
         """Whether an edge routed a call by an older configuration than this node's, in which the queue is gone, or
-        in which the path (told while the edge's may be out of date) is not the queue's."""
+        in which the path (told while the edge's may be out of date) is not the queue's.
+        """
         if self.environment.config_version() <= b["cv"]:
             return False
         if self.environment.route(name=b["q"]) is None:
@@ -78,7 +79,8 @@
 
     def _refusal(self, *, job: dict[str, Any]) -> str:
         """Why a job can't be taken: too many in hand, or what waits before it would take so long that it could earn
-        nothing any more."""
+        nothing any more.
+        """
         if self.live >= desk.LIVE_MOST:
             return "too many jobs in hand"
         if job["times"] or any(s["last"] for s in job["steps"]):
--- a/yarrowloom/scheduling/binding.py
+++ b/yarrowloom/scheduling/binding.py
@@ -20,7 +20,8 @@
 @dataclass(slots=True, kw_only=True)
 class Attempt:
     """One binding of one group. Invariants: `plan` holds, by minion, the members not yet given a lease; a gang's
-    `rows` start only once no ask is open and none was refused; else all go back."""
+    `rows` start only once no ask is open and none was refused; else all go back.
+    """
 
     group: Group
     need: int
@@ -48,7 +49,8 @@
     """A grant answers an ask only if it has its number, which names the epoch too, and comes from the agent asked.
 
     Invariant: an order leaves only after its start is durable, and only if nothing came in between; the room's
-    `fly` of a minion is the sum of the open asks on it."""
+    `fly` of a minion is the sum of the open asks on it.
+    """
 
     def __init__(self, **kw: Any) -> None:
         self.asks: dict[int, LeaseAsk] = {}
@@ -59,7 +61,8 @@
 
     def bind(self, *, group: Group, decision: Decision) -> None:
         """Cached leases serve at once, agents are asked for the rest, all in parallel: they answer at once, so no
-        attempt ever waits for another's."""
+        attempt ever waits for another's.
+        """
         plan: dict[str, list[int]] = {}
         for idx, minion_id in decision.placed:
             plan.setdefault(minion_id, []).append(idx)
@@ -302,7 +305,8 @@
 
     def give_up(self) -> None:
         """Asks that were not answered in time count as refused. An agent that has said nothing since it was asked is
-        asked no more until it is heard again: at high load its minions seem to be the only ones with room."""
+        asked no more until it is heard again: at high load its minions seem to be the only ones with room.
+        """
         now = self.environment.now
         late: list[LeaseAsk] = []
         for ask in self.asks.values():
--- a/yarrowloom/scheduling/capacity.py
+++ b/yarrowloom/scheduling/capacity.py
@@ -50,7 +50,8 @@
 class Spot:
     """A minion as attached through its agent. Invariants: leases and orders count only with `seq`; `free` is
     `view` (the agent's last word) + `idle` (own leases without a run) + `owed` (given back since) - `fly` (asked
-    for, not answered); it stands in its shelf's index exactly while `open` and `heard`."""
+    for, not answered); it stands in its shelf's index exactly while `open` and `heard`.
+    """
 
     minion_id: str
     agent: str
@@ -101,7 +102,8 @@
 @dataclass(slots=True)
 class Rack:
     """The open minions of one rack and service. Invariant: `free` is the sum of what is free on them, where that is
-    above 0: no more than `free.copies(size)` tasks of a size fit in."""
+    above 0: no more than `free.copies(size)` tasks of a size fit in.
+    """
 
     minion_ids: set[str] = field(default_factory=set)
     free: Size = NONE
@@ -110,7 +112,8 @@
 @dataclass(slots=True)
 class Shelf:
     """The open minions of one service. Invariant: `levels` holds each exactly once, under its free accelerators,
-    sorted by its free cores, and `racks` by its rack; `total` is the sum of their capacities."""
+    sorted by its free cores, and `racks` by its rack; `total` is the sum of their capacities.
+    """
 
     levels: dict[int, list[tuple[int, str]]] = field(default_factory=dict)
     by: dict[str, set[str]] = field(default_factory=dict)
@@ -123,7 +126,8 @@
 
 class Room:
     """All minions that were attached. Invariant: `grown` holds, by service, the room of each minion that has more
-    than before, since `take_grown`; what fits in none of it has no better chance than at its last cycle."""
+    than before, since `take_grown`; what fits in none of it has no better chance than at its last cycle.
+    """
 
     def __init__(self) -> None:
         self.spots: dict[str, Spot] = {}
@@ -253,7 +257,8 @@
 
     def failed(self, *, minion_id: str, job_id: str, now: float) -> bool:
         """A task's first run failed here. Three jobs in a row, none done in between: the minion, not the jobs; it
-        gets nothing new for a while, unless a quarter of the service is shy already. True if so."""
+        gets nothing new for a while, unless a quarter of the service is shy already. True if so.
+        """
         spot = self.spots.get(minion_id)
         if spot is None or spot.last == job_id:
             return False
--- a/yarrowloom/scheduling/job_queue.py
+++ b/yarrowloom/scheduling/job_queue.py
@@ -23,7 +23,8 @@
 
 class Desk:
     """Invariants: a start is durable before its order leaves; a unit with a task to start has a group in `backlog`;
-    every task that is RUN is held by the spot of its minion or awaits that minion's next attachment."""
+    every task that is RUN is held by the spot of its minion or awaits that minion's next attachment.
+    """
 
     def __init__(
         self,
@@ -106,7 +107,8 @@
 
     def prio(self, *, job_id: str, key: str, seen: float) -> tuple[Prio, float]:
         """A group's place: what can still earn, the queue's rank, the latest start within the aim, first seen; and
-        when (wall seconds) it can earn nothing any more."""
+        when (wall seconds) it can earn nothing any more.
+        """
         job = self.jobs.jobs[job_id]
         k, at = key.split(".")
         base = job["first"] + job["period"] * int(k) if job["times"] else job["at"]
--- a/yarrowloom/scheduling/pod_group.py
+++ b/yarrowloom/scheduling/pod_group.py
@@ -36,7 +36,8 @@
 class Group:
     """A step's tasks. Invariants: `out` holds the members that a cycle placed and whose leases are not granted yet,
     with their minions; `prio` is its place in the queue: past use, the queue's rank, the latest start within its aim,
-    the time first seen, then its name."""
+    the time first seen, then its name.
+    """
 
     job_id: str
     key: str
@@ -78,7 +79,8 @@
     """A pass over one service's parked groups, made in slices of bounded work. Invariants: `grown` is where room grew
     before the pass began, `later` where it grew since: that is the next pass's; `none` holds sizes (with a label)
     for which no open minion had room in this pass. What fits in nothing grown, or needs at least as much as one of
-    `none`, is passed over."""
+    `none`, is passed over.
+    """
 
     on: bool = False
     after: Prio | None = None
@@ -124,7 +126,8 @@
 class Backlog:
     """Groups that wait. Invariants: an ACTIVE group stands in `active` under its `prio`, a PARKED one in its
     service's list, each by exactly one entry that bears its `mark`; other entries are dropped when they are met.
-    `load` sums up the work that waits, in core- and accelerator-milliseconds by service and rank."""
+    `load` sums up the work that waits, in core- and accelerator-milliseconds by service and rank.
+    """
 
     def __init__(self) -> None:
         self.groups: dict[tuple[str, str], Group] = {}
@@ -221,7 +224,8 @@
 
     def pop(self, *, service: str, walk: "Walk") -> Group | None:
         """The first waiting group of a service in order of priority: active ones, and, while the walk is on, parked
-        ones beyond its place that it doesn't pass over. None: nothing left, or the walk has no looks left."""
+        ones beyond its place that it doesn't pass over. None: nothing left, or the walk has no looks left.
+        """
         heap, rows = self.active.get(service, []), self.parked.get(service, [])
         while walk.looks > 0:
             while heap and self._live(heap[0], Phase.ACTIVE) is None:
--- a/yarrowloom/scheduling/preemption.py
+++ b/yarrowloom/scheduling/preemption.py
@@ -35,7 +35,8 @@
 @dataclass(slots=True)
 class Preemptor:
     """Runs that may go, by service and rank, in order of their starts. Invariants: only those are stopped, and never
-    more than are waited for."""
+    more than are waited for.
+    """
 
     room: Room
     runs: dict[str, dict[int, dict[str, Victim]]] = field(default_factory=dict)
--- a/yarrowloom/scheduling/scheduler.py
+++ b/yarrowloom/scheduling/scheduler.py
@@ -34,7 +34,8 @@
 
 class Placer(Admission):
     """Invariants: the work of one slice is bounded by LOOKS, CYCLES and VISITS, whatever waits; a pass goes on where it
-    stopped; slices take no more than half of the time, by what they are known to cost, whoever asks for them."""
+    stopped; slices take no more than half of the time, by what they are known to cost, whoever asks for them.
+    """
 
     def __init__(self, *, defaults: Defaults, **kw: Any) -> None:
         self.walks: dict[str, Walk] = {}
--- a/yarrowloom/scheduling/scheduling_cycle.py
+++ b/yarrowloom/scheduling/scheduling_cycle.py
@@ -15,7 +15,8 @@
 class Ask:
     """One group at its turn. `members` are the indices of its unscheduled tasks, sorted by priority, then by the
     time first seen, then by index (one step's tasks share the first two). `need` is the criterion: how many more
-    members must be placed for any to bind."""
+    members must be placed for any to bind.
+    """
 
     service: str
     size: Size
@@ -49,7 +50,8 @@
 
 class Snapshot:
     """The room as it stands when a group is popped; reservations are an overlay that dies with the cycle. Taking it
-    costs nothing: the table changes only between cycles, and the overlay holds what the cycle touches."""
+    costs nothing: the table changes only between cycles, and the overlay holds what the cycle touches.
+    """
 
     def __init__(self, *, room: Room) -> None:
         self.room = room
@@ -131,7 +133,8 @@
 
 def _ordered(*, snap: Snapshot, ask: Ask) -> Iterator[Spot]:
     """Score: where the data is first, then the tightest fit; where a member failed, last. A minion that took a
-    member is an even tighter fit, so it stays the best until it is full."""
+    member is an even tighter fit, so it stays the best until it is full.
+    """
     put_off: list[Spot] = []
     if ask.near:
         for spot in snap.room.labelled(service=ask.service, label=ask.near):
@@ -171,7 +174,8 @@
 def _by_rack(*, room: Room, ask: Ask) -> Decision:
     """Placement algorithm: racks are the candidate subsets; of the feasible ones the fullest wins. What is left of a
     rack is what is free there less what the group takes, so the first feasible one in the order of what is free is the
-    fullest. Only minions with room for a member are looked at, as the index gives them, the tightest fit first."""
+    fullest. Only minions with room for a member are looked at, as the index gives them, the tightest fit first.
+    """
     spots: dict[str, list[Spot]] = {}
     for spot in room.ordered(service=ask.service, size=ask.size):
         spots.setdefault(spot.rack, []).append(spot)
--- a/yarrowloom/scheduling/warm_capacity.py
+++ b/yarrowloom/scheduling/warm_capacity.py
@@ -25,7 +25,8 @@
 
 class Warmer:
     """Lives with the placing node. Invariants: what a minion keeps (`Spot.keep`) is the sum of the rooms here; it is
-    only a filter of later ranks' cycles, so nothing is started, leased or shown by it."""
+    only a filter of later ranks' cycles, so nothing is started, leased or shown by it.
+    """
 
     def __init__(self, *, table: Table, past: History, row: WarmRow) -> None:
         self.table = table
--- a/yarrowloom/simulator/cluster.py
+++ b/yarrowloom/simulator/cluster.py
@@ -22,7 +22,8 @@
 
 class Sim(Machines):
     """Frames between machines, and HTTP calls to them. Invariant: frames of one lane arrive in the order in which they
-    were sent."""
+    were sent.
+    """
 
     def _send(self, ip: str, proc: Proc, dst: str, kind: Kind | None, body: bytes) -> None:
         """One frame per message; without a kind, only a mark that tells the lane's sequence."""
--- a/yarrowloom/simulator/command.py
+++ b/yarrowloom/simulator/command.py
@@ -70,7 +70,8 @@
 
 def simulate(*, seed: Any, seconds: Any, size: Any, faults: Any, digest: Any = False, more_faults: Any = False) -> int:
     """Play one run and print its report, and its digest if asked to; return the exit code. `more_faults` has no effect
-    beside a file."""
+    beside a file.
+    """
     more_faults = _switch(name="more-faults", value=more_faults)
     run_digest = RunDigest() if _switch(name="digest", value=digest) else None
     if faults:
--- a/yarrowloom/simulator/digest.py
+++ b/yarrowloom/simulator/digest.py
@@ -35,7 +35,8 @@
 
 class RunDigest:
     """A SHA-256 over all frames, disk records and HTTP responses of a run, in the order in which they are sent or
-    written. Each is hashed as one line of JSON with sorted keys; simulated times are hashed in full precision."""
+    written. Each is hashed as one line of JSON with sorted keys; simulated times are hashed in full precision.
+    """
 
     def __init__(self) -> None:
         self._hash = hashlib.sha256()
--- a/yarrowloom/simulator/events.py
+++ b/yarrowloom/simulator/events.py
@@ -66,7 +66,8 @@
 
     def about(self, *, text: str, last: int) -> list[Event]:
         """What has to do with a breach: all events that are not about a single job, those of the breach's job, and
-        of these the last ones."""
+        of these the last ones.
+        """
         words = {word.split(".")[0] for word in text.split()}
         keep = [e for e in self.events if not isinstance(e, JobEvent) or e.job in words]
         return keep[-last:]
--- a/yarrowloom/simulator/faults/cluster_faults.py
+++ b/yarrowloom/simulator/faults/cluster_faults.py
@@ -21,7 +21,8 @@
 
 def lose_disks(fault: Fault, *, sim: TroubledSim) -> EndFault:
     """As many core machines as the budget allows lose their disks; at the same moment all others lose power: the core
-    machines, with `all-machines` the edge machines too. All return when the fault ends."""
+    machines, with `all-machines` the edge machines too. All return when the fault ends.
+    """
     with_edges = fault.where == Role.ALL_MACHINES
     hit = _running(sim=sim, addresses=[*sim.core_ips, *(sim.edge_ips if with_edges else ())])
     wiped = _disks_to_lose(sim=sim)
@@ -39,7 +40,8 @@
 
 def split_core(fault: Fault, *, sim: TroubledSim) -> EndFault:
     """Half of the core machines are cut off from the other half; all other machines, minions, callers and operators
-    reach both halves."""
+    reach both halves.
+    """
     half = frozenset(sim.rng.sample(sim.core_ips, len(sim.core_ips) // 2))
     sim.note(who="fault", text=f"one half: {', '.join(sorted(half))}")
     return sim.isolate(cut=Cut(inside=half, others=frozenset(sim.core_ips) - half))
@@ -47,7 +49,8 @@
 
 def overlapping_losses(fault: Fault, *, sim: TroubledSim) -> EndFault:
     """Each core machine goes down in the first half of the fault and returns in the second, so that all are down at its
-    middle; as many as the budget allows lose their disks, the others are killed or lose power."""
+    middle; as many as the budget allows lose their disks, the others are killed or lose power.
+    """
     running = _running(sim=sim, addresses=sim.core_ips)
     wiped = _disks_to_lose(sim=sim)
     middle_s = fault.for_s / 2
@@ -62,7 +65,8 @@
 def limit_processor(fault: Fault, *, sim: TroubledSim) -> EndFault:
     """A quota: in each tenth of a second a process runs at full speed until it has spent its share (`strength`), then
     not at all. Where the cluster charges no processor time, a process is taken to spend its share at the beginning of
-    each period."""
+    each period.
+    """
     ips = list(sim.core_ips) if fault.where == Role.ALL_CORES else [_address(sim=sim, name=fault.where)]
     if sim.speed:
         return _charge_quota(sim=sim, ips=ips, share=fault.strength)
--- a/yarrowloom/simulator/faults/model.py
+++ b/yarrowloom/simulator/faults/model.py
@@ -111,7 +111,8 @@
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Fault:
     """One thing that goes wrong. `where`: a name (`core-0`, `edge-1`, `minion-2`, `all-cores`, `all-machines`, `links`)
-    or a link."""
+    or a link.
+    """
 
     kind: FaultKind
     at_s: float
--- a/yarrowloom/simulator/faults/shrink.py
+++ b/yarrowloom/simulator/faults/shrink.py
@@ -14,7 +14,8 @@
 
 def shrink(*, report: Report, runs: int = MOST_RUNS, told: Callable[[Report], None] = lambda report: None) -> Report:
     """A run with fewer and shorter faults that breaks one of the rules that the first one broke. `told` hears of each
-    run that was smaller and still broke it."""
+    run that was smaller and still broke it.
+    """
     best = report
     for _ in range(runs):
         smaller = _next(best=best, rules=report.rules, candidates=_candidates(faults=best.faults))
--- a/yarrowloom/simulator/faulty_cluster.py
+++ b/yarrowloom/simulator/faulty_cluster.py
@@ -1,5 +1,6 @@
 """The cluster with what faults need: links that stand still, slow disks, clocks that drift, processes that end by
-themselves, and events for whoever watches."""
+themselves, and events for whoever watches.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -44,7 +45,8 @@
 
 class TroubledSim(Sim):
     """Invariants: held frames keep their order and overtake none that were sent before them; a machine's steady clock
-    never goes back, whatever its drift."""
+    never goes back, whatever its drift.
+    """
 
     def __init__(self, *, seed: int, checks: tuple[Check, ...] = (), **kw: Any) -> None:
         self.checks = checks
--- a/yarrowloom/simulator/hunt.py
+++ b/yarrowloom/simulator/hunt.py
@@ -31,7 +31,8 @@
     progress: Callable[[Report], None] = lambda report: None,
 ) -> Hunt:
     """Play the seeds from `settings.seed` on in `jobs` processes; after `most` runs that broke a rule no more are
-    begun. Each run's report goes to `progress`."""
+    begun. Each run's report goes to `progress`.
+    """
     seeds = iter(range(settings.seed, settings.seed + runs))
     ended, broken = 0, list[Report]()
     with ProcessPoolExecutor(max_workers=jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
--- a/yarrowloom/simulator/judges/history.py
+++ b/yarrowloom/simulator/judges/history.py
@@ -25,7 +25,8 @@
     """A change of the configuration, as its repeats send it again.
 
     `identity` names it: repeats share it, and no other order has it. `base` is the version it builds on (If-Match),
-    `version` the one it makes. `valid`: false if it has to be refused whatever the state is."""
+    `version` the one it makes. `valid`: false if it has to be refused whatever the state is.
+    """
 
     identity: str
     base: int
@@ -78,7 +79,8 @@
 class Operation(Generic[ArgumentT]):
     """One call. Times are seconds of the recorder's clock; `returned_s` is when the answer came, or when the caller
     gave up, and `NEVER_S` if neither happened. `status` is the answer's, 0 for none. `nonce` is what the request
-    carried to be recognized by, `echo` what came back of it (None: the answer has no room for it)."""
+    carried to be recognized by, `echo` what came back of it (None: the answer has no room for it).
+    """
 
     number: int
     process: str
@@ -108,7 +110,8 @@
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Breach:
     """A rule that a history breaks, and the operations that contradict each other: a smallest set of them, the rest
-    of the history's answers left out."""
+    of the history's answers left out.
+    """
 
     rule: str
     text: str
--- a/yarrowloom/simulator/judges/history_checks.py
+++ b/yarrowloom/simulator/judges/history_checks.py
@@ -30,7 +30,8 @@
 @dataclass(frozen=True, slots=True, kw_only=True)
 class JobBounds:
     """Figures of the rules, in seconds: how soon after an acknowledgement all must know of a job or of its
-    cancelling, and for how long at least an ended job is shown."""
+    cancelling, and for how long at least an ended job is shown.
+    """
 
     visible_s: float = 3.0
     status_s: float = 120.0
@@ -144,7 +145,8 @@
 
     A zone's state was asked for by an order (off, at first) after whose end no order of the other kind began that was
     confirmed. Unlike what linearizability allows, an order that its caller has given up doesn't take effect after a
-    later order was confirmed: a delayed copy must not undo what operators were told."""
+    later order was confirmed: a delayed copy must not undo what operators were told.
+    """
     zones: dict[str, list[Operation[Evacuate]]] = defaultdict(list)
     for operation in history.evacuations:
         if operation.outcome is not Outcome.REFUSED and operation.invoked_s <= at_s:
--- a/yarrowloom/simulator/judges/job_rules.py
+++ b/yarrowloom/simulator/judges/job_rules.py
@@ -30,7 +30,8 @@
 class Judge(Oracle):
     """Invariants: `alive` holds what runs on minions that are up; `done` what ended so on a minion, noted or not;
     `noted` and `fails` only what a `last-seen` reached while the minion's hold stood; `texts` every checkpoint that a
-    minion ever made, with whose it is."""
+    minion ever made, with whose it is.
+    """
 
     def __init__(self, *, sim: Sim, tries: int = 3) -> None:
         super().__init__(sim=sim)
--- a/yarrowloom/simulator/judges/linearizability.py
+++ b/yarrowloom/simulator/judges/linearizability.py
@@ -223,7 +223,8 @@
     """The first contradiction in a history of orders and reads, or None.
 
     The answers are taken up in the order in which they came. The first that can't be explained is in the breach, and
-    with it as few others as are needed; all others may be doubted without making it right."""
+    with it as few others as are needed; all others may be doubted without making it right.
+    """
     clear: list[Clear] = [op for op in history.orders if op.outcome is not Outcome.UNCLEAR]
     clear += [op for op in history.reads if op.seen is not None]
     clear.sort(key=lambda op: (op.returned_s, op.number))
--- a/yarrowloom/simulator/link_cluster.py
+++ b/yarrowloom/simulator/link_cluster.py
@@ -19,7 +19,8 @@
 
 class LinkSim(Sim):
     """`mbps`: an edge's link, each way; a core's is 100 times that. `frames`: (time, from, to, kind, size, body) of
-    HEARTOK and NEWS; `lose`: frames for which it is true do not arrive."""
+    HEARTOK and NEWS; `lose`: frames for which it is true do not arrive.
+    """
 
     def __init__(self, *, seed: int, mbps: float = 2.0, **kw: Any) -> None:
         self.mbps = mbps
--- a/yarrowloom/simulator/machines/disk.py
+++ b/yarrowloom/simulator/machines/disk.py
@@ -47,7 +47,8 @@
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Outcome:
     """What a loss of power leaves: for each unsynced name whether it is as it was last, for each unsynced write how
-    many of its bytes are there. The order is that of `SimDisk.unsynced_names` and `SimDisk.unsynced_writes`."""
+    many of its bytes are there. The order is that of `SimDisk.unsynced_names` and `SimDisk.unsynced_writes`.
+    """
 
     names: tuple[bool, ...]
     writes: tuple[int, ...]
@@ -231,7 +232,8 @@
 
     def outcomes(self, *, rng: random.Random, most: int, cuts: Callable[[int], list[int]]) -> Iterator[Outcome]:
         """All outcomes of a loss of power, with writes torn at the bytes that `cuts` names for their length. Where
-        there are more than `most`: the two extremes, and a random choice of the others, `most` together."""
+        there are more than `most`: the two extremes, and a random choice of the others, `most` together.
+        """
         names = [(False, True)] * len(self.unsynced_names())
         writes = [sorted({0, length, *cuts(length)}) for length in self.unsynced_writes()]
         if 2 ** len(names) * math.prod(map(len, writes)) <= most:
