--- a/yarrowloom/simulator/machines/machine_set.py
+++ b/yarrowloom/simulator/machines/machine_set.py
@@ -43,7 +43,8 @@
         digest: RunDigest | None = None,
     ) -> None:
         """`speed`: of the processor that each core process has for itself; 0: steps take no time. `losses`: disks
-        that may be lost at once. `digest`: takes all that processes send, write and answer."""
+        that may be lost at once. `digest`: takes all that processes send, write and answer.
+        """
         self.digest = digest
         self.speed = speed
         self.losses = losses
@@ -119,7 +120,7 @@
             role="core" if core else "edge",
             ip=ip,
             zone=f"z{ip.split('.')[1]}",
-            zones={s: "r" for s in self.zones},
+            zones=dict.fromkeys(self.zones, "r"),
             binds=binds,
             ports=PORTS,
             seeds=tuple(f"{s}:8000" for s in self.core_ips[:3]),
@@ -218,7 +219,8 @@
         until: float = math.inf,
     ) -> None:
         """An input: carried out at once, or in its turn where processor time is charged. `mark`: the messages, bytes
-        and HTTP calls that come with it."""
+        and HTTP calls that come with it.
+        """
         if proc.turns is None:
             self.step(ip, proc, fn)
             return
--- a/yarrowloom/simulator/machines/network.py
+++ b/yarrowloom/simulator/machines/network.py
@@ -7,7 +7,8 @@
 @dataclass(slots=True, kw_only=True, eq=False)
 class Cut:
     """What goes out of (`outward`) or into (`inward`) the inside is lost. The outside: `others`, or all that are not
-    inside."""
+    inside.
+    """
 
     inside: frozenset[str]
     others: frozenset[str] = frozenset()
--- a/yarrowloom/simulator/operators.py
+++ b/yarrowloom/simulator/operators.py
@@ -127,7 +127,8 @@
 
 class Operator:
     """Invariants: at most `most_under_way` tasks are under way; each call is recorded exactly once, by its answer,
-    when it is given up, or by `close`; an answer that comes after its call was given up counts for nothing."""
+    when it is given up, or by `close`; an answer that comes after its call was given up counts for nothing.
+    """
 
     def __init__(
         self,
@@ -243,7 +244,7 @@
         route = {**self.template[ROUTES][0], "name": f"r{self.rng.randint(0, 9)}"}
         route.update({"path-prefix": f"/{route['name']}/", "max-tries": self.rng.randint(1, 5)})
         limits = {**self.template["limits"], MARK: identity}
-        if base == 0 or known is not None and self.rng.random() < self.habits.whole:
+        if base == 0 or (known is not None and self.rng.random() < self.habits.whole):
             whole = known or self.template
             rows = [row for row in whole[ROUTES] if row["name"] != route["name"]]
             document = {**whole, "config-version": version, ROUTES: [*rows, route], "limits": limits}
--- a/yarrowloom/simulator/run.py
+++ b/yarrowloom/simulator/run.py
@@ -26,7 +26,8 @@
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RunSettings:
     """What fixes a run. Without `faults` they are drawn from the seed; with `more_faults` also of the kinds that are
-    not drawn as a rule."""
+    not drawn as a rule.
+    """
 
     seed: int = 1
     seconds: float = 30.0
--- a/yarrowloom/simulator/worker.py
+++ b/yarrowloom/simulator/worker.py
@@ -19,7 +19,8 @@
 @dataclass(kw_only=True)
 class World:
     """What the tasks are: how long, which fail by their own fault. `made` holds every checkpoint's progress; `present`
-    the members of each gang's run."""
+    the members of each gang's run.
+    """
 
     work: float = 0.5
     fail: float = 0.0
@@ -30,7 +31,8 @@
 
 class Worker(SimMinion):
     """Invariants: a gang's members make progress only while all of one run are present; nothing runs beyond the hold;
-    room counts until the end is listed."""
+    room counts until the end is listed.
+    """
 
     def __init__(
         self,
--- a/yarrowloom/storage/record_format.py
+++ b/yarrowloom/storage/record_format.py
@@ -21,7 +21,8 @@
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Header:
     """First bytes of a file. `number` is its place in the journal, 0 while it holds no records; `durable` is the
-    highest file number that was durable when this was written; `opening` counts the records of its first batch."""
+    highest file number that was durable when this was written; `opening` counts the records of its first batch.
+    """
 
     number: int
     durable: int
@@ -36,7 +37,8 @@
     @property
     def seed(self) -> int:
         """Where the checksums of the records begin: the header's checksum (a checksum over that too is the same for
-        all headers)."""
+        all headers).
+        """
         return zlib.crc32(self.pack()[: _HEADER.size])
 
     @classmethod
--- a/yarrowloom/storage/ring_journal.py
+++ b/yarrowloom/storage/ring_journal.py
@@ -47,7 +47,8 @@
     acknowledged the file after it says that it is durable. Until then nothing but its own slot is written, however
     often that is tried. What `load` gives out is synced first, whoever wrote it: a killed process may have left
     records that no sync covers, and numbers go on from them. Where a file does not follow the one before all the same,
-    it counts alone if its checkpoint is whole, else not at all."""
+    it counts alone if its checkpoint is whole, else not at all.
+    """
 
     def __init__(
         self,
@@ -128,7 +129,8 @@
     @staticmethod
     def _never_used(*, slots: list[Slot]) -> bool:
         """Whether the disk shows that nothing was acknowledged: the files were not all made yet, or the first batch
-        was cut off, in the first file, before the second one called it durable."""
+        was cut off, in the first file, before the second one called it durable.
+        """
         others = [slot for slot in slots if slot.index != _FIRST_SLOT]
         if all(slot.unused for slot in others):
             return True
@@ -136,7 +138,8 @@
 
     def _make_files(self, *, slots: list[Slot]) -> None:
         """Make all files and their names durable. On an empty disk all are written, as a sync that failed may have left
-        those of an earlier try in doubt; on one that lost a journal new files say that there was one."""
+        those of an earlier try in doubt; on one that lost a journal new files say that there was one.
+        """
         content = Header(number=0, durable=self._claimed).pack()
         for slot in slots:
             if self.verdict is Verdict.EMPTY or not slot.present:
@@ -184,7 +187,8 @@
     def rotate(self, *, need: int = 0) -> None:
         """Move on to the next file, preallocated; nothing of it counts until its first batch and its length are synced.
         `need`: bytes that the checkpoint at its beginning takes; where that is over a third of a file, files are
-        larger from now on, else each few records would bring another checkpoint."""
+        larger from now on, else each few records would bring another checkpoint.
+        """
         while self.size < 3 * need and self.size < self.most:
             self.size = min(2 * self.size, self.most)
         self.close()
@@ -203,7 +207,8 @@
 
     def _next_file(self) -> int:
         """The number after the durable file's; after a failure a higher one that has the same slot. So no try, in
-        this process or a later one, overwrites the durable file."""
+        this process or a later one, overwrites the durable file.
+        """
         number = self._durable + 1
         while number <= self._file:
             number += self.files
@@ -216,7 +221,8 @@
 
     def append(self, *, bodies: list[bytes]) -> None:
         """Write records and sync them. A zeroed head follows the last one. After a failure the state of the file is
-        not known, and the records have to be written to another one, after `rotate`."""
+        not known, and the records have to be written to another one, after `rotate`.
+        """
         if self._handle is None:
             raise OSError(errno.EBADF, "no ring file is open")
         try:
--- a/yarrowloom/testbed/cluster.py
+++ b/yarrowloom/testbed/cluster.py
@@ -51,7 +51,8 @@
 @dataclass(frozen=True, kw_only=True)
 class Shape:
     """Sizes of a cluster. `port` 0: free ones are found; else `port` to `port` + 18 are used. `net`: the first three
-    numbers of its addresses, drawn if empty."""
+    numbers of its addresses, drawn if empty.
+    """
 
     cores: int = 3
     edges: int = 2
--- a/yarrowloom/testbed/judge.py
+++ b/yarrowloom/testbed/judge.py
@@ -21,7 +21,8 @@
 @dataclass(kw_only=True)
 class Judge:
     """Each entry of `broken` begins with a rule's name. Invariant: `alive` lists the runs on minions that are up,
-    `needs` what each of their tasks takes."""
+    `needs` what each of their tasks takes.
+    """
 
     jobs: dict[str, Told] = field(default_factory=dict)
     broken: list[str] = field(default_factory=list)
--- a/yarrowloom/testbed/local.py
+++ b/yarrowloom/testbed/local.py
@@ -117,8 +117,8 @@
 ) -> tuple[dict[str, Any], bool]:
     """Run it all; the summary, and whether nothing was lost."""
     if not (
-        1 <= cores
-        and 1 <= edges
+        cores >= 1
+        and edges >= 1
         and cores + edges <= MOST_NODES
         and 1 <= minions <= MOST_MINIONS
         and jobs >= 1
--- a/yarrowloom/testbed/plan.py
+++ b/yarrowloom/testbed/plan.py
@@ -22,7 +22,8 @@
 
 class Fault(TypedDict):
     """One thing that goes wrong `at` seconds after the callers begin. `node` names a process; `crash` takes `count`
-    minions; `span` is how long a freeze or a dead process lasts, 0: it stays dead."""
+    minions; `span` is how long a freeze or a dead process lasts, 0: it stays dead.
+    """
 
     at: float
     what: str
--- a/yarrowloom/testbed/report.py
+++ b/yarrowloom/testbed/report.py
@@ -7,7 +7,7 @@
 
 matplotlib.use("Agg")
 
-from matplotlib import pyplot as plt  # noqa: E402  (the backend must be named first)
+from matplotlib import pyplot as plt
 
 PLOTS = (
     ("cpu-s", "processor", "cores", 1.0),
--- a/yarrowloom/testbed/simulated_minion.py
+++ b/yarrowloom/testbed/simulated_minion.py
@@ -76,7 +76,8 @@
 @dataclass(kw_only=True)
 class Run:
     """A run on a minion. Invariants: `at` is when its phase ends by itself; while it works, `ready` is when the
-    work itself began and `base` what had been done before, in seconds of `size` in all."""
+    work itself began and `base` what had been done before, in seconds of `size` in all.
+    """
 
     task: str
     run: int
@@ -138,7 +139,8 @@
 
 class Hollow:
     """Invariants: at most one beat is open; a number of `ends` is used once in a life; `top` holds the highest run
-    started or stopped of each task; nothing runs beyond `hold`."""
+    started or stopped of each task; nothing runs beyond `hold`.
+    """
 
     def __init__(
         self,
@@ -237,7 +239,8 @@
 
     def beat(self, *, now: float) -> dict[str, Any]:
         """The body of the next beat, which is open from now on."""
-        assert not self.open and self.up
+        assert not self.open
+        assert self.up
         self.seq += 1
         self.open = self.seq
         cpus, mem, gpus = self.cap
--- a/yarrowloom/testbed/virtual_testbed.py
+++ b/yarrowloom/testbed/virtual_testbed.py
@@ -310,7 +310,7 @@
     def _drive(self, m: Hollow, planned: list[float], at: int) -> None:
         """Plan the minion's next turn. `planned` holds when that is, so that an earlier one takes its place."""
         when = min(m.wake(), m.due if not m.open else 1e18)
-        if when >= 1e18 or planned[0] and planned[0] <= when and planned[0] >= self.now:
+        if when >= 1e18 or (planned[0] and planned[0] <= when and planned[0] >= self.now):
             return
         planned[0] = when
 
--- a/yarrowloom/transport/envelope.py
+++ b/yarrowloom/transport/envelope.py
@@ -92,7 +92,8 @@
 @dataclass
 class Frame(betterproto.Message):  # type: ignore[misc]
     """Invariant: `seq` rises per sender life (`uid` and `incarnation`), receiver and lane; a receiver drops
-    what does not rise. `body` is a JSON array of [kind, message]; an empty one only carries the sequence."""
+    what does not rise. `body` is a JSON array of [kind, message]; an empty one only carries the sequence.
+    """
 
     lane: int = betterproto.uint32_field(1)
     src: str = betterproto.string_field(2)
--- a/yarrowloom/transport/http_head.py
+++ b/yarrowloom/transport/http_head.py
@@ -50,7 +50,7 @@
         if field is None:
             return False
         key = field[1].decode().lower()
-        if key in headers or key in _JUDGED and (key != "connection" or field[2] != b"keep-alive"):
+        if key in headers or (key in _JUDGED and (key != "connection" or field[2] != b"keep-alive")):
             return False
         headers[key] = (field[2] or b"").decode()
     size = headers.get("content-length", "0")
--- a/yarrowloom/transport/http_server.py
+++ b/yarrowloom/transport/http_server.py
@@ -116,14 +116,14 @@
         lim = self.srv.limits
         began = first or bool(self.buf)
         self.horizon = trio.current_time() + (lim.header_ms if began else lim.idle_ms) / 1000
-        head: Head | None | bool = None
+        head: Head | bool | None = None
         while True:
             if self.buf:
                 if head is None:
                     head = read_head(buf=self.buf, most=lim.header_bytes)
                     if isinstance(head, Head):
                         self.horizon = trio.current_time() + max(lim.header_ms, lim.idle_ms) / 1000
-                if head is False or isinstance(head, Head) and head.end - head.start > lim.body_bytes:
+                if head is False or (isinstance(head, Head) and head.end - head.start > lim.body_bytes):
                     return None
                 if isinstance(head, Head) and len(self.buf) >= head.end:
                     body = bytes(self.buf[head.start : head.end])
@@ -245,7 +245,8 @@
     *, address: str, server: Server, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
 ) -> None:
     """Accept connections at HOST:PORT for ever; started once clients can connect. The listener is closed once this has
-    ended, however it ends."""
+    ended, however it ends.
+    """
     with accept.open_listener(address=address) as listener:
         task_status.started()
         await accept.serve(listener=listener, handler=server.serve)
--- a/yarrowloom/transport/listener.py
+++ b/yarrowloom/transport/listener.py
@@ -36,7 +36,8 @@
 
 def accept_waiting(*, listener: socket.socket, most: int = ACCEPTS_MOST) -> list[socket.socket]:
     """Accept up to `most` of the connections that wait now. Raises OSError only if it could accept none, for want of
-    descriptors or memory; a connection that its peer gave up meanwhile is passed over."""
+    descriptors or memory; a connection that its peer gave up meanwhile is passed over.
+    """
     accepted: list[socket.socket] = []
     for _ in range(most):
         try:
@@ -54,7 +55,8 @@
 
 async def serve(*, listener: socket.socket, handler: StreamHandler) -> None:
     """Accept connections for ever; `handler` owns each of them in a task of its own. Whoever opened the listener
-    closes it, once this has ended."""
+    closes it, once this has ended.
+    """
     async with trio.open_nursery() as nursery:
         while True:
             await trio.lowlevel.wait_readable(listener)
--- a/yarrowloom/transport/peer_connections.py
+++ b/yarrowloom/transport/peer_connections.py
@@ -35,7 +35,8 @@
 
 class Line:
     """What waits for one peer in one lane. Invariants: each frame's `seq` is above the last one's, and by more than
-    one exactly if messages between them were dropped; messages leave in the order in which they came."""
+    one exactly if messages between them were dropped; messages leave in the order in which they came.
+    """
 
     def __init__(self) -> None:
         self.rows: deque[tuple[int, bytes]] = deque()
@@ -66,7 +67,8 @@
 
     def broken(self, *, held: bool) -> None:
         """A frame was not sent (`held`: messages, or what a connection held, are lost with it): neither is what
-        waits behind it, which would be stale by then."""
+        waits behind it, which would be stale by then.
+        """
         self.marks = OWED if held or self.rows else self.marks - 1
         self.rows.clear()
         self.seq += 1
@@ -78,7 +80,8 @@
 
 class Identity(NamedTuple):
     """One life of a process. A core keeps its uid with its disk and counts its lives there (`incarnation`); an edge
-    has a uid of its own for each life."""
+    has a uid of its own for each life.
+    """
 
     node_id: str
     incarnation: int
@@ -100,7 +103,8 @@
     Invariants: sequence numbers belong to one address, lane and life; at an address one life counts at a time, and one
     that another has taken the place of never counts again. Of two lives with one uid the higher incarnation is the
     later one; of two with different uids the one whose connection was accepted later, as no connection can be opened
-    (see `Peers`) by a process whose successor has already opened one."""
+    (see `Peers`) by a process whose successor has already opened one.
+    """
 
     def __init__(self) -> None:
         self._senders: dict[str, _Sender] = {}
@@ -162,7 +166,8 @@
 
     Who accepts a connection numbers it and then sends a random challenge; the other side sends that back ahead of its
     first frame. So whoever sent a frame was alive after its connection got its number, and of two processes that
-    followed each other at an address the later one has the higher numbers, whatever a cut or a full backlog held up."""
+    followed each other at an address the later one has the higher numbers, whatever a cut or a full backlog held up.
+    """
 
     def __init__(self, *, address: str, node_id: str, incarnation: int, sink: Sink, log: Log) -> None:
         self.address = address
@@ -196,7 +201,8 @@
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Serve for ever; started once peers can connect and messages can be sent. The listener is closed once this
-        has ended, however it ends: the address is free again."""
+        has ended, however it ends: the address is free again.
+        """
         with accept.open_listener(address=self.address) as listener:
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
