--- a/yarrowloom/node/core.py
+++ b/yarrowloom/node/core.py
@@ -5,6 +5,7 @@
 
 from ..cluster_state.minion_ownership import total
 from ..common.defaults import Defaults
+from ..common.effects import AnyEffect, Effect, NoEffect
 from ..common.log import Log
 from ..common.settings import NodeSettings
 from ..replication.handover import copied_elsewhere, may_end
@@ -52,6 +53,9 @@
         )
         self.hand = InHand()
         self.relays = EdgeRelays()
+        self._effect_handlers: dict[type[Effect], Callable[[Any], None]] = {
+            NoEffect: lambda _effect: None,
+        }
         self._effects: dict[str, Callable[..., None]] = {
             "near": self._near,
             "copied": self._copied,
@@ -68,9 +72,12 @@
 
     # -- effects
 
-    def effect(self, *, effect: tuple[Any, ...]) -> None:
-        """Carry out an effect that is now durable."""
-        self._effects[effect[0]](*effect[1:])
+    def effect(self, *, effect: AnyEffect) -> None:
+        """Carry out an effect whose event is durable."""
+        if isinstance(effect, Effect):
+            self._effect_handlers[type(effect)](effect)
+        else:
+            self._effects[effect[0]](*effect[1:])
 
     def _none(self) -> None:
         pass
@@ -117,7 +124,7 @@
         dispatch(node=self, call=call, req=req)
         self._flush()
 
-    def done(self, *, effects: list[tuple[Any, ...]]) -> None:
+    def done(self, *, effects: list[AnyEffect]) -> None:
         """Records are synced."""
         for effect in effects:
             self.effect(effect=effect)
--- a/yarrowloom/node/core_environment.py
+++ b/yarrowloom/node/core_environment.py
@@ -6,6 +6,7 @@
 from ..agent.agent import DRAIN_MS
 from ..cluster_state.registry import Registry
 from ..common.defaults import SHIPPED, Defaults
+from ..common.effects import AnyEffect
 from ..common.errors import YarrowError
 from ..common.log import Log
 from ..common.settings import NodeSettings
@@ -86,7 +87,7 @@
             "b": [seeds[(group_id + i) % n] for i in range(1, min(self.settings.losses, n - 1) + 1)],
         }
 
-    def write(self, *, record: dict[str, Any], done: tuple[Any, ...]) -> None:
+    def write(self, *, record: dict[str, Any], done: AnyEffect) -> None:
         """To disk."""
         self.out.writes.append((dump(body=record), done))
 
@@ -358,7 +359,7 @@
         else:
             self.agent_beat(minion_id=b["m"], document=b["d"], call=("far", node_id, request_id))
 
-    def effect(self, *, effect: tuple[Any, ...]) -> None:
+    def effect(self, *, effect: AnyEffect) -> None:
         """Carry out an effect that is now durable."""
         raise NotImplementedError
 
--- a/yarrowloom/node/outputs.py
+++ b/yarrowloom/node/outputs.py
@@ -5,6 +5,7 @@
 from functools import lru_cache
 from typing import Any
 
+from ..common.effects import AnyEffect
 from ..transport.envelope import Kind
 from ..transport.http_server import Response
 
@@ -25,7 +26,7 @@
     """What a node wants done: frames to send, records to write, calls to answer."""
 
     sends: list[tuple[str, Kind, bytes]] = field(default_factory=list)
-    writes: list[tuple[bytes, tuple[Any, ...]]] = field(default_factory=list)
+    writes: list[tuple[bytes, AnyEffect]] = field(default_factory=list)
     answers: list[tuple[Any, Response]] = field(default_factory=list)
 
 
--- a/yarrowloom/node/runtime.py
+++ b/yarrowloom/node/runtime.py
@@ -14,6 +14,7 @@
 import trio
 
 from ..common.defaults import load as load_defaults
+from ..common.effects import AnyEffect
 from ..common.errors import StartupError, YarrowError
 from ..common.log import Log
 from ..common.settings import NodeSettings, load
@@ -66,7 +67,7 @@
         self.swept = 0.0
         self.waits: dict[int, tuple[trio.Event, list[Response], float]] = {}
         self.call = 0
-        self.disk: list[tuple[bytes, tuple[Any, ...]]] = []
+        self.disk: list[tuple[bytes, AnyEffect]] = []
         self.dirty = trio.Event()
         self.servers: list[Server] = []
         self.tally = Tally()
--- a/yarrowloom/simulator/machines/process.py
+++ b/yarrowloom/simulator/machines/process.py
@@ -1,8 +1,8 @@
 """One process of a node, and what its machine keeps on disk."""
 
 from collections.abc import Callable
-from typing import Any
 
+from ...common.effects import AnyEffect
 from ...node.core import CoreNode
 from ...node.edge import EdgeNode
 from ...node.input_scheduler import Repeats, Turns
@@ -26,7 +26,7 @@
         self.up = True
         self.frozen_till = 0.0
         self.disk_busy = False
-        self.disk: list[tuple[bytes, tuple[Any, ...]]] = []
+        self.disk: list[tuple[bytes, AnyEffect]] = []
         self.inbox: list[Callable[[], None]] = []
         self.repeats = Repeats()
         self.turns: Turns | None = None  # only where processor time is charged
