--- a/docs/experiments/growth_collapse.py
+++ b/docs/experiments/growth_collapse.py
@@ -45,7 +45,7 @@
 WAIT: dict[int, deque[Callable[[], None]]] = {}
 BUSY: dict[int, float] = {}
 TICK: set[int] = set()
-FIRST = RECORD_KINDS | {Kind.HEART, Kind.HEARTOK}
+FIRST = RECORD_KINDS | {Kind.HEARTBEAT, Kind.HEARTBEAT_ACK}
 EVENTS: list[tuple[float, str, str]] = []
 
 
--- a/docs/experiments/growth_state.py
+++ b/docs/experiments/growth_state.py
@@ -93,7 +93,7 @@
         jobs = fill(live=live, ended=arg.ended, tasks=arg.tasks)
         t_dump, body = ms(lambda: dump(body={"g": 1, "st": jobs.dump()}))  # noqa: B023
         t_pack, raw = ms(
-            lambda: pack(frame=Frame(kind=int(Kind.CKPT), src="a:1", node_id="u", boot=1, seq=1, body=body))  # noqa: B023
+            lambda: pack(frame=Frame(kind=int(Kind.SNAPSHOT), src="a:1", node_id="u", boot=1, seq=1, body=body))  # noqa: B023
         )
 
         def cut() -> Any:
--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -123,7 +123,7 @@
                 "avoid": {},
             },
         )
-        rows: list[Any] = self.environment.last(Kind.GRANT)["x"]
+        rows: list[Any] = self.environment.last(Kind.LEASE_GRANT)["x"]
         return rows
 
     def order(
@@ -164,7 +164,7 @@
     rig = Rig()
     ((lease_id, _, _),) = rig.ask(group_id=2)
     rig.order(lease_id=lease_id + 7)
-    assert rig.environment.last(Kind.NAK)["x"] == [["i", 1, TASK, 1]]
+    assert rig.environment.last(Kind.ORDERS_REJECTED)["x"] == [["i", 1, TASK, 1]]
     rig.order(lease_id=lease_id, n=0)
     assert TASK not in rig.agent.minions["i"].runs
     rig.order(lease_id=lease_id)
@@ -177,13 +177,13 @@
     rig.order(lease_id=lease_id)
     assert "started" in rig.beat()
     rig.attach(group_id=2, seq=2, x=[[TASK, 1, 1000, 10, 0, 500]])
-    assert rig.environment.last(Kind.VERDICT)["x"] == []
+    assert rig.environment.last(Kind.ATTACHMENT_VERDICT)["x"] == []
 
 
 def test_unlisted_order_of_a_former_agent_never_started() -> None:
     rig = Rig()
     rig.attach(group_id=2, seq=2, x=[[TASK, 1, 1000, 10, 0, 500]])
-    assert rig.environment.last(Kind.VERDICT)["x"] == [[TASK, 1]]
+    assert rig.environment.last(Kind.ATTACHMENT_VERDICT)["x"] == [[TASK, 1]]
 
 
 def test_stopped_order_that_was_not_carried_out_is_sent_back() -> None:
@@ -194,7 +194,7 @@
     assert "started" in rig.beat()
     rig.agent.stop(b={"g": 2, "x": [["i", TASK, 1]]})
     rig.beat()
-    assert rig.environment.last(Kind.NAK)["x"] == [["i", 1, TASK, 1]]
+    assert rig.environment.last(Kind.ORDERS_REJECTED)["x"] == [["i", 1, TASK, 1]]
     assert rig.agent.minions["i"].runs == {}
 
 
@@ -205,7 +205,7 @@
     rig.beat()
     rig.beat(running=[[TASK, 1, "", 50]])
     assert rig.beat(ends=[[1, TASK, 1, "done", ""]])["last-seen"] == 0
-    assert rig.environment.last(Kind.ENDS)["x"] == [[1, TASK, 1, "done", ""]]
+    assert rig.environment.last(Kind.TASK_ENDS)["x"] == [[1, TASK, 1, "done", ""]]
     rig.agent.endsok(body={"m": "i", "f": 5, "x": [[1, TASK, 1]]})
     assert rig.beat()["last-seen"] == 1
 
@@ -222,7 +222,7 @@
         out = rig.beat(state="draining" if how == "drain" else "ready")
         assert "started" not in out
         if how != "trust":
-            assert rig.environment.last(Kind.NAK)["x"][0][2] == TASK
+            assert rig.environment.last(Kind.ORDERS_REJECTED)["x"][0][2] == TASK
             assert rig.ask(group_id=1) == []
 
 
@@ -234,7 +234,7 @@
         rig.environment.now += 0.05
         rig.agent.tick()
     assert rig.environment.now - heard >= 4.0 * 1.02
-    assert rig.environment.last(Kind.LOST)["m"] == "i"
+    assert rig.environment.last(Kind.MINION_LOST)["m"] == "i"
     assert rig.environment.lost == []
     for group_id in (1, 2):
         rig.agent.lostok(b={"g": group_id, "m": "i", "f": 5})
--- a/tests/agent/test_draining_minions.py
+++ b/tests/agent/test_draining_minions.py
@@ -34,8 +34,8 @@
         assert minion.phase is Phase.KNOWN
         assert rig.ask(group_id=2) == []
     rig.beat(ends=[[1, TASK, 1, "done", ""]])
-    assert rig.environment.last(Kind.ENDS)["x"] == [[1, TASK, 1, "done", ""]]
-    assert not any(kind is Kind.LOST for _, kind, _ in rig.environment.sent)
+    assert rig.environment.last(Kind.TASK_ENDS)["x"] == [[1, TASK, 1, "done", ""]]
+    assert not any(kind is Kind.MINION_LOST for _, kind, _ in rig.environment.sent)
     silent = rig.environment.now
     while minion.phase is not Phase.LOST:
         rig.environment.now += 0.05
--- a/tests/integration/test_large_clusters.py
+++ b/tests/integration/test_large_clusters.py
@@ -111,11 +111,11 @@
     (lease_id, _, _), *_ = rig.ask(group_id=2)
     rig.order(lease_id=lease_id)
     began = rig.environment.now
-    while not any(kind is Kind.NAK for _, kind, _ in rig.environment.sent):
+    while not any(kind is Kind.ORDERS_REJECTED for _, kind, _ in rig.environment.sent):
         rig.environment.now += 0.05
         rig.agent.tick()
         assert rig.environment.now - began < 2.5  # a hold is 4 s
-    assert rig.environment.last(Kind.NAK)["x"] == [["i", 1, TASK, 1]]
+    assert rig.environment.last(Kind.ORDERS_REJECTED)["x"] == [["i", 1, TASK, 1]]
     assert rig.agent.minions["i"].runs == {}
     assert rig.ask(group_id=2) == []
     assert "started" not in rig.beat()  # and it does not go out after all
--- a/tests/node/test_busy_process.py
+++ b/tests/node/test_busy_process.py
@@ -88,9 +88,9 @@
         if other != ip:
             sim.cut(a=ip, b=other)
     sim.run(seconds=1.15)  # long enough for a campaign, too short for one of the backup
-    mine = [s for s in sent if s[0] == ip and s[1] is Kind.CKPT]
+    mine = [s for s in sent if s[0] == ip and s[1] is Kind.SNAPSHOT]
     sim.run(seconds=10.0)
-    tried = [s for s in sent if s[0] == ip and s[1] is Kind.CKPT and s[2]["g"] == 1 and s[2]["inst"] == before + 1]
+    tried = [s for s in sent if s[0] == ip and s[1] is Kind.SNAPSHOT and s[2]["g"] == 1 and s[2]["inst"] == before + 1]
     assert mine
     assert 2 <= len(tried) <= 7
     assert len({s[2]["tag"] for s in tried}) == 1
--- a/tests/node/test_config_dissemination_tree.py
+++ b/tests/node/test_config_dissemination_tree.py
@@ -58,7 +58,7 @@
 
     def lose(src: str, dst: str, kind: Kind, m: dict[str, Any]) -> bool:
         """The first two changes on each way."""
-        if "delta" in (m.get("news", {}) if kind is Kind.HEARTOK else m):
+        if "delta" in (m.get("news", {}) if kind is Kind.HEARTBEAT_ACK else m):
             lost[src, dst] = lost.get((src, dst), 0) + 1
             return lost[src, dst] <= 2
         return False
--- a/tests/node/test_config_freshness_core.py
+++ b/tests/node/test_config_freshness_core.py
@@ -106,7 +106,7 @@
     core = bystander(sim)
 
     def lost(src: str, dst: str, kind: Kind, m: dict[str, Any]) -> bool:
-        return dst == core and "reg" in (m.get("news", {}) if kind is Kind.HEARTOK else m)
+        return dst == core and "reg" in (m.get("news", {}) if kind is Kind.HEARTBEAT_ACK else m)
 
     sim.lose = lost
     assert sim.ask(ip=settled(sim), method="POST", path="/evacuation/z0")[0] == 200
--- a/tests/node/test_edge.py
+++ b/tests/node/test_edge.py
@@ -134,7 +134,7 @@
 
 def test_an_edge_stays_ready_while_cores_are_busy_and_says_so_when_it_is_cut_off() -> None:
     sim, node = ready(seed=6)
-    sim.lose = lambda src, dst, kind, m: kind is Kind.HEARTOK and dst == sim.edge_ips[0]
+    sim.lose = lambda src, dst, kind, m: kind is Kind.HEARTBEAT_ACK and dst == sim.edge_ips[0]
     for _ in range(9):  # no longer: proof older than three quarters of `config-apply-ms` is none
         sim.run(seconds=0.1)
         node.now = sim.now
--- a/tests/replication/test_install.py
+++ b/tests/replication/test_install.py
@@ -25,10 +25,10 @@
     whole = sim._send
 
     def send(ip: str, proc: Proc, dst: str, kind: Kind, body: bytes) -> None:
-        if kind is Kind.INSTALL and ip == primary and not begun and b'"g":0' in body:
+        if kind is Kind.INSTALL_EPOCH and ip == primary and not begun and b'"g":0' in body:
             begun.append(sim.now)
         late = begun and sim.now - begun[0] < LATE_S
-        if kind is Kind.INSTALLED and late and ip not in (primary, backup):
+        if kind is Kind.EPOCH_INSTALLED and late and ip not in (primary, backup):
             return
         whole(ip, proc, dst, kind, body)
 
--- a/tests/replication/test_model_found.py
+++ b/tests/replication/test_model_found.py
@@ -79,7 +79,7 @@
     do(w, ("power", 1, 0))
     do(w, ("kill", 0))
     while 2 not in w.decided:
-        late = head(w, src=0, dst=4, kind="PREP")
+        late = head(w, src=0, dst=4, kind="PREPARE")
         do(w, ("lose", late) if late is not None else calm(w))
     w.closing = True
     while not w.settled():
--- a/tests/replication/test_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -70,19 +70,19 @@
 
 
 def a_backup_acknowledges_before_its_write_is_synced(p: Patch) -> None:
-    _says_at_once(p, Kind.LOGOK)
+    _says_at_once(p, Kind.BATCH_APPENDED)
 
 
 def a_copy_is_confirmed_before_it_is_synced(p: Patch) -> None:
-    _says_at_once(p, Kind.CKPTOK)
+    _says_at_once(p, Kind.SNAPSHOT_STORED)
 
 
 def a_backup_answers_the_old_epoch_after_its_election_began(p: Patch) -> None:
     real = Replica.on
 
     def on(self: Replica, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
-        if kind is Kind.PING and self.role is Role.TAKING and self.base == m["n"]:
-            self.environment.send(node_id=node_id, kind=Kind.PONG, body=m)
+        if kind is Kind.LEADER_LEASE_REQUEST and self.role is Role.TAKING and self.base == m["n"]:
+            self.environment.send(node_id=node_id, kind=Kind.LEADER_LEASE_GRANTED, body=m)
         real(self, node_id=node_id, kind=kind, m=m)
 
     p.setattr(Replica, "on", on)
--- a/tests/replication/test_quorum_contact.py
+++ b/tests/replication/test_quorum_contact.py
@@ -119,13 +119,13 @@
     whole = sim._send
 
     def send(ip: str, proc: object, dst: str, kind: Kind, body: bytes) -> None:
-        if kind in (Kind.PING, Kind.PONG):
+        if kind in (Kind.LEADER_LEASE_REQUEST, Kind.LEADER_LEASE_GRANTED):
             counted[kind, dst] = counted.get((kind, dst), 0) + 1
         whole(ip, proc, dst, kind, body)  # type: ignore[arg-type]
 
     monkeypatch.setattr(sim, "_send", send)
     span = 20.0
     sim.run(seconds=span)
-    pings = sum(n for (kind, _), n in counted.items() if kind is Kind.PING) / span
+    pings = sum(n for (kind, _), n in counted.items() if kind is Kind.LEADER_LEASE_REQUEST) / span
     groups = JOB_GROUPS + 1
     assert pings <= groups * (1 * 5 + 7 * 2.5) + 0.5
--- a/tests/replication/test_snapshot.py
+++ b/tests/replication/test_snapshot.py
@@ -115,7 +115,7 @@
     primary.replica.take(why="test")
     cell.deliver()
     backup.sync(count=len(backup.unsynced))
-    assert [kind for _, _, kind, _ in cell.wire] == [Kind.CKPTOK]  # the backup has synced the copy
+    assert [kind for _, _, kind, _ in cell.wire] == [Kind.SNAPSHOT_STORED]  # the backup has synced the copy
     backup.rotate(count=0)
     backup.restart()
     assert [record["inst"] for record in backup.replica.spares.values()] == [2]
@@ -165,11 +165,11 @@
         """Send one batch; the events that are confirmed by number."""
         backup.replica.on(
             node_id=primary.node_id,
-            kind=Kind.LOG,
+            kind=Kind.APPEND_BATCH,
             m={"g": 0, "n": base, "first": start + first, "evs": [{"x": x} for x in events], "t": cell.now},
         )
         backup.sync(count=len(backup.unsynced))
-        rows = [orjson.loads(body)["last"] - start for _, _, kind, body in cell.wire if kind is Kind.LOGOK]
+        rows = [orjson.loads(body)["last"] - start for _, _, kind, body in cell.wire if kind is Kind.BATCH_APPENDED]
         cell.wire.clear()
         return rows
 
--- a/tests/replication/test_stalled_process.py
+++ b/tests/replication/test_stalled_process.py
@@ -69,7 +69,7 @@
     primary, and another one under its number is not confirmed beside it."""
     sim, primary, other, _ = scene(seed=seed)
     still = Standstill(
-        sim=sim, ip=primary, when=lambda kind, m: kind is Kind.LOG and m["g"] == 0, monkeypatch=monkeypatch
+        sim=sim, ip=primary, when=lambda kind, m: kind is Kind.APPEND_BATCH and m["g"] == 0, monkeypatch=monkeypatch
     )
     first = later(sim, ip=primary, method="PUT", path="/config", document=config(version=4), headers={"if-match": "3"})
     sim.run(seconds=3.0)
@@ -132,7 +132,10 @@
     sim, primary, other, _ = scene(seed=seed)
     agent = sim.core(other)
     still = Standstill(
-        sim=sim, ip=primary, when=lambda kind, m: kind is Kind.HEARTOK and bool(m.get("lease")), monkeypatch=monkeypatch
+        sim=sim,
+        ip=primary,
+        when=lambda kind, m: kind is Kind.HEARTBEAT_ACK and bool(m.get("lease")),
+        monkeypatch=monkeypatch,
     )
     sim.run(seconds=0.5)
     assert still.begun
@@ -150,7 +153,10 @@
     sim, primary, _, _ = scene(seed=seed)
     backup = holders(newest(sim, group_id=0))[1]
     still = Standstill(
-        sim=sim, ip=backup, when=lambda kind, m: kind is Kind.PONG and m["g"] == 0, monkeypatch=monkeypatch
+        sim=sim,
+        ip=backup,
+        when=lambda kind, m: kind is Kind.LEADER_LEASE_GRANTED and m["g"] == 0,
+        monkeypatch=monkeypatch,
     )
     sim.run(seconds=0.5)
     assert still.begun
--- a/tests/replication/test_successive_losses.py
+++ b/tests/replication/test_successive_losses.py
@@ -39,7 +39,7 @@
 
     def _send(self, ip: str, proc: Proc, dst: str, kind: Kind | None, body: bytes) -> None:
         send = super()._send
-        if kind is not Kind.CKPT or not self.copy_s or ip == dst:
+        if kind is not Kind.SNAPSHOT or not self.copy_s or ip == dst:
             send(ip, proc, dst, kind, body)
             return
         self.free[ip] = max(self.now, self.free.get(ip, 0.0)) + self.copy_s
--- a/tests/scheduling/test_binding.py
+++ b/tests/scheduling/test_binding.py
@@ -11,7 +11,15 @@
 from yarrowloom.transport.envelope import Kind
 
 TASK: dict[str, Any] = {"task-count": 3, "cpus": 1000, "mem-mb": 100, "estimate-ms": 500}
-STEPS = [Kind.LEASE, Kind.GRANT, Kind.LOG, Kind.ORDER, Kind.RETURN, Kind.ENDS, Kind.ENDSOK]
+STEPS = [
+    Kind.LEASE_REQUEST,
+    Kind.LEASE_GRANT,
+    Kind.APPEND_BATCH,
+    Kind.TASK_ORDERS,
+    Kind.LEASE_RETURN,
+    Kind.TASK_ENDS,
+    Kind.TASK_ENDS_ACK,
+]
 
 
 def finish(*, sim: Sim, oracle: Oracle, caller: SimCaller, limit: float = 60.0) -> None:
--- a/tests/simulator/test_digest.py
+++ b/tests/simulator/test_digest.py
@@ -89,7 +89,7 @@
     each kind of caller."""
     taken = Recorder()
     play(settings=RunSettings(seed=4137, seconds=20.0, size=5), digest=taken)
-    assert {int(Kind.HEART), int(Kind.ACCEPT), int(Kind.CALL), NO_KIND} <= taken.kinds
+    assert {int(Kind.HEARTBEAT), int(Kind.ACCEPT), int(Kind.CALL), NO_KIND} <= taken.kinds
     assert taken.checkpoint_ends > 5  # more than the one that each of five core nodes writes at its boot
     assert {"op", "caller"} < taken.callers
     assert "" not in taken.callers
--- a/tests/storage/write_data.py
+++ b/tests/storage/write_data.py
@@ -60,7 +60,7 @@
         """The primary's batch, which the node takes as a backup."""
         replica = self.node.replicas[group]
         first = first or replica.applied + 1
-        self.message(source=source, kind=Kind.LOG, group=group, n=replica.base, first=first, evs=events, t=1.0)
+        self.message(source=source, kind=Kind.APPEND_BATCH, group=group, n=replica.base, first=first, evs=events, t=1.0)
 
 
 def configuration(*, version: int, rank: int = 0, more: int = 8) -> dict[str, Any]:
@@ -216,7 +216,7 @@
     """A copy for an epoch not yet decided, with what the node itself holds."""
     replica = disk.node.replicas[group]
     text = orjson.dumps(replica.state.dump()).decode()
-    disk.message(source=source, kind=Kind.CKPT, group=group, inst=number, tag=tag, applied=replica.applied, st=text)
+    disk.message(source=source, kind=Kind.SNAPSHOT, group=group, inst=number, tag=tag, applied=replica.applied, st=text)
 
 
 def write_events(*, folder: pathlib.Path) -> DiskWriter:
@@ -238,15 +238,15 @@
     copy_of(disk=disk, group=1, number=1, tag=tag, source=UIDS[1])
     copy_of(disk=disk, group=1, number=1, tag=other, source=UIDS[0])
     vote = epoch(number=1, tag=tag, backups=(UIDS[2],))
-    disk.message(source=UIDS[1], kind=Kind.PREP, group=1, n=1, bal=[1, UIDS[1], 1])
+    disk.message(source=UIDS[1], kind=Kind.PREPARE, group=1, n=1, bal=[1, UIDS[1], 1])
     disk.message(source=UIDS[1], kind=Kind.ACCEPT, group=1, n=1, bal=[1, UIDS[1], 1], val=vote)
-    disk.message(source=UIDS[1], kind=Kind.INSTALL, group=1, e=vote, t=1.5)
+    disk.message(source=UIDS[1], kind=Kind.INSTALL_EPOCH, group=1, e=vote, t=1.5)
     disk.log(source=UIDS[1], group=1, events=[job(number=300, stages=GANG, at=START_MS + 2_000_000)])
     copy_of(disk=disk, group=1, number=2, tag=f"{UIDS[0]}/109.0000/9", source=UIDS[0])
     vote = epoch(number=2, tag=f"{UIDS[0]}/109.0000/9", backups=(UIDS[1],), primary=UIDS[0])
-    disk.message(source=UIDS[0], kind=Kind.PREP, group=1, n=2, bal=[2, UIDS[0], 3])
+    disk.message(source=UIDS[0], kind=Kind.PREPARE, group=1, n=2, bal=[2, UIDS[0], 3])
     disk.message(source=UIDS[0], kind=Kind.ACCEPT, group=1, n=2, bal=[2, UIDS[0], 3], val=vote)
-    disk.message(source=UIDS[1], kind=Kind.PREP, group=0, n=1, bal=[4, UIDS[1], 2])
+    disk.message(source=UIDS[1], kind=Kind.PREPARE, group=0, n=1, bal=[4, UIDS[1], 2])
     for number in range(2):
         disk.move_on()
         events = [{"t": "evac", "site": f"z{number}", "on": True}]
@@ -268,7 +268,7 @@
         replica.tick()
     disk.write()
     away = epoch(number=1, tag=f"{UIDS[0]}/101.0000/1", backups=(UIDS[2],), primary=UIDS[0])
-    disk.message(source=UIDS[0], kind=Kind.INSTALL, group=0, e=away, t=2.0)
+    disk.message(source=UIDS[0], kind=Kind.INSTALL_EPOCH, group=0, e=away, t=2.0)
     return disk
 
 
--- a/tests/support/binding_explorer.py
+++ b/tests/support/binding_explorer.py
@@ -25,7 +25,7 @@
 def choices(w: World) -> list[Choice]:
     """What may happen; the calm one first."""
     lines = sorted(w.lines, key=lambda c: w.lines[c][0][0])
-    words = {line for line in lines if all(what == "ROOM" for _, what, _ in w.lines[line])}
+    words = {line for line in lines if all(what == "CAPACITY_REPORT" for _, what, _ in w.lines[line])}
     out: list[Choice] = [("deliver", *line) for line in lines if line not in words]
     out[:0] = [("rooms",)] if words else []
     out += [("write", group_id) for group_id in w.placers if w.replica(group_id=group_id).queue]
@@ -41,7 +41,7 @@
     out += [("beat", m.minion_id) for m in idle if w.now < m.due]
     out += [("end", minion_id, t, how) for minion_id, t, how, ripe in ends if not ripe]
     out += [("end", minion_id, t, "failed") for minion_id, t, _, _ in ends]
-    out += [("lose", *line) for line in lines if w.lines[line][0][1] not in ("NEWS", "MARK")]
+    out += [("lose", *line) for line in lines if w.lines[line][0][1] not in ("CLUSTER_UPDATE", "MARK")]
     for group_id in w.placers:
         out.append(("die", group_id, False))
         if w.replica(group_id=group_id).queue:
@@ -56,7 +56,7 @@
         w.deliver(line=c[1:])
     elif what == "rooms":  # lines with nothing but words on room are read together: they only tell figures
         for line in sorted(w.lines, key=lambda line: w.lines[line][0][0]):
-            if all(kind == "ROOM" for _, kind, _ in w.lines[line]):
+            if all(kind == "CAPACITY_REPORT" for _, kind, _ in w.lines[line]):
                 w.deliver(line=line)
     elif what == "write":
         for effect in w.replica(group_id=c[1]).write():
@@ -112,7 +112,12 @@
     w.torn = {line for line in w.torn if line[1] != old}
     w.rise(group_id=group_id, n=n)
     for node_id in w.agents:
-        w.push(src="news", dst=node_id, what="NEWS", body={"g": group_id, "u": w.node_id(group_id=group_id), "n": n})
+        w.push(
+            src="news",
+            dst=node_id,
+            what="CLUSTER_UPDATE",
+            body={"g": group_id, "u": w.node_id(group_id=group_id), "n": n},
+        )
 
 
 def judge(w: World) -> None:
@@ -153,7 +158,7 @@
         f"{what} to {dst}"
         for (_, dst), rows in w.lines.items()
         for _, what, _ in rows
-        if what != "ROOM" and dst not in w.minis
+        if what != "CAPACITY_REPORT" and dst not in w.minis
     ]
     out += [f"{src} to {dst} torn" for src, dst in w.torn]
     return out + [f"runs or ends of {m.minion_id}" for m in w.minis.values() if m.running or m.ends]
--- a/tests/support/binding_model.py
+++ b/tests/support/binding_model.py
@@ -288,7 +288,7 @@
         elif effect[0] == "endsok":
             p.environment.send(
                 node_id=effect[2],
-                kind=Kind.ENDSOK,
+                kind=Kind.TASK_ENDS_ACK,
                 body={"g": effect[1], "m": effect[3], "f": effect[4], "x": effect[5]},
             )
         elif effect[0] == "send":
@@ -311,14 +311,14 @@
         self.lines.setdefault((src, dst), []).append((self.serial, what, orjson.loads(orjson.dumps(body))))
 
     def send(self, *, src: str, dst: str, kind: Kind, body: dict[str, Any]) -> None:
-        if kind is Kind.GRANT:
+        if kind is Kind.LEASE_GRANT:
             for lease_id, _, _ in body["x"]:
                 self.grants[f"{src}:{lease_id}"] = dst
-        elif kind is Kind.RETURN:
+        elif kind is Kind.LEASE_RETURN:
             for _, lease_id in body["x"]:
                 self.holds(node_id=src, agent=dst, lease_id=lease_id)
                 self.back.add(f"{dst}:{lease_id}")
-        elif kind is Kind.ORDER:
+        elif kind is Kind.TASK_ORDERS:
             for _, _, lease_id, task, run, _, _ in body["x"]:
                 need(f"{task}/{run}" in self.begun, "EARLY", task, run, "is ordered and not in the record")
                 self.holds(node_id=src, agent=dst, lease_id=lease_id)
@@ -345,7 +345,7 @@
                 self.torn.discard(line)
                 self.gap(src=src, dst=dst)
             self.take(src=src, dst=dst, what=what, b=body)
-            if what != "ROOM":
+            if what != "CAPACITY_REPORT":
                 break
 
     def gap(self, *, src: str, dst: str) -> None:
@@ -359,7 +359,7 @@
         """As in `node/core.py`."""
         if dst in self.minis:
             self.minis[dst].answer(b=b)
-        elif what == "NEWS":
+        elif what == "CLUSTER_UPDATE":
             cast(ReplicaEnvironment, self.agents[dst].environment).prims[b["g"]] = (b["u"], b["n"])
         elif what == "MARK":
             pass
@@ -371,7 +371,7 @@
                 self.placer(p=p, src=src, kind=Kind[what], b=b)
 
     def agent(self, *, a: Agent, src: str, kind: Kind, b: dict[str, Any]) -> None:
-        if kind is Kind.ORDER:
+        if kind is Kind.TASK_ORDERS:
             was = {(m.minion_id, r.task, r.run) for m in a.minions.values() for r in m.runs.values()}
             a.order(node_id=src, b=b)
             for minion_id, _, lease_id, task, run, _, _ in b["x"]:
@@ -379,32 +379,32 @@
                 if r is not None and r.run == run and (minion_id, task, run) not in was:
                     self.holds(node_id=src, agent=a.environment.node_id, lease_id=lease_id)
                     need(src == a.environment.primary(group_id=b["g"])[0], "LEASE", src, "is no primary")  # type: ignore[index]
-        elif kind is Kind.ATTACH:
+        elif kind is Kind.ATTACH_MINION:
             a.attach(node_id=src, b=b)
-        elif kind is Kind.LEASE:
+        elif kind is Kind.LEASE_REQUEST:
             a.lease(node_id=src, b=b)
-        elif kind is Kind.RETURN:
+        elif kind is Kind.LEASE_RETURN:
             a.giveback(b=b)
-        elif kind is Kind.STOP:
+        elif kind is Kind.STOP_TASKS:
             a.stop(b=b)
-        elif kind is Kind.ROOMGET:
+        elif kind is Kind.CAPACITY_REPORT_REQUEST:
             a.share.roomget(node_id=src, group_id=b["g"])
-        elif kind is Kind.ENDSOK:
+        elif kind is Kind.TASK_ENDS_ACK:
             a.endsok(body=b)
         else:
             need(False, "KIND", kind.name)
 
     def placer(self, *, p: Placer, src: str, kind: Kind, b: dict[str, Any]) -> None:
-        if kind is Kind.CLAIM:
+        if kind is Kind.CLAIM_MINIONS:
             p.claim(node_id=src, b=b)
-        elif kind is Kind.ENDS:
+        elif kind is Kind.TASK_ENDS:
             p.ends(node_id=src, b=b)
-        elif kind is Kind.GRANT:
+        elif kind is Kind.LEASE_GRANT:
             p.grant(node_id=src, b=b)
-        elif kind is Kind.ROOM:
+        elif kind is Kind.CAPACITY_REPORT:
             p.room.report(node_id=src, rows=b["x"], shut=b["shut"], now=self.now)
             p.pump()
-        elif kind is Kind.NAK and b["n"] == p.replica.base:
+        elif kind is Kind.ORDERS_REJECTED and b["n"] == p.replica.base:
             p.void(rows=b["x"])
-        elif kind is Kind.VERDICT and b["n"] == p.replica.base:
+        elif kind is Kind.ATTACHMENT_VERDICT and b["n"] == p.replica.base:
             p.void(rows=[[b["m"], b["seq"], t, r] for t, r in b["x"]])
--- a/tests/support/replication_adapter.py
+++ b/tests/support/replication_adapter.py
@@ -97,7 +97,7 @@
         self.w.send(src=self, dst=addr_of(node_id=node_id), kind=kind.name, body=body, copy=LANES[kind] is Lane.COPY)
 
     def write(self, *, record: dict[str, Any], done: tuple[Any, ...]) -> None:
-        if done[0] == "send" and Kind(done[2]) is Kind.LOGOK:
+        if done[0] == "send" and Kind(done[2]) is Kind.BATCH_APPENDED:
             self.w.check_left(member=self, n=done[3]["n"])
         self.pending.append((self.w.next_serial(), copy_of(record), done))
 
@@ -153,7 +153,7 @@
     def elected(self, *, group_id: int) -> None:
         for other in self.w.members:
             if other is not self and self.epoch is not None:
-                self.w.send(src=self, dst=other.address, kind="NEWS", body={"e": self.epoch}, copy=False)
+                self.w.send(src=self, dst=other.address, kind="CLUSTER_UPDATE", body={"e": self.epoch}, copy=False)
 
     def deposed(self, *, group_id: int) -> None:
         pass
@@ -225,7 +225,7 @@
 
     def take(self, *, node_id: str, kind: str, body: dict[str, Any]) -> None:
         """A message arrives."""
-        if kind == "NEWS":
+        if kind == "CLUSTER_UPDATE":
             self.replica.learn(body["e"])
         else:
             self.replica.on(node_id=node_id, kind=Kind[kind], m=body)
@@ -262,11 +262,11 @@
 
     def on_disk(self, *, kind: Kind, body: dict[str, Any]) -> bool:
         """Whether what an answer says is synced."""
-        if kind is Kind.CKPTOK:
+        if kind is Kind.SNAPSHOT_STORED:
             return any(r["k"] == "ck" and r["tag"] == body["tag"] for r in self.synced) or (
                 self.epoch is not None and (self.epoch["t"] == body["tag"])
             )
-        if kind is Kind.LOGOK:
+        if kind is Kind.BATCH_APPENDED:
             rows = [r for r in self.synced if r["k"] in ("lg", "st") and r["n"] == body["n"]]
             ends = [r["applied"] if r["k"] == "st" else r["first"] + len(r["evs"]) - 1 for r in rows]
             return bool(max(ends, default=0) >= body["last"])
--- a/tests/support/replication_model.py
+++ b/tests/support/replication_model.py
@@ -11,7 +11,7 @@
 from yarrowloom.transport.envelope import Kind, dump
 
 START_S = 1000.0
-ANSWERS = (Kind.PROMISE, Kind.ACCEPTED, Kind.CKPTOK, Kind.LOGOK)
+ANSWERS = (Kind.PROMISE, Kind.ACCEPTED, Kind.SNAPSHOT_STORED, Kind.BATCH_APPENDED)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -217,9 +217,9 @@
             if mine is None or other is member or not other.awake:
                 continue
             line = Line(src=member.address, incarnation=member.incarnation, dst=other.address, copy=False)
-            waits = any(m.kind == "NEWS" for m in self.lines.get(line, []))
+            waits = any(m.kind == "CLUSTER_UPDATE" for m in self.lines.get(line, []))
             if (other.epoch is None or other.epoch["n"] < mine["n"]) and not waits:
-                self.send(src=member, dst=other.address, kind="NEWS", body={"e": mine}, copy=False)
+                self.send(src=member, dst=other.address, kind="CLUSTER_UPDATE", body={"e": mine}, copy=False)
 
     # -- clients
 
@@ -267,9 +267,9 @@
         """What a member says must be on its disk, and must not belong to an epoch that it has begun to replace."""
         if kind in ANSWERS and body.get("ok", True):
             need(member.on_disk(kind=kind, body=body), "UNSYNCED", member.node_id, kind.name, body)
-        if kind is Kind.PREP:
+        if kind is Kind.PREPARE:
             member.asked_votes = max(member.asked_votes, body["n"] - 1)
-        if kind is Kind.PONG:
+        if kind is Kind.LEADER_LEASE_GRANTED:
             self.check_left(member=member, n=body["n"])
         if (kind is Kind.PROMISE and body["ok"]) or (kind is Kind.ACCEPTED and body["ok"]):
             before = self.decided[body["n"] - 1]
@@ -364,7 +364,7 @@
             f"{row.kind} to {line.dst}"
             for line, rows in self.lines.items()
             for row in rows
-            if row.kind not in ("PING", "PONG")
+            if row.kind not in ("LEADER_LEASE_REQUEST", "LEADER_LEASE_GRANTED")
         ]
 
 
--- a/tests/transport/test_incarnations_wire.py
+++ b/tests/transport/test_incarnations_wire.py
@@ -135,7 +135,7 @@
 
 
 def frame(*, node_id: str, seq: int, m: int, incarnation: int = 1) -> bytes:
-    body = bundle(rows=[(int(Kind.ORDER), b"%d" % m)])
+    body = bundle(rows=[(int(Kind.TASK_ORDERS), b"%d" % m)])
     return pack(frame=Frame(lane=2, src=SRC, node_id=SRC + node_id, incarnation=incarnation, seq=seq, body=body))
 
 
@@ -236,7 +236,7 @@
         async with trio.open_nursery() as life:
             await life.start(peers.run)
             for message in messages:
-                peers.send(address=to, kind=Kind.ORDER, body=b"%d" % message)
+                peers.send(address=to, kind=Kind.TASK_ORDERS, body=b"%d" % message)
             got = [await arrivals.receive() for _ in messages]
             life.cancel_scope.cancel()
         return got
--- a/tests/transport/test_lanes.py
+++ b/tests/transport/test_lanes.py
@@ -29,7 +29,7 @@
     sent, lost_after = 0, -1
     for _ in range(400):
         for _ in range(rng.randint(0, 3)):
-            line.put(kind=Kind.ORDER, body=b"%d" % sent)
+            line.put(kind=Kind.TASK_ORDERS, body=b"%d" % sent)
             sent += 1
         if not line.rows:
             continue
@@ -56,7 +56,7 @@
 def test_a_full_queue_drops_and_the_next_frame_tells() -> None:
     line, seen = Line(), Seen()
     assert take(seen, incarnation=1, seq=line.take()[0])[0]
-    kept = [line.put(kind=Kind.ORDER, body=b"%d" % i) for i in range(QUEUE_MOST + 5)]
+    kept = [line.put(kind=Kind.TASK_ORDERS, body=b"%d" % i) for i in range(QUEUE_MOST + 5)]
     assert kept.count(False) == 5
     assert len(line.rows) == QUEUE_MOST
     assert take(seen, incarnation=1, seq=line.take()[0]) == (True, True)
@@ -67,14 +67,14 @@
     line = Line()
     big = b'"%s"' % (b"x" * (FRAME_BYTES + 9))
     for body in (b'"%s"' % (b"y" * (FRAME_BYTES // 3)),) * 4 + (big, b"1"):
-        line.put(kind=Kind.ORDER, body=body)
+        line.put(kind=Kind.TASK_ORDERS, body=body)
     assert [len(unbundle(body=line.take()[1])) for _ in range(4)] == [2, 2, 1, 1]
 
 
 def test_a_loss_on_a_lane_that_falls_silent_is_told_by_marks() -> None:
     """The last order before a quiet minute was lost unnoticed until the next one."""
     line = Line()
-    line.put(kind=Kind.ORDER, body=b"1")
+    line.put(kind=Kind.TASK_ORDERS, body=b"1")
     line.take()
     line.sent(real=True)
     assert line.marks == TRAIL
@@ -116,9 +116,9 @@
                 await nursery.start(a.run)
                 await nursery.start(b.run)
                 for i in range(300):
-                    a.send(address=there, kind=Kind.ORDER, body=b"%d" % i)
-                    a.send(address=there, kind=Kind.PING, body=b"%d" % i)
-                a.send(address=there, kind=Kind.CKPT, body=b'"st"')
+                    a.send(address=there, kind=Kind.TASK_ORDERS, body=b"%d" % i)
+                    a.send(address=there, kind=Kind.LEADER_LEASE_REQUEST, body=b"%d" % i)
+                a.send(address=there, kind=Kind.SNAPSHOT, body=b'"st"')
                 await all_arrived.wait()
                 b._deliver(
                     Frame(lane=2, src=here, node_id=here + "#0", incarnation=1, seq=999, body=b"[[46"), connection=9
@@ -130,10 +130,10 @@
                 nursery.cancel_scope.cancel()
 
     trio.run(main)
-    for kind, lane in ((Kind.ORDER, Lane.WORK), (Kind.PING, Lane.URGENT)):
+    for kind, lane in ((Kind.TASK_ORDERS, Lane.WORK), (Kind.LEADER_LEASE_REQUEST, Lane.URGENT)):
         rows = [(at, m) for at, k, m in got if k is kind]
         assert rows == [(lane, i) for i in range(300)]
-    assert [at for at, k, _ in got if k is Kind.CKPT] == [Lane.COPY]
+    assert [at for at, k, _ in got if k is Kind.SNAPSHOT] == [Lane.COPY]
     # Each lane's first frame (nothing is known of the ones before) and, of two lanes, the one out of its turn.
     assert sorted(lost) == sorted([Lane.WORK, Lane.WORK, Lane.URGENT, Lane.URGENT, Lane.COPY])
 
@@ -172,7 +172,7 @@
 def test_one_frame_carries_what_waits() -> None:
     line = Line()
     for i in range(100):
-        line.put(kind=Kind.ENDS, body=b"%d" % i)
+        line.put(kind=Kind.TASK_ENDS, body=b"%d" % i)
     seq, body = line.take()
     assert seq == 1
     assert not line.rows
@@ -349,21 +349,25 @@
     ends = {"g": 1, "m": "i", "f": 3, "x": [[1, "a"], [2, "b"]]}
     claim = {"g": 1, "x": [["i", 3, "svc"], ["j", 4, "svc"]]}
     lost = {"g": 1, "m": "i", "f": 3, "v": {}}
-    for kind, m in ((Kind.ENDS, ends), (Kind.CLAIM, claim), (Kind.LOST, lost)):
+    for kind, m in ((Kind.TASK_ENDS, ends), (Kind.CLAIM_MINIONS, claim), (Kind.MINION_LOST, lost)):
         assert replica.screen(node_id="a", kind=kind, m=m) is m
         assert replica.screen(node_id="a", kind=kind, m=dict(m)) is None
         assert replica.screen(node_id="b", kind=kind, m=m) is m
         assert replica.taken(node_id="a", kind=kind, m=m) is m
         assert replica.screen(node_id="a", kind=kind, m=m) is m
-    assert replica.screen(node_id="a", kind=Kind.ENDS, m={**ends, "f": 4}) is not None  # under a newer fence it is news
     assert (
-        replica.screen(node_id="a", kind=Kind.ORDER, m={}) == replica.screen(node_id="a", kind=Kind.ORDER, m={}) == {}
+        replica.screen(node_id="a", kind=Kind.TASK_ENDS, m={**ends, "f": 4}) is not None
+    )  # under a newer fence it is news
+    assert (
+        replica.screen(node_id="a", kind=Kind.TASK_ORDERS, m={})
+        == replica.screen(node_id="a", kind=Kind.TASK_ORDERS, m={})
+        == {}
     )
-    assert replica.screen(node_id="a", kind=Kind.ENDS, m={"x": 3}) == {"x": 3}  # whoever handles it says why not
-    assert replica.screen(node_id="a", kind=Kind.ROOM, m={"v": 1}) == {"v": 1}
-    assert replica.screen(node_id="a", kind=Kind.ROOM, m={"v": 2}) is None
-    assert replica.taken(node_id="a", kind=Kind.ROOM, m={"v": 1}) == {"v": 2}
-    assert replica.screen(node_id="a", kind=Kind.ROOM, m={"v": 3}) == {"v": 3}
+    assert replica.screen(node_id="a", kind=Kind.TASK_ENDS, m={"x": 3}) == {"x": 3}  # whoever handles it says why not
+    assert replica.screen(node_id="a", kind=Kind.CAPACITY_REPORT, m={"v": 1}) == {"v": 1}
+    assert replica.screen(node_id="a", kind=Kind.CAPACITY_REPORT, m={"v": 2}) is None
+    assert replica.taken(node_id="a", kind=Kind.CAPACITY_REPORT, m={"v": 1}) == {"v": 2}
+    assert replica.screen(node_id="a", kind=Kind.CAPACITY_REPORT, m={"v": 3}) == {"v": 3}
 
 
 @pytest.mark.parametrize("kind", list(Kind))
--- a/tests/transport/test_malformed_frames.py
+++ b/tests/transport/test_malformed_frames.py
@@ -18,7 +18,7 @@
 from yarrowloom.transport.peer_connections import Peers
 
 SRC = "10.0.0.1:7000"
-BODY = bundle(rows=[(int(Kind.ORDER), b'"bad"')])
+BODY = bundle(rows=[(int(Kind.TASK_ORDERS), b'"bad"')])
 
 
 class Lines(Log):
@@ -117,7 +117,7 @@
 
 
 def good(*, seq: int, m: int) -> bytes:
-    return envelope(seq=seq, body=bundle(rows=[(int(Kind.ORDER), b"%d" % m)]))
+    return envelope(seq=seq, body=bundle(rows=[(int(Kind.TASK_ORDERS), b"%d" % m)]))
 
 
 @pytest.mark.parametrize("name", BAD)
--- a/yarrowloom/agent/agent.py
+++ b/yarrowloom/agent/agent.py
@@ -154,7 +154,9 @@
             prim = self.environment.primary(group_id=group_id)
             if prim is not None:
                 self.environment.send(
-                    node_id=prim[0], kind=Kind.ENDS, body={"g": group_id, "m": m.minion_id, "f": m.fence, "x": rows}
+                    node_id=prim[0],
+                    kind=Kind.TASK_ENDS,
+                    body={"g": group_id, "m": m.minion_id, "f": m.fence, "x": rows},
                 )
         m.note()
 
@@ -235,7 +237,7 @@
                 void.append([task, run])
         self.environment.send(
             node_id=node_id,
-            kind=Kind.VERDICT,
+            kind=Kind.ATTACHMENT_VERDICT,
             body={"g": group_id, "n": b["n"], "seq": b["seq"], "m": m.minion_id, "f": m.fence, "x": void},
         )
         settle(agent=self, m=m, beat=False)
@@ -307,7 +309,7 @@
         ]
         self.environment.send(
             node_id=node_id,
-            kind=Kind.GRANT,
+            kind=Kind.LEASE_GRANT,
             body={
                 "g": b["g"],
                 "rid": b["rid"],
@@ -359,7 +361,7 @@
             )
             touched.add(minion_id)
         if nak:
-            self.environment.send(node_id=node_id, kind=Kind.NAK, body={"g": b["g"], "n": b["n"], "x": nak})
+            self.environment.send(node_id=node_id, kind=Kind.ORDERS_REJECTED, body={"g": b["g"], "n": b["n"], "x": nak})
         for minion_id in sorted(touched):
             m = self.minions[minion_id]
             if m.call is not None:
@@ -372,7 +374,7 @@
         if prim is not None:
             self.environment.send(
                 node_id=prim[0],
-                kind=Kind.NAK,
+                kind=Kind.ORDERS_REJECTED,
                 body={
                     "g": r.group_id,
                     "n": prim[1],
--- a/yarrowloom/agent/capacity_reports.py
+++ b/yarrowloom/agent/capacity_reports.py
@@ -60,7 +60,7 @@
             if self.told.get(group_id) == prim:
                 environment.send(
                     node_id=prim[0],
-                    kind=Kind.ROOM,
+                    kind=Kind.CAPACITY_REPORT,
                     body={"u": environment.node_id, "g": group_id, "x": rows, "shut": shut},
                 )
             else:
@@ -71,7 +71,7 @@
             body = {"u": environment.node_id, "v": self.summary()}
             for node_id in environment.cores():
                 if node_id != environment.node_id:
-                    environment.send(node_id=node_id, kind=Kind.ROOM, body=body)
+                    environment.send(node_id=node_id, kind=Kind.CAPACITY_REPORT, body=body)
 
     def _all(self, *, group_id: int, node_id: str) -> None:
         rows = [
@@ -81,7 +81,7 @@
         ]
         self.agent.environment.send(
             node_id=node_id,
-            kind=Kind.ROOM,
+            kind=Kind.CAPACITY_REPORT,
             body={"u": self.agent.environment.node_id, "g": group_id, "x": rows, "shut": []},
         )
 
--- a/yarrowloom/agent/failure_detector.py
+++ b/yarrowloom/agent/failure_detector.py
@@ -60,7 +60,7 @@
         elif m.phase is Phase.KNOWN:
             _keep(agent=agent, m=m, claims=claims, primaries=primaries)
     for group_id, rows in claims.items():
-        environment.send(node_id=primaries[group_id][0], kind=Kind.CLAIM, body={"g": group_id, "x": rows})
+        environment.send(node_id=primaries[group_id][0], kind=Kind.CLAIM_MINIONS, body={"g": group_id, "x": rows})
     agent.share.tell()
 
 
@@ -105,5 +105,7 @@
             prim = agent.environment.primary(group_id=group_id)
             if prim is not None:
                 agent.environment.send(
-                    node_id=prim[0], kind=Kind.LOST, body={"g": group_id, "m": m.minion_id, "f": m.fence, "v": saved}
+                    node_id=prim[0],
+                    kind=Kind.MINION_LOST,
+                    body={"g": group_id, "m": m.minion_id, "f": m.fence, "v": saved},
                 )
--- a/yarrowloom/node/controller.py
+++ b/yarrowloom/node/controller.py
@@ -179,7 +179,7 @@
             if row is not None:
                 by.setdefault(row["o"], []).append(self._row(minion_id))
         for node_id, rows in by.items():
-            self.node.send(node_id=node_id, kind=Kind.HEARTOK, body={"own": rows})
+            self.node.send(node_id=node_id, kind=Kind.HEARTBEAT_ACK, body={"own": rows})
 
     def _move(self, *, owner: str) -> bool:
         """Give some of a dead agent's minions to live ones; whether there were any."""
--- a/yarrowloom/node/core.py
+++ b/yarrowloom/node/core.py
@@ -115,7 +115,7 @@
             self.placers[group_id].orders(rows)
 
     def _endsok(self, group_id: int, node_id: str, minion_id: str, fence: int, rows: list[Any]) -> None:
-        self.send(node_id=node_id, kind=Kind.ENDSOK, body={"g": group_id, "m": minion_id, "f": fence, "x": rows})
+        self.send(node_id=node_id, kind=Kind.TASK_ENDS_ACK, body={"g": group_id, "m": minion_id, "f": fence, "x": rows})
 
     # -- inputs
 
@@ -146,17 +146,17 @@
         """One message from `uid`, parsed; it is the node's from now on."""
         if kind in RECORD_KINDS:
             self.replicas[m["g"]].on(node_id=node_id, kind=kind, m=m)
-        elif kind is Kind.HEART:
+        elif kind is Kind.HEARTBEAT:
             self._heart(b=m)
-        elif kind is Kind.HEARTOK:
+        elif kind is Kind.HEARTBEAT_ACK:
             self._heartok(node_id=node_id, m=m)
-        elif kind is Kind.NEWS:
+        elif kind is Kind.CLUSTER_UPDATE:
             self.take_news(document=m)
         elif kind is Kind.CALL:
             self._call(node_id=node_id, m=m)
         elif kind is Kind.REPLY:
             self.calls.reply(node_id=node_id, m=m)
-        elif kind is Kind.ROOM:
+        elif kind is Kind.CAPACITY_REPORT:
             self._room(m=m)
         else:
             self._jobs(node_id=node_id, kind=kind, m=m)
@@ -229,35 +229,35 @@
             )
 
     def _jobs(self, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
-        if kind is Kind.ATTACH:
+        if kind is Kind.ATTACH_MINION:
             self.agent.attach(node_id=node_id, b=m)
-        elif kind is Kind.LEASE:
+        elif kind is Kind.LEASE_REQUEST:
             self.agent.lease(node_id=node_id, b=m)
-        elif kind is Kind.RETURN:
+        elif kind is Kind.LEASE_RETURN:
             self.agent.giveback(b=m)
-        elif kind is Kind.ORDER:
+        elif kind is Kind.TASK_ORDERS:
             self.agent.order(node_id=node_id, b=m)
-        elif kind is Kind.STOP:
+        elif kind is Kind.STOP_TASKS:
             self.agent.stop(b=m)
-        elif kind is Kind.ROOMGET:
+        elif kind is Kind.CAPACITY_REPORT_REQUEST:
             self.agent.share.roomget(node_id=node_id, group_id=m["g"])
-        elif kind is Kind.ENDSOK:
+        elif kind is Kind.TASK_ENDS_ACK:
             self.agent.endsok(body=m)
-        elif kind is Kind.LOSTOK:
+        elif kind is Kind.MINION_LOST_ACK:
             self.agent.lostok(b=m)
         elif m["g"] in self.placers and self.replicas[m["g"]].serving():
             p = self.placers[m["g"]]
-            if kind is Kind.CLAIM:
+            if kind is Kind.CLAIM_MINIONS:
                 p.claim(node_id=node_id, b=m)
-            elif kind is Kind.ENDS:
+            elif kind is Kind.TASK_ENDS:
                 p.ends(node_id=node_id, b=m)
-            elif kind is Kind.GRANT:
+            elif kind is Kind.LEASE_GRANT:
                 p.grant(node_id=node_id, b=m)
-            elif kind is Kind.LOST:
+            elif kind is Kind.MINION_LOST:
                 p.lost(node_id=node_id, b=m)
-            elif kind is Kind.NAK and m["n"] == self.replicas[m["g"]].base:
+            elif kind is Kind.ORDERS_REJECTED and m["n"] == self.replicas[m["g"]].base:
                 p.void(rows=m["x"])
-            elif kind is Kind.VERDICT and m["n"] == self.replicas[m["g"]].base:
+            elif kind is Kind.ATTACHMENT_VERDICT and m["n"] == self.replicas[m["g"]].base:
                 p.void(rows=[[m["m"], m["seq"], t, r] for t, r in m["x"]])
 
     def _heart(self, *, b: dict[str, Any]) -> None:
@@ -273,9 +273,9 @@
             body.update(self.chief.heart(b=b), at=self.now)
             body["up"] = [u for u in self.members if self.alive(node_id=u)]
             if body.get("own") or body.get("dis"):
-                self.replicas[0].barrier(then=("send", b["u"], int(Kind.HEARTOK), body))
+                self.replicas[0].barrier(then=("send", b["u"], int(Kind.HEARTBEAT_ACK), body))
                 return
-        self.send(node_id=b["u"], kind=Kind.HEARTOK, body=body)
+        self.send(node_id=b["u"], kind=Kind.HEARTBEAT_ACK, body=body)
 
     def _heartok(self, *, node_id: str, m: dict[str, Any]) -> None:
         if "t" in m:
--- a/yarrowloom/node/core_environment.py
+++ b/yarrowloom/node/core_environment.py
@@ -122,7 +122,7 @@
         e = self.replicas[group_id].epoch
         for node_id in self.cores():
             if node_id != self.node_id:
-                self.send(node_id=node_id, kind=Kind.NEWS, body={"eps": [[group_id, e]]})
+                self.send(node_id=node_id, kind=Kind.CLUSTER_UPDATE, body={"eps": [[group_id, e]]})
 
     def trusted(self) -> bool:
         """The agent may act: group 0's primary gave its word lately, or is this node."""
--- a/yarrowloom/node/counters.py
+++ b/yarrowloom/node/counters.py
@@ -23,10 +23,10 @@
         """One message more to another node.
 
         >>> tally = Tally()
-        >>> tally.sends(kind=Kind.PING, size=9)
-        >>> tally.sends(kind=Kind.PING, size=1)
+        >>> tally.sends(kind=Kind.LEADER_LEASE_REQUEST, size=9)
+        >>> tally.sends(kind=Kind.LEADER_LEASE_REQUEST, size=1)
         >>> tally.sent
-        {'PING': [2, 10]}
+        {'LEADER_LEASE_REQUEST': [2, 10]}
         """
         row = self.sent.get(kind.name)
         if row is None:
--- a/yarrowloom/node/edge.py
+++ b/yarrowloom/node/edge.py
@@ -214,11 +214,11 @@
 
     def on(self, *, node_id: str, kind: Kind, m: Any) -> None:
         """One message."""
-        if kind is Kind.HEARTOK:
+        if kind is Kind.HEARTBEAT_ACK:
             self._heartok(node_id=node_id, m=m)
-        elif kind is Kind.HEART:
+        elif kind is Kind.HEARTBEAT:
             self._relay(b=m)
-        elif kind is Kind.NEWS:
+        elif kind is Kind.CLUSTER_UPDATE:
             self.take_news(document=m)
         elif kind is Kind.REPLY:
             pend = self.calls.open.get(m["rid"])
@@ -249,10 +249,10 @@
         """Feed news to another edge; or turn it away."""
         fed = sum(self.now - at < ALIVE_S for u, at in self.heard.items() if u != b["u"])
         if fed >= self.children():
-            self.send(node_id=b["u"], kind=Kind.HEARTOK, body={"t": b["t"], **self.proof(), "full": True})
+            self.send(node_id=b["u"], kind=Kind.HEARTBEAT_ACK, body={"t": b["t"], **self.proof(), "full": True})
             return
         self.hear(b=b)
-        self.send(node_id=b["u"], kind=Kind.HEARTOK, body=self.answer(b=b))
+        self.send(node_id=b["u"], kind=Kind.HEARTBEAT_ACK, body=self.answer(b=b))
 
     def targets(self) -> list[str]:
         """Relays named by a core that feeds enough edges, as long as they are in contact; else the ring. The whole
--- a/yarrowloom/node/input_scheduler.py
+++ b/yarrowloom/node/input_scheduler.py
@@ -29,22 +29,31 @@
 # whoever calls gives up after seconds: a share of turns in place of time starved them while placing took long, so that
 # most callers got no answer at all. What is too much is refused when it is looked at (`scheduling/admission.py`).
 SHARES = {Rank.AGENT: 2.0, Rank.PLACE: 1.0, Rank.LATE: 0.5}
-_PLACE = frozenset({Kind.CLAIM, Kind.ENDS, Kind.GRANT, Kind.LOST, Kind.NAK, Kind.VERDICT})
+_PLACE = frozenset(
+    {
+        Kind.CLAIM_MINIONS,
+        Kind.TASK_ENDS,
+        Kind.LEASE_GRANT,
+        Kind.MINION_LOST,
+        Kind.ORDERS_REJECTED,
+        Kind.ATTACHMENT_VERDICT,
+    }
+)
 
 
 def rank_of(*, kind: Kind, m: Any) -> Rank:
     """The class of a message.
 
-    >>> rank_of(kind=Kind.PING, m={}).name, rank_of(kind=Kind.ENDS, m={}).name
+    >>> rank_of(kind=Kind.LEADER_LEASE_REQUEST, m={}).name, rank_of(kind=Kind.TASK_ENDS, m={}).name
     ('URGENT', 'PLACE')
     >>> rank_of(kind=Kind.CALL, m={"g": 1}).name, rank_of(kind=Kind.CALL, m={"g": 0}).name
     ('LATE', 'AGENT')
-    >>> rank_of(kind=Kind.ROOM, m={"x": []}).name, rank_of(kind=Kind.ROOM, m={"v": {}}).name
+    >>> rank_of(kind=Kind.CAPACITY_REPORT, m={"x": []}).name, rank_of(kind=Kind.CAPACITY_REPORT, m={"v": {}}).name
     ('PLACE', 'AGENT')
     """
     if LANES[kind] is not Lane.WORK:
         return Rank.URGENT
-    if kind in _PLACE or (kind is Kind.ROOM and isinstance(m, dict) and "x" in m):
+    if kind in _PLACE or (kind is Kind.CAPACITY_REPORT and isinstance(m, dict) and "x" in m):
         return Rank.PLACE  # changes of room keep their order with grants
     if kind is Kind.CALL and isinstance(m, dict):
         group_id = m.get("g")
@@ -67,18 +76,18 @@
 
         >>> repeats = Repeats()
         >>> one = {"g": 1, "m": "i", "f": 3, "x": [[1, "t"]]}
-        >>> repeats.screen(node_id="a", kind=Kind.ENDS, m=one) is one
+        >>> repeats.screen(node_id="a", kind=Kind.TASK_ENDS, m=one) is one
         True
-        >>> repeats.screen(node_id="a", kind=Kind.ENDS, m=one) is None
+        >>> repeats.screen(node_id="a", kind=Kind.TASK_ENDS, m=one) is None
         True
-        >>> repeats.screen(node_id="a", kind=Kind.ENDS, m={**one, "x": [[1, "t"], [2, "u"]]})["x"]
+        >>> repeats.screen(node_id="a", kind=Kind.TASK_ENDS, m={**one, "x": [[1, "t"], [2, "u"]]})["x"]
         [[2, 'u']]
-        >>> repeats.taken(node_id="a", kind=Kind.ENDS, m=one) is one
+        >>> repeats.taken(node_id="a", kind=Kind.TASK_ENDS, m=one) is one
         True
-        >>> repeats.screen(node_id="a", kind=Kind.ENDS, m=one) is one
+        >>> repeats.screen(node_id="a", kind=Kind.TASK_ENDS, m=one) is one
         True
         """
-        if kind is Kind.ROOM and isinstance(m, dict) and "v" in m:
+        if kind is Kind.CAPACITY_REPORT and isinstance(m, dict) and "v" in m:
             known = node_id in self._room
             self._room[node_id] = m
             return None if known else m
@@ -92,13 +101,13 @@
         self._rows.update(keys)
         if all(fresh):
             return m
-        if kind is Kind.LOST or not any(fresh):
+        if kind is Kind.MINION_LOST or not any(fresh):
             return None
         return {**m, "x": [row for row, new in zip(m["x"], fresh, strict=True) if new]}
 
     def taken(self, *, node_id: str, kind: Kind, m: Any) -> Any:
         """A message leaves the queue; what it says by now."""
-        if kind is Kind.ROOM and isinstance(m, dict) and "v" in m:
+        if kind is Kind.CAPACITY_REPORT and isinstance(m, dict) and "v" in m:
             return self._room.pop(node_id, m)
         try:
             self._rows.difference_update(self._keys(node_id=node_id, kind=kind, m=m))
@@ -108,11 +117,11 @@
 
     @staticmethod
     def _keys(*, node_id: str, kind: Kind, m: Any) -> list[tuple[Any, ...]]:
-        if kind is Kind.ENDS:
+        if kind is Kind.TASK_ENDS:
             return [(node_id, kind, m["g"], m["m"], m["f"], row[0]) for row in m["x"]]
-        if kind is Kind.CLAIM:
+        if kind is Kind.CLAIM_MINIONS:
             return [(node_id, kind, m["g"], row[0], row[1]) for row in m["x"]]
-        if kind is Kind.LOST:
+        if kind is Kind.MINION_LOST:
             return [(node_id, kind, m["g"], m["m"], m["f"])]
         return []
 
--- a/yarrowloom/node/node_base.py
+++ b/yarrowloom/node/node_base.py
@@ -194,7 +194,7 @@
             if self.now - at < ALIVE_S:
                 document = self.newer(node_id=node_id)
                 if document:
-                    self.send(node_id=node_id, kind=Kind.NEWS, body=document)
+                    self.send(node_id=node_id, kind=Kind.CLUSTER_UPDATE, body=document)
 
     def configured(self) -> None:
         """A newer configuration is in force here."""
@@ -335,7 +335,7 @@
             self.behind = self.now if late else self.behind
         for node_id in to:
             more = {"whole": node_id == self.asked, "lost": addr_of(node_id=node_id) in self.missed}
-            self.send(node_id=node_id, kind=Kind.HEART, body={**body, "have": {**body["have"], **more}})
+            self.send(node_id=node_id, kind=Kind.HEARTBEAT, body={**body, "have": {**body["have"], **more}})
         self.missed.clear()
 
     def told(self, *, node_id: str, m: dict[str, Any]) -> bool:
--- a/yarrowloom/replication/election.py
+++ b/yarrowloom/replication/election.py
@@ -123,7 +123,7 @@
             if node_id not in self.avoid:
                 environment.send(
                     node_id=node_id,
-                    kind=Kind.PING,
+                    kind=Kind.LEADER_LEASE_REQUEST,
                     body={"g": self.replica.group_id, "n": e["n"], "t": environment.now},
                 )
 
@@ -183,7 +183,7 @@
         record = replica.spares[self.tag]
         for node_id in ask:
             environment.send(
-                node_id=node_id, kind=Kind.CKPT, body={k: record[k] for k in ("g", "inst", "tag", "applied", "st")}
+                node_id=node_id, kind=Kind.SNAPSHOT, body={k: record[k] for k in ("g", "inst", "tag", "applied", "st")}
             )
         self._copied()
 
@@ -252,16 +252,16 @@
         for node_id in e["w"]:
             self.replica.environment.send(
                 node_id=node_id,
-                kind=Kind.PREP,
+                kind=Kind.PREPARE,
                 body={"g": self.replica.group_id, "n": e["n"] + 1, "bal": self.ballot, "cert": e},
             )
 
     def on(self, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
         """One answer."""
-        if kind is Kind.CKPTOK:
+        if kind is Kind.SNAPSHOT_STORED:
             self.copied(tag=m["tag"], node_id=node_id)
             return
-        if kind is Kind.INSTALLED:
+        if kind is Kind.EPOCH_INSTALLED:
             self._installed(node_id=node_id, n=m["n"], sent=m.get("t"))
             return
         if m.get("cur"):
@@ -297,7 +297,7 @@
                 if self.replica.election is not self:
                     for peer in sorted({*old["w"], *val["w"], val["p"], *val["b"]} - {""}):
                         self.replica.environment.send(
-                            node_id=peer, kind=Kind.INSTALL, body={"g": self.replica.group_id, "e": val}
+                            node_id=peer, kind=Kind.INSTALL_EPOCH, body={"g": self.replica.group_id, "e": val}
                         )
 
     def decided(self, *, epoch: Epoch) -> None:
@@ -314,7 +314,9 @@
         self.sent = self.replica.environment.now
         for peer in sorted({*self.value["w"], *self.value["b"], *self.replica.environment.everyone()} - {"", *self.ok}):
             self.replica.environment.send(
-                node_id=peer, kind=Kind.INSTALL, body={"g": self.replica.group_id, "e": self.value, "t": self.sent}
+                node_id=peer,
+                kind=Kind.INSTALL_EPOCH,
+                body={"g": self.replica.group_id, "e": self.value, "t": self.sent},
             )
 
     def _installed(self, *, node_id: str, n: int, sent: float | None) -> None:
--- a/yarrowloom/replication/leader_lease.py
+++ b/yarrowloom/replication/leader_lease.py
@@ -80,7 +80,7 @@
         if now - self._pinged >= PING_S:
             self._pinged = now
             for node_id in epoch["b"]:
-                self._environment.send(node_id=node_id, kind=Kind.PING, body=question)
+                self._environment.send(node_id=node_id, kind=Kind.LEADER_LEASE_REQUEST, body=question)
         self._probe(question=question, witnesses=[u for u in epoch["w"] if u not in epoch["b"]])
 
     def _probe(self, *, question: dict[str, Any], witnesses: list[str]) -> None:
@@ -88,7 +88,7 @@
             self._probed = self._environment.now
             for node_id in witnesses:
                 if node_id != self._environment.node_id:
-                    self._environment.send(node_id=node_id, kind=Kind.PING, body=question)
+                    self._environment.send(node_id=node_id, kind=Kind.LEADER_LEASE_REQUEST, body=question)
 
     def answer(
         self, *, epoch: Epoch | None, asker: str, question: dict[str, Any], renews: bool
--- a/yarrowloom/replication/messages.py
+++ b/yarrowloom/replication/messages.py
@@ -4,18 +4,18 @@
 
 RECORD_KINDS = frozenset(
     {
-        Kind.PREP,
+        Kind.PREPARE,
         Kind.PROMISE,
         Kind.ACCEPT,
         Kind.ACCEPTED,
-        Kind.INSTALL,
-        Kind.INSTALLED,
-        Kind.CKPT,
-        Kind.CKPTOK,
-        Kind.LOG,
-        Kind.LOGOK,
-        Kind.PING,
-        Kind.PONG,
+        Kind.INSTALL_EPOCH,
+        Kind.EPOCH_INSTALLED,
+        Kind.SNAPSHOT,
+        Kind.SNAPSHOT_STORED,
+        Kind.APPEND_BATCH,
+        Kind.BATCH_APPENDED,
+        Kind.LEADER_LEASE_REQUEST,
+        Kind.LEADER_LEASE_GRANTED,
         Kind.YIELD,
     }
 )
--- a/yarrowloom/replication/replica.py
+++ b/yarrowloom/replication/replica.py
@@ -237,7 +237,7 @@
         if self.role is not Role.PRIMARY or node_id not in e["b"]:
             return
         self.lease.answered(epoch=e, node_id=node_id, sent=m["t"])
-        if kind is Kind.LOGOK and self.in_flight is not None and m["last"] == self.in_flight.last:
+        if kind is Kind.BATCH_APPENDED and self.in_flight is not None and m["last"] == self.in_flight.last:
             self.in_flight.acknowledged_by.add(node_id)
             self._landed()
         elif self.lease.better_off(answer=m):
@@ -286,7 +286,7 @@
             if node_id not in batch.acknowledged_by:
                 self.environment.send(
                     node_id=node_id,
-                    kind=Kind.LOG,
+                    kind=Kind.APPEND_BATCH,
                     body={
                         "g": self.group_id,
                         "n": e["n"],
@@ -341,30 +341,31 @@
 
     def on(self, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
         """One message of this group."""
-        if kind is Kind.PREP or kind is Kind.ACCEPT:
+        if kind is Kind.PREPARE or kind is Kind.ACCEPT:
             self._vote(node_id=node_id, kind=kind, m=m)
-        elif kind is Kind.INSTALL:
+        elif kind is Kind.INSTALL_EPOCH:
             self._install(node_id=node_id, m=m)
-        elif kind is Kind.CKPT:
+        elif kind is Kind.SNAPSHOT:
             if self.acceptor.seen is None or m["inst"] > self.acceptor.seen["n"]:
                 record = {key: m[key] for key in ("inst", "tag", "st")}
                 record.update(k="ck", g=self.group_id, applied=int(m["applied"]))
                 self.keep(record=record)
                 self.environment.write(
-                    record=record, done=("send", node_id, int(Kind.CKPTOK), {"g": self.group_id, "tag": m["tag"]})
+                    record=record,
+                    done=("send", node_id, int(Kind.SNAPSHOT_STORED), {"g": self.group_id, "tag": m["tag"]}),
                 )
-        elif kind is Kind.LOG:
+        elif kind is Kind.APPEND_BATCH:
             self._log(node_id=node_id, m=m)
-        elif kind is Kind.PING:
+        elif kind is Kind.LEADER_LEASE_REQUEST:
             renews = self.role is Role.BACKUP and self.base == m["n"]
             answer = self.lease.answer(epoch=self.acceptor.seen, asker=node_id, question=m, renews=renews)
             if answer is not None and self.acceptor.seen is not None:
                 if renews and node_id == self.acceptor.seen["p"]:
                     self.heard = self.environment.now
-                self.environment.send(node_id=node_id, kind=Kind.PONG, body=answer)
+                self.environment.send(node_id=node_id, kind=Kind.LEADER_LEASE_GRANTED, body=answer)
         elif kind is Kind.YIELD:
             self.relief.asked(node_id=node_id, number=m["n"])
-        elif kind is Kind.PONG or kind is Kind.LOGOK:
+        elif kind is Kind.LEADER_LEASE_GRANTED or kind is Kind.BATCH_APPENDED:
             self._answered(node_id=node_id, kind=kind, m=m)
         elif self.election is not None:
             self.election.on(node_id=node_id, kind=kind, m=m)
@@ -379,12 +380,14 @@
             if self.role is not Role.BACKUP or self.base != e["n"]:
                 return
             self.heard = self.environment.now
-        self._save(done=("send", node_id, int(Kind.INSTALLED), {"g": self.group_id, "n": e["n"], "t": m.get("t")}))
+        self._save(
+            done=("send", node_id, int(Kind.EPOCH_INSTALLED), {"g": self.group_id, "n": e["n"], "t": m.get("t")})
+        )
 
     def _vote(self, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
         if m.get("cert"):
             self.learn(m["cert"])
-        if kind is Kind.PREP:
+        if kind is Kind.PREPARE:
             response = self.acceptor.prepare(n=m["n"], ballot=m["bal"])
             back = Kind.PROMISE
         else:
@@ -418,5 +421,10 @@
             return
         self.environment.write(
             record=record,
-            done=("send", node_id, int(Kind.LOGOK), {"g": self.group_id, "n": m["n"], "last": last, "t": m["t"]}),
+            done=(
+                "send",
+                node_id,
+                int(Kind.BATCH_APPENDED),
+                {"g": self.group_id, "n": m["n"], "last": last, "t": m["t"]},
+            ),
         )
--- a/yarrowloom/scheduling/binding.py
+++ b/yarrowloom/scheduling/binding.py
@@ -121,7 +121,7 @@
         }
         if group.gang:
             body.update(all=True, mark=MARK_S)
-        self.environment.send(node_id=agent, kind=Kind.LEASE, body=body)
+        self.environment.send(node_id=agent, kind=Kind.LEASE_REQUEST, body=body)
 
     def _there(self, *, group: Group) -> dict[str, int]:
         """Members that run or are on their way, by minion."""
@@ -180,7 +180,7 @@
     def silence(self, *, node_id: str) -> None:
         """An agent fell silent: what it told of its room counts no longer, and it is to tell all of it once it can."""
         self.room.close(node_id=node_id)
-        self.environment.send(node_id=node_id, kind=Kind.ROOMGET, body={"g": self.group_id})
+        self.environment.send(node_id=node_id, kind=Kind.CAPACITY_REPORT_REQUEST, body={"g": self.group_id})
 
     def _landed(self, *, ask: LeaseAsk) -> None:
         """An ask is answered or given up: its room no longer flies."""
@@ -297,7 +297,7 @@
         for node_id, part in by.items():
             self.environment.send(
                 node_id=node_id,
-                kind=Kind.ORDER,
+                kind=Kind.TASK_ORDERS,
                 body={"g": self.group_id, "n": self.replica.base, "sp": specs[node_id], "x": part},
             )
         if late:
--- a/yarrowloom/scheduling/job_queue.py
+++ b/yarrowloom/scheduling/job_queue.py
@@ -224,7 +224,7 @@
             if spot is not None:
                 by.setdefault(spot.agent, []).append([minion_id, task, run])
         for node_id, part in by.items():
-            self.environment.send(node_id=node_id, kind=Kind.STOP, body={"g": self.group_id, "x": part})
+            self.environment.send(node_id=node_id, kind=Kind.STOP_TASKS, body={"g": self.group_id, "x": part})
 
     # -- agents
 
@@ -274,7 +274,7 @@
                 ended.append([spot.minion_id, task, unit["r"][i]])
         self.environment.send(
             node_id=spot.agent,
-            kind=Kind.ATTACH,
+            kind=Kind.ATTACH_MINION,
             body={
                 "g": self.group_id,
                 "n": self.replica.base,
@@ -294,7 +294,7 @@
             self.pool.forget(minion_id=minion_id)
             self.room.attach(spot=self.room.spots[minion_id].attached_anew(seq=self.seq, now=self.environment.now))
             self.attach(spot=self.room.spots[minion_id])
-        self.environment.send(node_id=node_id, kind=Kind.ROOMGET, body={"g": self.group_id})
+        self.environment.send(node_id=node_id, kind=Kind.CAPACITY_REPORT_REQUEST, body={"g": self.group_id})
 
     def void(self, *, rows: list[Any]) -> None:
         """Orders that never started: (minion, attachment or None, task, run)."""
@@ -377,7 +377,7 @@
             if self.jobs.on.get(minion_id):  # a repeat finds nothing left
                 self.effects(self.replica.commit(event={"t": "lost", "m": minion_id, "x": None, "v": b["v"]}))
         self.replica.barrier(
-            then=("send", node_id, int(Kind.LOSTOK), {"g": self.group_id, "m": minion_id, "f": b["f"]})
+            then=("send", node_id, int(Kind.MINION_LOST_ACK), {"g": self.group_id, "m": minion_id, "f": b["f"]})
         )
         self.pump()
 
@@ -390,7 +390,7 @@
                 self.room.owe(spot=spot, size=h.size)
                 by.setdefault(h.agent, []).append([h.minion_id, h.lease_id])
         for node_id, part in by.items():
-            self.environment.send(node_id=node_id, kind=Kind.RETURN, body={"g": self.group_id, "x": part})
+            self.environment.send(node_id=node_id, kind=Kind.LEASE_RETURN, body={"g": self.group_id, "x": part})
 
     # -- runs
 
--- a/yarrowloom/simulator/link_cluster.py
+++ b/yarrowloom/simulator/link_cluster.py
@@ -44,7 +44,7 @@
             self.free[end] = at
             lane = LANES[kind] if kind is not None else Lane.WORK
             self.last[ip, dst, lane] = max(self.last.get((ip, dst, lane), 0.0), at)
-        if kind is not None and kind in (Kind.HEARTOK, Kind.NEWS):
+        if kind is not None and kind in (Kind.HEARTBEAT_ACK, Kind.CLUSTER_UPDATE):
             m = orjson.loads(body)
             self.frames.append((self.now, ip, dst, kind, size, m))
             if self.lose(ip, dst, kind, m):
@@ -76,7 +76,7 @@
             if at >= since
             and dst in self.edge_ips
             and (to is None or dst == to)
-            and what in (m.get("news", {}) if kind is Kind.HEARTOK else m)
+            and what in (m.get("news", {}) if kind is Kind.HEARTBEAT_ACK else m)
         ]
 
 
--- a/yarrowloom/testbed/slopes.py
+++ b/yarrowloom/testbed/slopes.py
@@ -25,11 +25,33 @@
 from .work import write
 
 # Which role an input of a core node belongs to; what is not named counts as `other`.
+FIGURES = {"CAPACITY_REPORT": "room", "HEARTBEAT": "heart", "HEARTBEAT_ACK": "heartok"}  # names in slopes.json
 ROLES = {
-    "agent": ("PUT minions", "ATTACH", "LEASE", "RETURN", "ORDER", "STOP", "ENDSOK", "LOSTOK", "ROOMGET"),
-    "primary-placer": ("CALL", "CLAIM", "GRANT", "ENDS", "LOST", "NAK", "VERDICT", "LOGOK", "PONG", "ROOM"),
-    "backup": ("LOG", "PING"),
-    "hearts": ("HEART", "HEARTOK", "NEWS"),
+    "agent": (
+        "PUT minions",
+        "ATTACH_MINION",
+        "LEASE_REQUEST",
+        "LEASE_RETURN",
+        "TASK_ORDERS",
+        "STOP_TASKS",
+        "TASK_ENDS_ACK",
+        "MINION_LOST_ACK",
+        "CAPACITY_REPORT_REQUEST",
+    ),
+    "primary-placer": (
+        "CALL",
+        "CLAIM_MINIONS",
+        "LEASE_GRANT",
+        "TASK_ENDS",
+        "MINION_LOST",
+        "ORDERS_REJECTED",
+        "ATTACHMENT_VERDICT",
+        "BATCH_APPENDED",
+        "LEADER_LEASE_GRANTED",
+        "CAPACITY_REPORT",
+    ),
+    "backup": ("APPEND_BATCH", "LEADER_LEASE_REQUEST"),
+    "hearts": ("HEARTBEAT", "HEARTBEAT_ACK", "CLUSTER_UPDATE"),
     "disk": ("disk",),
     "tick": ("tick",),
 }
@@ -38,7 +60,7 @@
 def role_of(kind: str) -> str:
     """The role that takes a kind of input.
 
-    >>> role_of("ORDER"), role_of("SOMETHING")
+    >>> role_of("TASK_ORDERS"), role_of("SOMETHING")
     ('agent', 'other')
     """
     return next((role for role, kinds in ROLES.items() if kind in kinds), "other")
@@ -97,7 +119,7 @@
         got = total(seats=seats, pick=lambda k, role=role: role_of(k) == role)  # type: ignore[misc]
         out[f"{role}-us-a-minion-s"] = got.ns / 1e3 / each
     out["all-us-a-minion-s"] = total(seats=seats, pick=lambda _k: True).ns / 1e3 / each
-    for kind in ("ROOM", "HEART", "HEARTOK"):
+    for kind, label in FIGURES.items():
         sent = total(seats=seats, pick=lambda k, kind=kind: k == kind, sent=True)  # type: ignore[misc]
         out[f"{kind.lower()}-bytes-a-minion-s"] = sent.size / each
     out["sent-bytes-a-minion-s"] = total(seats=seats, pick=lambda _k: True, sent=True).size / each
@@ -163,14 +185,14 @@
         out[f"{role}-us-a-start"] = (got.ns - idle[role] * seconds) / 1e3 / n
         sums += out[f"{role}-us-a-start"]
     out["all-us-a-start"] = sums
-    prim = max(core, key=lambda s: total(seats=[s], pick=lambda k: k == "ENDS").count)
+    prim = max(core, key=lambda s: total(seats=[s], pick=lambda k: k == "TASK_ENDS").count)
     out["primary-node-cores"] = total(seats=[prim], pick=lambda _k: True).ns / 1e9 / seconds
     out["edge-us-a-job"] = total(seats=edge, pick=lambda k: k != "tick").ns / 1e3 / max(jobs, 1)
     sent = total(seats=core, pick=lambda _k: True, sent=True)
     out["messages-a-start"] = (sent.count - quiet.count * seconds / 3.0) / n
     out["bytes-a-start"] = (sent.size - quiet.size * seconds / 3.0) / n
-    out["room-bytes-a-s"] = total(seats=core, pick=lambda k: k == "ROOM", sent=True).size / seconds
-    out["log-bytes-a-start"] = total(seats=core, pick=lambda k: k == "LOG", sent=True).size / n
+    out["room-bytes-a-s"] = total(seats=core, pick=lambda k: k == "CAPACITY_REPORT", sent=True).size / seconds
+    out["log-bytes-a-start"] = total(seats=core, pick=lambda k: k == "APPEND_BATCH", sent=True).size / n
     out["disk-bytes-a-start"] = total(seats=core, pick=lambda k: k == "disk").size / n
     return out
 
@@ -231,7 +253,9 @@
             f"{kind}-bytes-a-s": statistics.mean(sent),
             f"{kind}-bytes-a-s-most": max(sent),
         }
-    chief = max((bed.seats[ip] for ip in bed.core_ips), key=lambda s: total(seats=[s], pick=lambda k: k == "HEART").ns)
+    chief = max(
+        (bed.seats[ip] for ip in bed.core_ips), key=lambda s: total(seats=[s], pick=lambda k: k == "HEARTBEAT").ns
+    )
     out |= {
         f"chief-{kind.lower().replace(' ', '-')}-cores": row.ns / 1e9 / seconds
         for kind, row in chief.inputs.items()
--- a/yarrowloom/transport/envelope.py
+++ b/yarrowloom/transport/envelope.py
@@ -16,39 +16,39 @@
 class Kind(enum.IntEnum):
     """Kinds of messages."""
 
-    HEART = 1
-    HEARTOK = 2
-    NEWS = 3
-    PREP = 10
+    HEARTBEAT = 1
+    HEARTBEAT_ACK = 2
+    CLUSTER_UPDATE = 3
+    PREPARE = 10
     PROMISE = 11
     ACCEPT = 12
     ACCEPTED = 13
-    INSTALL = 14
-    INSTALLED = 15
-    CKPT = 16
-    CKPTOK = 17
-    LOG = 18
-    LOGOK = 19
-    PING = 20
-    PONG = 21
+    INSTALL_EPOCH = 14
+    EPOCH_INSTALLED = 15
+    SNAPSHOT = 16
+    SNAPSHOT_STORED = 17
+    APPEND_BATCH = 18
+    BATCH_APPENDED = 19
+    LEADER_LEASE_REQUEST = 20
+    LEADER_LEASE_GRANTED = 21
     YIELD = 22
     CALL = 30
     REPLY = 31
-    CLAIM = 40
-    ATTACH = 41
-    VERDICT = 42
-    LEASE = 43
-    GRANT = 44
-    RETURN = 45
-    ORDER = 46
-    STOP = 47
-    ENDS = 48
-    ENDSOK = 49
-    LOST = 50
-    LOSTOK = 51
-    ROOM = 52
-    NAK = 53
-    ROOMGET = 54
+    CLAIM_MINIONS = 40
+    ATTACH_MINION = 41
+    ATTACHMENT_VERDICT = 42
+    LEASE_REQUEST = 43
+    LEASE_GRANT = 44
+    LEASE_RETURN = 45
+    TASK_ORDERS = 46
+    STOP_TASKS = 47
+    TASK_ENDS = 48
+    TASK_ENDS_ACK = 49
+    MINION_LOST = 50
+    MINION_LOST_ACK = 51
+    CAPACITY_REPORT = 52
+    ORDERS_REJECTED = 53
+    CAPACITY_REPORT_REQUEST = 54
 
 
 class Lane(enum.IntEnum):
@@ -69,24 +69,26 @@
 _LANE_NUMBERS = frozenset(int(lane) for lane in Lane)
 _URGENT = frozenset(
     {
-        Kind.HEART,
-        Kind.HEARTOK,
-        Kind.NEWS,
-        Kind.PREP,
+        Kind.HEARTBEAT,
+        Kind.HEARTBEAT_ACK,
+        Kind.CLUSTER_UPDATE,
+        Kind.PREPARE,
         Kind.PROMISE,
         Kind.ACCEPT,
         Kind.ACCEPTED,
-        Kind.INSTALL,
-        Kind.INSTALLED,
-        Kind.CKPTOK,
-        Kind.LOG,
-        Kind.LOGOK,
-        Kind.PING,
-        Kind.PONG,
+        Kind.INSTALL_EPOCH,
+        Kind.EPOCH_INSTALLED,
+        Kind.SNAPSHOT_STORED,
+        Kind.APPEND_BATCH,
+        Kind.BATCH_APPENDED,
+        Kind.LEADER_LEASE_REQUEST,
+        Kind.LEADER_LEASE_GRANTED,
         Kind.YIELD,
     }
 )
-LANES: dict[Kind, Lane] = {k: Lane.COPY if k is Kind.CKPT else Lane.URGENT if k in _URGENT else Lane.WORK for k in Kind}
+LANES: dict[Kind, Lane] = {
+    k: Lane.COPY if k is Kind.SNAPSHOT else Lane.URGENT if k in _URGENT else Lane.WORK for k in Kind
+}
 
 
 @dataclass
@@ -191,7 +193,7 @@
     ValueError or TypeError.
 
     >>> unbundle(body=b'[[20,{"g":1}],[9999,{}]]')
-    [(<Kind.PING: 20>, {'g': 1})]
+    [(<Kind.LEADER_LEASE_REQUEST: 20>, {'g': 1})]
     """
     out: list[tuple[Kind, Any]] = []
     known = Kind._value2member_map_
