--- a/yarrowloom/testbed/slopes.py
+++ b/yarrowloom/testbed/slopes.py
@@ -121,7 +121,7 @@
     out["all-us-a-minion-s"] = total(seats=seats, pick=lambda _k: True).ns / 1e3 / each
     for kind, label in FIGURES.items():
         sent = total(seats=seats, pick=lambda k, kind=kind: k == kind, sent=True)  # type: ignore[misc]
-        out[f"{kind.lower()}-bytes-a-minion-s"] = sent.size / each
+        out[f"{label}-bytes-a-minion-s"] = sent.size / each
     out["sent-bytes-a-minion-s"] = total(seats=seats, pick=lambda _k: True, sent=True).size / each
     return out
 
