--- a/tests/integration/test_large_clusters.py
+++ b/tests/integration/test_large_clusters.py
@@ -90,7 +90,7 @@
     epochs = [
         replica.epoch for ip in serving for replica in sim.core(ip).replicas.values() if replica.epoch is not None
     ]
-    holders = {backup.split(":")[0] for epoch in epochs for backup in epoch["b"]}
+    holders = {backup.split(":")[0] for epoch in epochs for backup in epoch.backups}
     cut = next(ip for ip in sim.core_ips if ip not in serving | holders and sim.core(ip).agent.minions)
     silenced(sim=sim, ip=cut)
     placer = sim.core(sim.serving(group_id=1)[0]).placers[1]
--- a/tests/integration/test_overload.py
+++ b/tests/integration/test_overload.py
@@ -37,7 +37,7 @@
             self.sim.core(ip).replicas[group_id].epoch for group_id in range(JOB_GROUPS + 1) for ip in self.sim.core_ips
         ]
         return (
-            [e["n"] for e in epochs if e is not None],
+            [e.number for e in epochs if e is not None],
             {m.minion_id: m.fence for m in self.fleet},
             {m.minion_id for m in self.fleet if m.lapsed >= 0},
         )
--- a/tests/node/test_busy_process.py
+++ b/tests/node/test_busy_process.py
@@ -18,7 +18,7 @@
     """The newest number of each group."""
     out = []
     for group_id in range(JOB_GROUPS + 1):
-        known = [e["n"] for ip in sim.core_ips if (e := sim.core(ip).replicas[group_id].epoch) is not None]
+        known = [e.number for ip in sim.core_ips if (e := sim.core(ip).replicas[group_id].epoch) is not None]
         out.append(max(known))
     return out
 
@@ -57,8 +57,8 @@
     sim, _, _, _ = cluster(seed=93, cores=6)
     sim.run(seconds=8.0)
     e = [sim.core(sim.core_ips[0]).replicas[group_id].epoch for group_id in range(JOB_GROUPS + 1)]
-    busy = {u for x in e if x is not None for u in (x["p"], *x["b"])}
-    kept = {u for x in e if x is not None for u in x["w"]}
+    busy = {u for x in e if x is not None for u in (x.primary, *x.backups)}
+    kept = {u for x in e if x is not None for u in x.witnesses}
     idle = next(ip for ip in sim.core_ips if sim.node_ids[ip] in kept - busy)
     before = epochs(sim)
     sim.freeze(ip=idle, seconds=2.6)
--- a/tests/node/test_config_freshness.py
+++ b/tests/node/test_config_freshness.py
@@ -47,7 +47,7 @@
     parts = set()
     for replica in sim.core(settled(sim)).replicas.values():
         assert replica.epoch is not None
-        parts |= {u.split(":")[0] for u in (replica.epoch["p"], *replica.epoch["b"])}
+        parts |= {u.split(":")[0] for u in (replica.epoch.primary, *replica.epoch.backups)}
     return next(ip for ip in sim.core_ips if ip not in parts)
 
 
--- a/tests/node/test_config_freshness_core.py
+++ b/tests/node/test_config_freshness_core.py
@@ -2,6 +2,7 @@
 
 from typing import Any
 
+import msgspec
 import pytest
 
 from tests.node.test_config_freshness import APPLY_S, CUT_S, bystander, change, edge, island, settled
@@ -219,7 +220,7 @@
     sim, _, _, _ = cluster(seed=327, minions=1)
     node = edge(sim)
     node.now = 100.0
-    node.epochs[0] = {**node.epochs[0], "n": 5}
+    node.epochs[0] = msgspec.structs.replace(node.epochs[0], number=5)
     node.freshness = Freshness(apply_ms=2000)
     node.freshness.prove(at=99.9, epoch=5)
     return node
@@ -257,7 +258,7 @@
 
 
 def _heard(node: EdgeNode) -> dict[str, Any]:
-    node.have["x"] = {**node.mine(), "ep": {str(group_id): e["n"] for group_id, e in node.epochs.items()}}
+    node.have["x"] = {**node.mine(), "ep": {str(group_id): e.number for group_id, e in node.epochs.items()}}
     return {}
 
 
--- a/tests/node/test_recovery.py
+++ b/tests/node/test_recovery.py
@@ -95,7 +95,7 @@
         primary = sim.core(sim.serving(group_id=group_id)[0]).replicas[group_id]
         epoch = primary.epoch
         assert epoch is not None
-        for node_id in (epoch["p"], *epoch["b"]):
+        for node_id in (epoch.primary, *epoch.backups):
             ip = node_id.split(":")[0]
             want = states(sim.core(sim.serving(group_id=group_id)[0]))[group_id]
             assert states(sim.core(ip))[group_id] == want, (group_id, ip)
@@ -290,8 +290,8 @@
     for group_id in (0, 1):
         replica = sim.core(sim.serving(group_id=group_id)[0]).replicas[group_id]
         assert replica.epoch is not None
-        assert node.node_id in replica.epoch["w"]
-        assert old not in replica.epoch["w"]
+        assert node.node_id in replica.epoch.witnesses
+        assert old not in replica.epoch.witnesses
     assert node.table is not None
     assert node.table.config_version == version
     assert not oracle.broken
--- a/tests/node/test_refused_calls.py
+++ b/tests/node/test_refused_calls.py
@@ -82,7 +82,7 @@
         def primary(self, *, group_id: int) -> tuple[str, int] | None:
             return self.serves
 
-        def learn(self, *, epochs: list[Any]) -> None: ...
+        def learn(self, *, epochs: object) -> None: ...
 
         def called(self, *, done: tuple[Any, ...], status: int, document: Any, sent: bool) -> None:
             ended.append((status, sent))
--- a/tests/replication/test_install.py
+++ b/tests/replication/test_install.py
@@ -19,7 +19,7 @@
     sim.run(seconds=6.0)
     primary = sim.serving(group_id=0)[0]
     replica = sim.core(primary).replicas[0]
-    others = sorted(u for u in replica.epoch["w"] if u != sim.core(primary).node_id) if replica.epoch else []
+    others = sorted(u for u in replica.epoch.witnesses if u != sim.core(primary).node_id) if replica.epoch else []
     backup = others[0].split(":")[0]
     begun: list[float] = []
     whole = sim._send
@@ -63,4 +63,4 @@
     replica.take(why="test")
     for _ in range(60):
         sim.run(seconds=0.05)
-        assert sim.serving(group_id=0) == [] or replica.epoch["b"] == []
+        assert sim.serving(group_id=0) == [] or replica.epoch.backups == ()
--- a/tests/replication/test_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -4,11 +4,13 @@
 from dataclasses import dataclass
 from typing import Any
 
+import msgspec
 import pytest
 
 from tests.support.replication_adapter import Member
 from tests.support.replication_explorer import ALL, Search, calm, do, ready, replay
 from tests.support.replication_model import Op, World
+from yarrowloom.common.records import decode
 from yarrowloom.replication import election as ballot
 from yarrowloom.replication import replica
 from yarrowloom.replication.election import Election
@@ -60,7 +62,7 @@
 
 def an_acceptor_forgets_its_promise_over_a_restart(p: Patch) -> None:
     def load(self: Acceptor, document: dict[str, Any]) -> None:
-        self.seen, self.promised, self.voted, self.value = document["e"], None, None, None
+        self.seen, self.promised, self.voted, self.value = decode(document["e"], into=Epoch), None, None, None
 
     p.setattr(Acceptor, "load", load)
 
@@ -113,8 +115,8 @@
     real = Replica._unpack
 
     def unpack(self: Replica, *, epoch: Epoch) -> bool:
-        rows = [tag for tag, record in self.spares.items() if record["inst"] == epoch["n"]]
-        named: Epoch = {**epoch, "t": rows[-1]} if rows else epoch
+        rows = [tag for tag, record in self.spares.items() if record["inst"] == epoch.number]
+        named = msgspec.structs.replace(epoch, snapshot_id=rows[-1]) if rows else epoch
         return real(self, epoch=named)
 
     p.setattr(Replica, "_unpack", unpack)
@@ -141,7 +143,7 @@
         real(self)
         assert self.in_flight is not None
         assert self.acceptor.seen is not None
-        self.in_flight.acknowledged_by.update(self.acceptor.seen["b"])
+        self.in_flight.acknowledged_by.update(self.acceptor.seen.backups)
 
     p.setattr(Replica, "_fire", fire)
 
@@ -168,7 +170,7 @@
 
 def a_witness_that_lost_its_disk_votes(p: Patch) -> None:
     def is_open(self: Acceptor, *, n: int) -> bool:
-        return self.seen is not None and n == self.seen["n"] + 1
+        return self.seen is not None and n == self.seen.number + 1
 
     p.setattr(Acceptor, "_open", is_open)
 
--- a/tests/replication/test_quorum_contact.py
+++ b/tests/replication/test_quorum_contact.py
@@ -15,7 +15,7 @@
 def newest(sim: Sim, *, group_id: int) -> Epoch:
     """The newest epoch of a group that any running process knows."""
     known = [sim.core(ip).replicas[group_id].epoch for ip in sim.core_ips if sim.procs[ip].up]
-    return max((e for e in known if e is not None), key=lambda e: e["n"])
+    return max((e for e in known if e is not None), key=lambda e: e.number)
 
 
 def machine(node_id: str) -> str:
@@ -32,7 +32,7 @@
 
 
 def holders(epoch: Epoch) -> list[str]:
-    return [machine(node_id) for node_id in (epoch["p"], *epoch["b"])]
+    return [machine(node_id) for node_id in (epoch.primary, *epoch.backups)]
 
 
 @pytest.mark.parametrize("losses", [1, 2])
@@ -41,8 +41,8 @@
     sim, _, _, _ = cluster(seed=seed, cores=7, losses=losses)
     sim.run(seconds=SETTLE_S)
     epoch = newest(sim, group_id=0)
-    assert len(epoch["w"]) == 7
-    assert len(epoch["b"]) == losses
+    assert len(epoch.witnesses) == 7
+    assert len(epoch.backups) == losses
     small = holders(epoch)
     split(sim, left=small)
     sim.run(seconds=2.0)
@@ -72,7 +72,7 @@
     assert sim.serving(group_id=0) == []
     sim.heal()
     assert sim.until(cond=lambda: len(sim.serving(group_id=0)) == 1, limit=1.0)
-    assert newest(sim, group_id=0)["n"] == before["n"]
+    assert newest(sim, group_id=0).number == before.number
 
 
 @pytest.mark.parametrize("seed", [6, 7])
@@ -103,10 +103,10 @@
     sim.run(seconds=4.0)
     for ip in others:
         node = sim.core(ip)
-        assert node.node_id not in newest(sim, group_id=0)["w"]
+        assert node.node_id not in newest(sim, group_id=0).witnesses
         assert node.replicas[0].acceptor.promised is None
     assert sim.serving(group_id=0) == []
-    assert newest(sim, group_id=0)["n"] == epoch["n"]
+    assert newest(sim, group_id=0).number == epoch.number
 
 
 def test_cost_of_contact(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/replication/test_snapshot.py
+++ b/tests/replication/test_snapshot.py
@@ -11,7 +11,7 @@
 def holders(cell: Cell) -> list[Member]:
     epoch = cell.primary().replica.epoch
     assert epoch is not None
-    return [cell.members[node_id] for node_id in (epoch["p"], *epoch["b"])]
+    return [cell.members[node_id] for node_id in (epoch.primary, *epoch.backups)]
 
 
 def arrive(cell: Cell) -> None:
@@ -88,7 +88,7 @@
     member = cell.primary()
     waiting = orjson.dumps({"k": "w", "g": 0, **member.replica.acceptor.dump()})
     assert member.replica.acceptor.seen is not None
-    member.replica.acceptor.prepare(n=member.replica.acceptor.seen["n"] + 1, ballot=[5, "b:1#0"])
+    member.replica.acceptor.prepare(n=member.replica.acceptor.seen.number + 1, ballot=[5, "b:1#0"])
     replica, _ = member.replayed(journal=[*member.snapshot(), waiting])
     assert replica.acceptor.promised == [5, "b:1#0"]
 
--- a/tests/replication/test_snapshot_any_order.py
+++ b/tests/replication/test_snapshot_any_order.py
@@ -125,7 +125,7 @@
         self.judge()
         epoch = primary.replica.epoch
         assert epoch is not None
-        for node_id in (epoch["p"], *epoch["b"]):
+        for node_id in (epoch.primary, *epoch.backups):
             member = self.cell.members[node_id]
             _, replayed = member.replayed(journal=member.journal)
             need(member.state.rows == primary.state.rows == replayed.rows, "copies differ", node_id)
--- a/tests/replication/test_stalled_process.py
+++ b/tests/replication/test_stalled_process.py
@@ -143,7 +143,7 @@
     while sim.now < before + STILL_S + 1.0:
         sim.run(seconds=0.05)
         assert agent.lease <= sim.now + 1.5
-        if newest(sim, group_id=0)["p"] == sim.core(primary).node_id:
+        if newest(sim, group_id=0).primary == sim.core(primary).node_id:
             assert agent.lease <= before + 1.5
 
 
@@ -161,14 +161,14 @@
     sim.run(seconds=0.5)
     assert still.begun
     before = sim.now
-    number = newest(sim, group_id=0)["n"]
+    number = newest(sim, group_id=0).number
     replica = sim.core(primary).replicas[0]
     while sim.now < before + STILL_S + 1.0:
         sim.run(seconds=0.05)
         assert len(sim.serving(group_id=0)) <= 1
-        if newest(sim, group_id=0)["n"] == number:
+        if newest(sim, group_id=0).number == number:
             assert replica.lease.until <= before + 1.2
-    assert newest(sim, group_id=0)["n"] > number
+    assert newest(sim, group_id=0).number > number
     assert len(sim.serving(group_id=0)) == 1
 
 
--- a/tests/replication/test_successive_losses.py
+++ b/tests/replication/test_successive_losses.py
@@ -66,7 +66,7 @@
     want = min(losses + 1, len(live))
     for group_id in range(JOB_GROUPS + 1):
         epoch = newest(sim, group_id=group_id)
-        named = {epoch["p"], *epoch["b"]}
+        named = {epoch.primary, *epoch.backups}
         if len(named) < want or not named <= live or not sim.serving(group_id=group_id):
             return False
     return True
@@ -106,7 +106,7 @@
     for ip in holders(newest(sim, group_id=0))[:losses]:
         lose(sim, ip=ip)
     left = sum(sim.procs[ip].up for ip in sim.core_ips)
-    if 2 * left > len(newest(sim, group_id=0)["w"]):
+    if 2 * left > len(newest(sim, group_id=0).witnesses):
         assert sim.until(cond=lambda: served(sim), limit=CATCH_UP_S)
     else:  # beyond the budget in witnesses, so the lost machines come back, empty
         for ip in sim.core_ips:
@@ -141,5 +141,5 @@
     sim.run(seconds=CATCH_UP_S)
     for group_id in range(JOB_GROUPS + 1):
         epoch = newest(sim, group_id=group_id)
-        assert {epoch["p"], *epoch["b"], *epoch["w"]} <= live
+        assert {epoch.primary, *epoch.backups, *epoch.witnesses} <= live
     assert version(sim) == config_version
--- a/tests/replication/test_two_disks_lost.py
+++ b/tests/replication/test_two_disks_lost.py
@@ -11,9 +11,9 @@
 def holders(sim: Sim, *, group_id: int, which: tuple[int, int]) -> list[str]:
     """Two of the machines that the newest epoch of a group names: 0 is the primary, the backups follow."""
     epochs = [sim.core(ip).replicas[group_id].epoch for ip in sim.core_ips]
-    newest = max((e for e in epochs if e is not None), key=lambda e: e["n"])
-    assert len(newest["b"]) == 2
-    rows = [node_id.split(":")[0] for node_id in (newest["p"], *newest["b"])]
+    newest = max((e for e in epochs if e is not None), key=lambda e: e.number)
+    assert len(newest.backups) == 2
+    rows = [node_id.split(":")[0] for node_id in (newest.primary, *newest.backups)]
     return [rows[i] for i in which]
 
 
@@ -21,7 +21,7 @@
     """All core processes end; two come back without their disks, within a second."""
     assert sim.until(
         cond=lambda: all(
-            len(r.epoch["w"]) == 5 for r in sim.core(sim.core_ips[0]).replicas.values() if r.epoch is not None
+            len(r.epoch.witnesses) == 5 for r in sim.core(sim.core_ips[0]).replicas.values() if r.epoch is not None
         ),
         limit=3.0,
     )
@@ -83,11 +83,12 @@
             sim.run(seconds=12.0)
     epochs = [
         max(
-            (e for ip in sim.core_ips if (e := sim.core(ip).replicas[group_id].epoch) is not None), key=lambda e: e["n"]
+            (e for ip in sim.core_ips if (e := sim.core(ip).replicas[group_id].epoch) is not None),
+            key=lambda e: e.number,
         )
         for group_id in (0, 1)
     ]
-    assert [len(e["b"]) for e in epochs] == [2, 2]
+    assert [len(e.backups) for e in epochs] == [2, 2]
     end = sim.now + 40
     left = [j for j in job_ids if j in oracle.accepted]
     while left and sim.now < end:
--- a/tests/replication/test_zones.py
+++ b/tests/replication/test_zones.py
@@ -1,5 +1,7 @@
 """Holders and witnesses over zones: no single zone takes all copies or the majority if members allow it."""
 
+from collections.abc import Sequence
+
 import pytest
 
 from tests.replication.test_quorum_contact import holders, newest
@@ -20,7 +22,7 @@
     return zone(node_id.split(":")[0])
 
 
-def most_in_one_zone(node_ids: list[str]) -> int:
+def most_in_one_zone(node_ids: Sequence[str]) -> int:
     zones = [zone_of(u) for u in node_ids]
     return max(zones.count(z) for z in zones)
 
@@ -30,8 +32,8 @@
     for group_id in range(JOB_GROUPS + 1):
         epoch = newest(sim, group_id=group_id)
         assert len({zone(ip) for ip in holders(epoch)}) > 1, epoch
-        assert 2 * most_in_one_zone(epoch["w"]) < len(epoch["w"]), epoch
-        assert len(epoch["w"]) % 2 == 1
+        assert 2 * most_in_one_zone(epoch.witnesses) < len(epoch.witnesses), epoch
+        assert len(epoch.witnesses) % 2 == 1
 
 
 @pytest.mark.parametrize(("cores", "losses"), [(6, 1), (7, 1), (8, 2), (9, 2)])
@@ -82,9 +84,9 @@
     """Once spread, nothing is wished for any more."""
     sim, _, _, _ = cluster(seed=seed, cores=8, losses=2)
     sim.run(seconds=SETTLE_S + 4.0)
-    before = [newest(sim, group_id=group_id)["n"] for group_id in range(JOB_GROUPS + 1)]
+    before = [newest(sim, group_id=group_id).number for group_id in range(JOB_GROUPS + 1)]
     sim.run(seconds=20.0)
-    assert [newest(sim, group_id=group_id)["n"] for group_id in range(JOB_GROUPS + 1)] == before
+    assert [newest(sim, group_id=group_id).number for group_id in range(JOB_GROUPS + 1)] == before
 
 
 @pytest.mark.parametrize(
--- a/tests/support/replica_cell.py
+++ b/tests/support/replica_cell.py
@@ -1,7 +1,7 @@
 """A closed cell of real replicas: links, disks and processes that a test moves one step at a time."""
 
 import random
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from typing import Any
 
 import orjson
@@ -74,10 +74,10 @@
         elif effect[0] == "confirmed":
             self.cell.confirmed.append(effect[1])
 
-    def partners(self, *, first: list[str]) -> list[str]:
+    def partners(self, *, first: Sequence[str]) -> list[str]:
         return sorted((u for u in self.cell.members if u != self.node_id), key=lambda u: (u not in first, u))
 
-    def other_zones(self, *, holders: list[str]) -> list[str]:
+    def other_zones(self, *, holders: Sequence[str]) -> list[str]:
         return []
 
     def up(self, *, node_id: str) -> bool:
@@ -86,8 +86,8 @@
     def losses(self) -> int:
         return self.cell.losses
 
-    def witnesses(self, *, have: list[str]) -> list[str]:
-        return have
+    def witnesses(self, *, have: Sequence[str]) -> list[str]:
+        return list(have)
 
     def everyone(self) -> list[str]:
         return sorted(self.cell.members)
@@ -99,7 +99,7 @@
         self.notes.append((event, fields))
 
     def installed(self, *, group_id: int, epoch: Epoch) -> None:
-        self.cell.decided[epoch["n"]] = epoch
+        self.cell.decided[epoch.number] = epoch
 
     def elected(self, *, group_id: int) -> None:
         self.cell.elections += 1
@@ -166,7 +166,13 @@
         self.decided: dict[int, Epoch] = {}
         self.elections = 0
         node_ids = [f"{name}:1#0" for name in "abcdefg"[:size]]
-        first: Epoch = {"n": 0, "p": node_ids[0], "b": node_ids[1 : 1 + losses], "w": node_ids, "t": ""}
+        first = Epoch(
+            number=0,
+            primary=node_ids[0],
+            backups=tuple(node_ids[1 : 1 + losses]),
+            witnesses=tuple(node_ids),
+            snapshot_id="",
+        )
         self.members = {node_id: Member(cell=self, node_id=node_id) for node_id in node_ids}
         for member in self.members.values():
             member.replica = built(group_id=0, environment=member, state=member.state, epoch=first)
@@ -210,7 +216,7 @@
     def backup(self) -> Member:
         epoch = self.primary().replica.epoch
         assert epoch is not None
-        return self.members[epoch["b"][0]]
+        return self.members[epoch.backups[0]]
 
     def commit(self, *, x: int, member: Member | None = None) -> None:
         (member or self.primary()).replica.commit(event={"x": x}, then=("confirmed", x))
--- a/tests/support/replication_adapter.py
+++ b/tests/support/replication_adapter.py
@@ -1,6 +1,7 @@
 """All that the model of replication knows of the product: members made of the real `Replica`, `Acceptor` and
 `Election`, their node's surroundings, restarts from disk as `node/core.py` and `node/runtime.py` do them."""
 
+from collections.abc import Sequence
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any, cast
 
@@ -8,6 +9,7 @@
 
 from tests.support.binding_model import Broken
 from yarrowloom.cluster_state.registry import Registry
+from yarrowloom.common.records import decode
 from yarrowloom.replication.environment import Reducer, ReplicaEnvironment, Role
 from yarrowloom.replication.epoch import Epoch, addr_of
 from yarrowloom.replication.handover import may_end
@@ -117,24 +119,24 @@
         else:
             assert what == "none", effect
 
-    def partners(self, *, first: list[str]) -> list[str]:
+    def partners(self, *, first: Sequence[str]) -> list[str]:
         rows = [(not self.up(node_id=u), u not in first, u) for u in self.view if u != self.node_id]
         return [u for *_, u in sorted(rows)]
 
     def up(self, *, node_id: str) -> bool:
         return node_id == self.node_id or self.now - self.last_heard.get(node_id, -9.0) < ALIVE_S
 
-    def other_zones(self, *, holders: list[str]) -> list[str]:
+    def other_zones(self, *, holders: Sequence[str]) -> list[str]:
         return []  # each member has a zone of its own
 
     def losses(self) -> int:
         return self.w.losses
 
-    def witnesses(self, *, have: list[str]) -> list[str]:
+    def witnesses(self, *, have: Sequence[str]) -> list[str]:
         up = [u for u in have if u in self.view and self.up(node_id=u)]
         up += [u for u in sorted(self.view) if u not in have and self.up(node_id=u)]
         size = min(len(up) - 1 + len(up) % 2, WITNESSES_MOST)
-        return sorted(up[:size]) if size >= max(len(have), 3) else have
+        return sorted(up[:size]) if size >= max(len(have), 3) else list(have)
 
     def everyone(self) -> list[str]:
         return sorted({*self.view, self.node_id})
@@ -153,7 +155,9 @@
     def elected(self, *, group_id: int) -> None:
         for other in self.w.members:
             if other is not self and self.epoch is not None:
-                self.w.send(src=self, dst=other.address, kind="CLUSTER_UPDATE", body={"e": self.epoch}, copy=False)
+                self.w.send(
+                    src=self, dst=other.address, kind="CLUSTER_UPDATE", body={"e": self.epoch.document()}, copy=False
+                )
 
     def deposed(self, *, group_id: int) -> None:
         pass
@@ -226,7 +230,7 @@
     def take(self, *, node_id: str, kind: str, body: dict[str, Any]) -> None:
         """A message arrives."""
         if kind == "CLUSTER_UPDATE":
-            self.replica.learn(body["e"])
+            self.replica.learn(decode(body["e"], into=Epoch))
         else:
             self.replica.on(node_id=node_id, kind=Kind[kind], m=body)
         self.replica.flush()
@@ -264,7 +268,7 @@
         """Whether what an answer says is synced."""
         if kind is Kind.SNAPSHOT_STORED:
             return any(r["k"] == "ck" and r["tag"] == body["tag"] for r in self.synced) or (
-                self.epoch is not None and (self.epoch["t"] == body["tag"])
+                self.epoch is not None and (self.epoch.snapshot_id == body["tag"])
             )
         if kind is Kind.BATCH_APPENDED:
             rows = [r for r in self.synced if r["k"] in ("lg", "st") and r["n"] == body["n"]]
@@ -286,4 +290,4 @@
         last = self.witness_on_disk()
         if last is None or last["e"] is None or last["e"]["n"] + 1 != n or last["ab"] is None:
             return None
-        return last["ab"], last["av"]
+        return last["ab"], decode(last["av"], into=Epoch)
--- a/tests/support/replication_explorer.py
+++ b/tests/support/replication_explorer.py
@@ -17,6 +17,7 @@
 from tests.support.binding_explorer import Found
 from tests.support.binding_model import Broken, Choice, need
 from tests.support.replication_model import Cut, Line, World
+from yarrowloom.common.records import Record
 
 DT_S = 0.2
 EDGE_S = 0.002
@@ -186,6 +187,8 @@
         return x.value
     if id(x) in seen:
         return "#"
+    if isinstance(x, Record):
+        return flat(x.document(), now, seen)
     seen.add(id(x))
     fields = vars(x) if hasattr(x, "__dict__") else {name: getattr(x, name) for name in x.__slots__}
     return {k: flat(v, now, seen) for k, v in fields.items() if k not in LINKS}
--- a/tests/support/replication_model.py
+++ b/tests/support/replication_model.py
@@ -7,6 +7,7 @@
 
 from tests.support.binding_model import need
 from tests.support.replication_adapter import Member, copy_of
+from yarrowloom.common.records import decode
 from yarrowloom.replication.epoch import Epoch, majority
 from yarrowloom.transport.envelope import Kind, dump
 
@@ -85,13 +86,13 @@
         addresses = [f"10.0.0.{i + 1}:7000" for i in range(size)]
         node_ids = [f"{a}#0" for a in addresses]
         order = node_ids[primary:] + node_ids[:primary]
-        first: Epoch = {
-            "n": 0,
-            "p": order[0],
-            "b": order[1 : losses + 1],
-            "w": node_ids[: size - 1 + size % 2],
-            "t": "",
-        }
+        first = Epoch(
+            number=0,
+            primary=order[0],
+            backups=tuple(order[1 : losses + 1]),
+            witnesses=tuple(node_ids[: size - 1 + size % 2]),
+            snapshot_id="",
+        )
         self.decided[0] = first
         for i, (address, node_id) in enumerate(zip(addresses, node_ids, strict=True)):
             member = Member(
@@ -104,7 +105,7 @@
                 view=list(node_ids),
             )
             member.last_heard = dict.fromkeys(node_ids, START_S)
-            member.begin(epoch=copy_of(first))
+            member.begin(epoch=first)
             self.members.append(member)
 
     # -- messages
@@ -218,8 +219,8 @@
                 continue
             line = Line(src=member.address, incarnation=member.incarnation, dst=other.address, copy=False)
             waits = any(m.kind == "CLUSTER_UPDATE" for m in self.lines.get(line, []))
-            if (other.epoch is None or other.epoch["n"] < mine["n"]) and not waits:
-                self.send(src=member, dst=other.address, kind="CLUSTER_UPDATE", body={"e": mine}, copy=False)
+            if (other.epoch is None or other.epoch.number < mine.number) and not waits:
+                self.send(src=member, dst=other.address, kind="CLUSTER_UPDATE", body={"e": mine.document()}, copy=False)
 
     # -- clients
 
@@ -273,10 +274,10 @@
             self.check_left(member=member, n=body["n"])
         if (kind is Kind.PROMISE and body["ok"]) or (kind is Kind.ACCEPTED and body["ok"]):
             before = self.decided[body["n"] - 1]
-            need(member.node_id in before["w"], "ABSTAIN", member.node_id, "is no witness of", before)
+            need(member.node_id in before.witnesses, "ABSTAIN", member.node_id, "is no witness of", before)
         if kind is Kind.ACCEPT and "BALLOT" not in self.unasked:
-            known = self.proposals.setdefault((body["n"], str(body["bal"])), copy_of(body["val"]))
-            need(known == body["val"], "BALLOT", "two values in one ballot", known, body["val"])
+            known = self.proposals.setdefault((body["n"], str(body["bal"])), decode(body["val"], into=Epoch))
+            need(known == decode(body["val"], into=Epoch), "BALLOT", "two values in one ballot", known, body["val"])
         if kind is Kind.ACCEPTED and body["ok"]:
             vote = member.vote_on_disk(n=body["n"])
             if vote is not None and vote[0] == body["bal"]:
@@ -285,25 +286,25 @@
     def check_left(self, *, member: Member, n: int) -> None:
         """Asked when a lease is renewed, and when a batch is taken: one that was taken before the election is in the
         copy that the member proposes, so its acknowledgement may leave later."""
-        if member.node_id in self.decided[n]["b"]:
+        if member.node_id in self.decided[n].backups:
             need(n > member.left, "LEFT", member.node_id, "acknowledges epoch", n, "after its election to replace it")
 
     def vote(self, *, node_id: str, n: int, ballot: str, value: Epoch) -> None:
         """A vote is on disk: a majority of them for one value in one ballot decides."""
         votes = self.votes.setdefault((n, ballot, dump(body=value).decode()), set())
         votes.add(node_id)
-        if majority(votes=votes, among=self.decided[n - 1]["w"]):
+        if majority(votes=votes, among=self.decided[n - 1].witnesses):
             need(self.decided.setdefault(n, value) == value, "EPOCH", n, "was", self.decided[n], "and is", value)
 
     def learnt(self, *, member: Member, epoch: Epoch) -> None:
         need(
-            self.decided.get(epoch["n"]) == epoch,
+            self.decided.get(epoch.number) == epoch,
             "EPOCH",
             member.node_id,
             "takes",
             epoch,
             "decided is",
-            self.decided.get(epoch["n"]),
+            self.decided.get(epoch.number),
         )
 
     def check_replay(self, *, member: Member) -> None:
@@ -344,9 +345,9 @@
         assert epoch is not None
         by_uid = {m.node_id: m for m in self.members if not m.gone}
         return (
-            len(epoch["b"]) >= self.losses
-            and set(epoch["w"]) <= set(by_uid)
-            and all(u in by_uid and by_uid[u].whole_backup(n=epoch["n"]) for u in epoch["b"])
+            len(epoch.backups) >= self.losses
+            and set(epoch.witnesses) <= set(by_uid)
+            and all(u in by_uid and by_uid[u].whole_backup(n=epoch.number) for u in epoch.backups)
         )
 
     def settled(self) -> bool:
--- a/tests/transport/test_lanes.py
+++ b/tests/transport/test_lanes.py
@@ -1,6 +1,7 @@
 """Between nodes: lanes and what they lose, the order of inputs, repeats of calls."""
 
 import random
+from collections.abc import Sequence
 from typing import Any, cast
 
 import orjson
@@ -12,6 +13,7 @@
 from yarrowloom.common.log import Log
 from yarrowloom.node.group_calls import RESEND_MOST_S, Calls
 from yarrowloom.node.input_scheduler import SHARES, Rank, Repeats, Turns, rank_of
+from yarrowloom.replication.epoch import Epoch
 from yarrowloom.simulator.minions import cluster
 from yarrowloom.transport.envelope import Frame, Kind, Lane, bundle, pack, unbundle
 from yarrowloom.transport.peer_connections import FRAME_BYTES, OWED, QUEUE_MOST, TRAIL, Line, Peers, Seen
@@ -235,8 +237,9 @@
     def primary(self, *, group_id: int) -> tuple[str, int] | None:
         return self.at
 
-    def learn(self, *, epochs: list[Any]) -> None:
-        self.at = epochs[0]
+    def learn(self, *, epochs: Sequence[tuple[int, Epoch]]) -> None:
+        _, epoch = epochs[0]
+        self.at = (epoch.primary, epoch.number)
 
     def called(self, *, done: tuple[Any, ...], status: int, document: Any, sent: bool) -> None:
         self.ended.append(status)
@@ -261,7 +264,8 @@
     assert len(node.sent) == before + 1
     calls.lost(node_id="p2")
     assert len(node.sent) == before + 2
-    calls.reply(node_id="p2", m={"rid": 1, "to": "me", "s": 421, "d": [("p3", 3)]})
+    epoch = Epoch(number=3, primary="p3", backups=(), witnesses=("p3",), snapshot_id="")
+    calls.reply(node_id="p2", m={"rid": 1, "to": "me", "s": 421, "d": [[1, epoch.document()]]})
     assert node.sent[-1][1] == "p3"
     assert node.ended == []
     calls.reply(node_id="p3", m={"rid": 1, "to": "me", "s": 200, "d": {}})
--- a/yarrowloom/node/controller.py
+++ b/yarrowloom/node/controller.py
@@ -58,7 +58,7 @@
         node, node_id, echo = self.node, b["u"], b.get("echo", ())
         epoch = node.replicas[0].epoch
         self.echoed.setdefault(node_id, node.now)
-        if echo and epoch is not None and echo[0] == epoch["n"]:
+        if echo and epoch is not None and echo[0] == epoch.number:
             self.echoed[node_id] = max(self.echoed[node_id], echo[1])
         return node_id != node.node_id and "echo" in b and node.now - self.echoed[node_id] > DEAF_S
 
--- a/yarrowloom/node/core.py
+++ b/yarrowloom/node/core.py
@@ -409,7 +409,7 @@
         for group_id, replica in self.replicas.items():
             replica.settle()
             if replica.epoch is not None:
-                NodeBase.learn(self, epochs=[[group_id, replica.epoch]])
+                NodeBase.learn(self, epochs=[(group_id, replica.epoch)])
 
     def _replay(self, *, record: dict[str, Any]) -> None:
         if record["k"] not in NODE_RECORDS:
--- a/yarrowloom/node/core_environment.py
+++ b/yarrowloom/node/core_environment.py
@@ -1,5 +1,6 @@
 """What a core node gives its state machines, and how beats and calls of group 0 go through it."""
 
+from collections.abc import Sequence
 from typing import Any
 
 from ..agent import Agent
@@ -79,13 +80,13 @@
     def _genesis(self, *, group_id: int) -> Epoch:
         seeds = [s.replace("#?", "#0") for s in self.seeds()]
         n = len(seeds)
-        return {
-            "n": 0,
-            "p": seeds[group_id % n],
-            "w": seeds,
-            "t": "",
-            "b": [seeds[(group_id + i) % n] for i in range(1, min(self.settings.losses, n - 1) + 1)],
-        }
+        return Epoch(
+            number=0,
+            primary=seeds[group_id % n],
+            backups=tuple(seeds[(group_id + i) % n] for i in range(1, min(self.settings.losses, n - 1) + 1)),
+            witnesses=tuple(seeds),
+            snapshot_id="",
+        )
 
     def write(self, *, record: dict[str, Any], done: AnyEffect) -> None:
         """To disk."""
@@ -96,7 +97,7 @@
         e = self.replicas[group_id].epoch
         assert e is not None
         was = self.before.get(group_id, "")
-        self.note(event="primary", group=group_id, epoch=e["n"], backups=",".join(e["b"]))
+        self.note(event="primary", group=group_id, epoch=e.number, backups=",".join(e.backups))
         self._spread(group_id=group_id)
         if group_id == 0:
             self.chief = Chief(node=self, late=was if was != self.node_id else "")
@@ -132,7 +133,7 @@
         """While this node serves group 0, it is itself the proof."""
         epoch = self.replicas[0].epoch
         if self.chief is not None and epoch is not None and self.replicas[0].serving():
-            self.freshness.prove(at=self.now, epoch=epoch["n"])
+            self.freshness.prove(at=self.now, epoch=epoch.number)
 
     def proof(self) -> dict[str, Any]:
         """What an answer tells of how new the configuration here is."""
@@ -173,7 +174,7 @@
             body={"rid": request_id, "to": node_id, "s": status, "d": document} | self.proofs(node_id=node_id),
         )
 
-    def learn(self, *, epochs: list[Any]) -> None:
+    def learn(self, *, epochs: Sequence[tuple[int, Epoch]]) -> None:
         """Epochs go to the replicas first, which report what is news."""
         for group_id, e in epochs:
             self.replicas[group_id].learn(e)
@@ -187,8 +188,8 @@
         """A newer epoch is decided."""
         old = self.epochs.get(group_id)
         if old is not None:
-            self.before[group_id] = old["p"]
-        super().learn(epochs=[[group_id, epoch]])
+            self.before[group_id] = old.primary
+        super().learn(epochs=[(group_id, epoch)])
         self.push()
 
     # -- group 0
@@ -373,7 +374,7 @@
             "evacuated": sorted(self.evacuated_zones),
             "members": self.members,
             "groups": {
-                str(group_id): {"role": r.role.value, "epoch": r.epoch, "serving": r.serving()}
+                str(group_id): {"role": r.role.value, "epoch": r.epoch and r.epoch.document(), "serving": r.serving()}
                 for group_id, r in self.replicas.items()
             },
             "minions": {
--- a/yarrowloom/node/group_calls.py
+++ b/yarrowloom/node/group_calls.py
@@ -6,9 +6,12 @@
 one. A CALL names the node it is meant for (`to`), as frames go to an address; its REPLY names the caller (`to`).
 """
 
+from collections.abc import Sequence
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
+from ..common.records import decode
+from ..replication.epoch import Epoch
 from ..transport.envelope import Kind
 
 RESEND_S = 0.4  # doubles with each repeat, up to
@@ -33,7 +36,7 @@
     def primary(self, *, group_id: int) -> tuple[str, int] | None:
         """Who serves a group."""
 
-    def learn(self, *, epochs: list[Any]) -> None:
+    def learn(self, *, epochs: Sequence[tuple[int, Epoch]]) -> None:
         """News of epochs."""
 
     def called(self, *, done: tuple[Any, ...], status: int, document: Any, sent: bool) -> None:
@@ -136,7 +139,7 @@
         if m["s"] == NOT_PRIMARY and not pend.to:
             pend.nodes[node_id] = max(pend.nodes[node_id] - 1, 0)
             before = self.environment.primary(group_id=pend.group_id)
-            self.environment.learn(epochs=m["d"])
+            self.environment.learn(epochs=decode(m["d"], into=list[tuple[int, Epoch]]))
             if self.environment.primary(group_id=pend.group_id) != before:
                 self._anew(pend)
             else:
--- a/yarrowloom/node/membership.py
+++ b/yarrowloom/node/membership.py
@@ -1,5 +1,7 @@
 """Core members as a node knows them: who is up, who may hold copies, who should keep epochs."""
 
+from collections.abc import Sequence
+
 from ..common.log import Log
 from ..common.settings import NodeSettings
 from ..replication.epoch import addr_of
@@ -45,13 +47,13 @@
         self._rand = (self._rand * 997.0 + 0.123456789) % 1.0
         return self._rand
 
-    def partners(self, *, first: list[str]) -> list[str]:
+    def partners(self, *, first: Sequence[str]) -> list[str]:
         """Members that may be a backup: alive ones first, then one zone after another, beginning with those that are
         not this node's; within a zone those in `first`, then the least loaded.
         """
         load: dict[str, int] = {}
         for e in self.epochs.values():
-            for holder in (e["p"], *e["b"]):
+            for holder in (e.primary, *e.backups):
                 load[holder] = load.get(holder, 0) + 1
         zones = self.peers()
         rank = {u: (not self.up(node_id=u), u not in first, load.get(u, 0), u) for u in zones if u != self.node_id}
@@ -64,7 +66,7 @@
             taken[zones[best]] = taken.get(zones[best], 0) + 1
         return order
 
-    def other_zones(self, *, holders: list[str]) -> list[str]:
+    def other_zones(self, *, holders: Sequence[str]) -> list[str]:
         """If all of `holders` stand in one zone: live members of other zones. A zone not known yet proves nothing."""
         zones = self.peers()
         held = {zones.get(u, "") for u in holders}
@@ -76,7 +78,7 @@
         """Core nodes and their sites as far as known. After a restart of all there are no members yet, only what
         epochs name and whose hearts are heard; a uid that gave way to another at its address does not count.
         """
-        named = {u for e in self.epochs.values() for u in (*e["w"], e["p"], *e["b"]) if u}
+        named = {u for e in self.epochs.values() for u in (*e.witnesses, e.primary, *e.backups) if u}
         heard = {u for u, i in self.info.items() if i["kind"] == "core" and self.alive(node_id=u)} | {self.node_id}
         new = {addr_of(node_id=u): u for u in heard}
         out = {}
@@ -94,7 +96,7 @@
         """Heard of lately."""
         return self.alive(node_id=node_id) or self.now - self.roster.get(node_id, -9.0) < ROSTER_S
 
-    def witnesses(self, *, have: list[str]) -> list[str]:
+    def witnesses(self, *, have: Sequence[str]) -> list[str]:
         """Widen to all core nodes, replace the absent by the present; an odd number of them, and never fewer, but for
         a set of which one zone holds the majority while a smaller one, still enough for the budget, would not.
         """
@@ -107,7 +109,7 @@
             if found and (fewer >= len(have) or all(u in zones for u in have)):
                 return found
         if size < max(len(have), 3):
-            return have
+            return list(have)
         rows = (spread(order=order, zones=zones, size=size, most=most) for most in range(size // 2, size + 1))
         return next(found for found in rows if found)
 
--- a/yarrowloom/node/node_base.py
+++ b/yarrowloom/node/node_base.py
@@ -1,5 +1,6 @@
 """What core and edge nodes share: outputs as data, news, the roster of nodes, ring watchers, hearts."""
 
+from collections.abc import Sequence
 from typing import Any
 
 import orjson
@@ -7,8 +8,9 @@
 from ..cluster_state.config import Table
 from ..cluster_state.config_delta import Delta, History
 from ..common.log import Log
+from ..common.records import decode
 from ..common.settings import NodeSettings
-from ..replication.epoch import Epoch, addr_of, check_epoch
+from ..replication.epoch import Epoch, addr_of
 from ..transport.envelope import Kind, dump
 from ..transport.http_server import Response
 from ..transport.message import Message
@@ -91,13 +93,12 @@
     def primary(self, *, group_id: int) -> tuple[str, int] | None:
         """Who serves a group, as far as known."""
         e = self.epochs.get(group_id)
-        return (e["p"], e["n"]) if e is not None else None
+        return (e.primary, e.number) if e is not None else None
 
-    def learn(self, *, epochs: list[Any]) -> None:
+    def learn(self, *, epochs: Sequence[tuple[int, Epoch]]) -> None:
         """Take note of epochs: (group, epoch)."""
         for group_id, e in epochs:
-            check_epoch(epoch=e)
-            if group_id not in self.epochs or self.epochs[group_id]["n"] < e["n"]:
+            if group_id not in self.epochs or self.epochs[group_id].number < e.number:
                 self.epochs[group_id] = e
 
     def mine(self) -> dict[str, Any]:
@@ -105,7 +106,7 @@
         return {
             "conf": self.table.config_version if self.table and not self.torn else 0,
             "mods": self.registry_version,
-            "ep": {str(group_id): e["n"] for group_id, e in self.epochs.items()},
+            "ep": {str(group_id): e.number for group_id, e in self.epochs.items()},
         }
 
     def newer(self, *, node_id: str) -> dict[str, Any]:
@@ -137,11 +138,11 @@
         epochs = {
             group_id: e
             for group_id, e in self.epochs.items()
-            if have["ep"].get(str(group_id), -1) < e["n"] and (due or way.epochs.get(group_id, -1) < e["n"])
+            if have["ep"].get(str(group_id), -1) < e.number and (due or way.epochs.get(group_id, -1) < e.number)
         }
         if epochs:
             out["eps"] = [[group_id, e] for group_id, e in epochs.items()]
-            way.epochs.update({group_id: e["n"] for group_id, e in epochs.items()})
+            way.epochs.update({group_id: e.number for group_id, e in epochs.items()})
             way.till = self.now + RESEND_S
         return out
 
@@ -163,9 +164,9 @@
             )
             fresh = True
         if document.get("eps"):
-            before = {group_id: e["n"] for group_id, e in self.epochs.items()}
-            self.learn(epochs=document["eps"])
-            fresh = fresh or before != {group_id: e["n"] for group_id, e in self.epochs.items()}
+            before = {group_id: e.number for group_id, e in self.epochs.items()}
+            self.learn(epochs=decode(document["eps"], into=list[tuple[int, Epoch]]))
+            fresh = fresh or before != {group_id: e.number for group_id, e in self.epochs.items()}
         if fresh and push:
             self.push()
 
@@ -263,7 +264,9 @@
         addresses = {addr_of(node_id=u) for u in known} | {addr_of(node_id=self.node_id)}
         out = [s for s in self.seeds() if addr_of(node_id=s) not in addresses]
         out += [u for u in self.members if u != self.node_id]
-        return out + [u for e in self.epochs.values() for u in (*e["w"], e["p"], *e["b"]) if u and u != self.node_id]
+        return out + [
+            u for e in self.epochs.values() for u in (*e.witnesses, e.primary, *e.backups) if u and u != self.node_id
+        ]
 
     def probes(self, *, known: list[str]) -> list[str]:
         """A few of the others, in turn, while the proof is old: a change of primary ages all proofs at once, and must
@@ -299,7 +302,7 @@
         if not isinstance(age, (int, float)) or not isinstance(epoch, int) or age < 0 or sent > self.now:
             return False
         newest = self.epochs.get(0)
-        if newest is not None and epoch < newest["n"]:
+        if newest is not None and epoch < newest.number:
             return False
         if m.get("conf", 0) <= self.mine()["conf"]:
             self.freshness.prove(at=sent - age, epoch=epoch)
--- a/yarrowloom/replication/election.py
+++ b/yarrowloom/replication/election.py
@@ -1,8 +1,10 @@
 """A campaign for the next epoch: checkpoint to a backup, two rounds of ballots, installation."""
 
 import enum
+from collections.abc import Sequence
 from typing import TYPE_CHECKING, Any
 
+from ..common.records import decode
 from ..transport.envelope import Kind
 from .environment import encode
 from .epoch import Ballot, Epoch, majority
@@ -49,7 +51,7 @@
     a campaign, so the state is encoded once, and one tag stands for it with all members that are tried.
     """
 
-    def __init__(self, *, replica: "Replica", why: str, avoid: set[str], first: list[str]) -> None:
+    def __init__(self, *, replica: "Replica", why: str, avoid: set[str], first: Sequence[str]) -> None:
         self.replica = replica
         self.why = why
         self.avoid = avoid
@@ -100,7 +102,7 @@
         elif self.phase is Phase.INSTALL:
             if age > INSTALL_S:
                 e = self.replica.acceptor.seen
-                self.avoid = {u for u in e["b"] if u not in self.ok} if e else set()
+                self.avoid = {u for u in e.backups if u not in self.ok} if e else set()
                 self.have = []
                 self._go(Phase.PICK)
             elif environment.now - self.sent > 0.25:
@@ -113,18 +115,18 @@
         environment, e = self.replica.environment, self.replica.acceptor.seen
         if (
             e is None
-            or e["p"] != environment.node_id
+            or e.primary != environment.node_id
             or environment.now - self.begun > CALM_S
             or environment.now - self.calmed < PING_S
         ):
             return
         self.calmed = environment.now
-        for node_id in e["b"]:
+        for node_id in e.backups:
             if node_id not in self.avoid:
                 environment.send(
                     node_id=node_id,
                     kind=Kind.LEADER_LEASE_REQUEST,
-                    body={"g": self.replica.group_id, "n": e["n"], "t": environment.now},
+                    body={"g": self.replica.group_id, "n": e.number, "t": environment.now},
                 )
 
     def _pick(self) -> None:
@@ -133,7 +135,7 @@
         assert e is not None
         if environment.now < replica.rest:
             return
-        fresh = self.inst != e["n"] + 1
+        fresh = self.inst != e.number + 1
         if fresh:
             self.have = []
         rows = [u for u in environment.partners(first=self.first) if u not in self.avoid]
@@ -151,13 +153,13 @@
         if copies and environment.now - self.copying > min(COPY_ENOUGH_S * 2**replica.renewal.short, ENOUGH_MOST_S):
             self.fewer = len(copies) < self.goal  # makes do with these: another epoch follows later
             self.goal = len(copies)
-        solo = not rows and environment.everyone() in ([environment.node_id], []) and len(e["w"]) <= 1
+        solo = not rows and environment.everyone() in ([environment.node_id], []) and len(e.witnesses) <= 1
         over = not ask and not copies and environment.now - self.copying > COPY_AGAIN_S
         if (self.goal == 0 or over) and not solo:
             self.tried, self.avoid = set(), set()
             replica.rest = environment.now + 0.2 * (1 + environment.jitter())
             return
-        self._copy(ask=ask, fresh=fresh, number=e["n"] + 1)
+        self._copy(ask=ask, fresh=fresh, number=e.number + 1)
 
     def _copy(self, *, ask: list[str], fresh: bool, number: int) -> None:
         """Send the checkpoint to the members in `ask` and wait until as many as are wanted have synced it."""
@@ -227,13 +229,13 @@
         if self.phase is Phase.COPY and self.near and len(copies) >= self.goal:
             e = self.replica.acceptor.seen
             assert e is not None
-            self.value = {
-                "n": e["n"] + 1,
-                "p": self.replica.environment.node_id,
-                "b": copies[: self.goal],
-                "t": self.tag,
-                "w": self.replica.environment.witnesses(have=e["w"]),
-            }
+            self.value = Epoch(
+                number=e.number + 1,
+                primary=self.replica.environment.node_id,
+                backups=tuple(copies[: self.goal]),
+                witnesses=tuple(self.replica.environment.witnesses(have=e.witnesses)),
+                snapshot_id=self.tag,
+            )
             self._prepare()
 
     def _prepare(self) -> None:
@@ -244,16 +246,19 @@
         self.votes += 1
         if self.votes > 2:
             self.replica.environment.note(
-                event="campaign-votes-again", group=self.replica.group_id, round=self.votes, witnesses=",".join(e["w"])
+                event="campaign-votes-again",
+                group=self.replica.group_id,
+                round=self.votes,
+                witnesses=",".join(e.witnesses),
             )
         self.round += 1
         self.best = None
         self.ballot = [self.round, self.replica.environment.node_id, self.replica.environment.incarnation]
-        for node_id in e["w"]:
+        for node_id in e.witnesses:
             self.replica.environment.send(
                 node_id=node_id,
                 kind=Kind.PREPARE,
-                body={"g": self.replica.group_id, "n": e["n"] + 1, "bal": self.ballot, "cert": e},
+                body={"g": self.replica.group_id, "n": e.number + 1, "bal": self.ballot, "cert": e.document()},
             )
 
     def on(self, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
@@ -265,39 +270,47 @@
             self._installed(node_id=node_id, n=m["n"], sent=m.get("t"))
             return
         if m.get("cur"):
-            self.replica.learn(m["cur"])
+            self.replica.learn(decode(m["cur"], into=Epoch))
             return
         e = self.replica.acceptor.seen
-        if e is None or m["n"] != e["n"] + 1 or m["bal"] != self.ballot:
+        if e is None or m["n"] != e.number + 1 or m["bal"] != self.ballot:
             return
         if not m["ok"]:
             self.round = max(self.round, m["pb"][0])
             return
         if kind is Kind.PROMISE and self.phase is Phase.PREPARE:
             if m["ab"] is not None and (self.best is None or m["ab"] > self.best[0]):
-                self.best = (m["ab"], m["av"])
+                self.best = (m["ab"], decode(m["av"], into=Epoch))
             self.ok.add(node_id)
-            if majority(votes=self.ok, among=e["w"]):
+            if majority(votes=self.ok, among=e.witnesses):
                 val = self.best[1] if self.best else self.value
                 assert val is not None
                 self._go(Phase.ACCEPT)
                 self.best = (self.ballot, val)
-                for acceptor in e["w"]:
+                for acceptor in e.witnesses:
                     self.replica.environment.send(
                         node_id=acceptor,
                         kind=Kind.ACCEPT,
-                        body={"g": self.replica.group_id, "n": e["n"] + 1, "bal": self.ballot, "val": val, "cert": e},
+                        body={
+                            "g": self.replica.group_id,
+                            "n": e.number + 1,
+                            "bal": self.ballot,
+                            "val": val.document(),
+                            "cert": e.document(),
+                        },
                     )
         elif kind is Kind.ACCEPTED and self.phase is Phase.ACCEPT:
             self.ok.add(node_id)
-            if majority(votes=self.ok, among=e["w"]) and self.best is not None:
+            if majority(votes=self.ok, among=e.witnesses) and self.best is not None:
                 val = self.best[1]
                 old = e
                 self.replica.learn(val)
                 if self.replica.election is not self:
-                    for peer in sorted({*old["w"], *val["w"], val["p"], *val["b"]} - {""}):
+                    for peer in sorted({*old.witnesses, *val.witnesses, val.primary, *val.backups} - {""}):
                         self.replica.environment.send(
-                            node_id=peer, kind=Kind.INSTALL_EPOCH, body={"g": self.replica.group_id, "e": val}
+                            node_id=peer,
+                            kind=Kind.INSTALL_EPOCH,
+                            body={"g": self.replica.group_id, "e": val.document()},
                         )
 
     def decided(self, *, epoch: Epoch) -> None:
@@ -312,20 +325,22 @@
     def _install(self) -> None:
         assert self.value is not None
         self.sent = self.replica.environment.now
-        for peer in sorted({*self.value["w"], *self.value["b"], *self.replica.environment.everyone()} - {"", *self.ok}):
+        for peer in sorted(
+            {*self.value.witnesses, *self.value.backups, *self.replica.environment.everyone()} - {"", *self.ok}
+        ):
             self.replica.environment.send(
                 node_id=peer,
                 kind=Kind.INSTALL_EPOCH,
-                body={"g": self.replica.group_id, "e": self.value, "t": self.sent},
+                body={"g": self.replica.group_id, "e": self.value.document(), "t": self.sent},
             )
 
     def _installed(self, *, node_id: str, n: int, sent: float | None) -> None:
         val = self.value
-        if self.phase is not Phase.INSTALL or val is None or n != val["n"]:
+        if self.phase is not Phase.INSTALL or val is None or n != val.number:
             return
         self.ok.add(node_id)
         self.installed.setdefault(node_id, self.since if sent is None else sent)
-        if majority(votes=self.ok, among=val["w"]) and self.ok.issuperset(val["b"]):
+        if majority(votes=self.ok, among=val.witnesses) and self.ok.issuperset(val.backups):
             self.replica.renewal.formed(fewer=self.fewer)
             self.replica.lease.start(epoch=val, answers=self.installed)
             self.replica.activate()
--- a/yarrowloom/replication/environment.py
+++ b/yarrowloom/replication/environment.py
@@ -1,6 +1,7 @@
 """What a replica is made of: its roles, its timing, what it asks of its node."""
 
 import enum
+from collections.abc import Sequence
 from typing import Any, Protocol
 
 import orjson
@@ -52,19 +53,19 @@
     def effect(self, *, effect: tuple[Any, ...]) -> None:
         """Carry out an effect that is now durable."""
 
-    def partners(self, *, first: list[str]) -> list[str]:
+    def partners(self, *, first: Sequence[str]) -> list[str]:
         """Members that may be a backup, best first; of equals, those in `first`."""
 
     def up(self, *, node_id: str) -> bool:
         """Heard of lately."""
 
-    def other_zones(self, *, holders: list[str]) -> list[str]:
+    def other_zones(self, *, holders: Sequence[str]) -> list[str]:
         """If all of `holders` stand in one zone: live members of other zones."""
 
     def losses(self) -> int:
         """How many disks may be lost at once: the number of backups."""
 
-    def witnesses(self, *, have: list[str]) -> list[str]:
+    def witnesses(self, *, have: Sequence[str]) -> list[str]:
         """The set that should keep epochs, given the one that does."""
 
     def everyone(self) -> list[str]:
--- a/yarrowloom/replication/epoch.py
+++ b/yarrowloom/replication/epoch.py
@@ -1,18 +1,39 @@
 """Epochs and the witness that keeps them: one ballot per epoch number, decided by a majority of the last set."""
 
-from typing import Any, TypedDict
+from collections.abc import Iterable
+from typing import Annotated, Any
 
+import msgspec
 
-class Epoch(TypedDict):
-    """Who serves a group. `n` is its number, `p` the primary, `b` the backups, `w` the witnesses, `t` the tag of
-    the checkpoint that primary and backups share. Invariant: for each number at most one epoch is ever decided.
+from ..common.records import Record, decode
+
+_EPOCH_KEYS = {"number": "n", "primary": "p", "backups": "b", "witnesses": "w", "snapshot_id": "t"}
+
+
+class Epoch(Record, frozen=True, kw_only=True, rename=_EPOCH_KEYS):
+    """Who serves a group from one decided election to the next.
+
+    Invariant: for each number at most one epoch is ever decided. Primary and backups are the holders: they alone have
+    the group's state.
+
+    Attributes:
+        number: Rises by one with each election; 0 is the epoch that the settings give.
+        primary: Node id of the member that serves.
+        backups: Node ids of the members that keep a copy of the state, in the order in which they take over.
+        witnesses: Node ids of the acceptors that decide the epoch after this one.
+        snapshot_id: The snapshot of the state that primary and backups began with; empty in epoch 0.
     """
 
-    n: int
-    p: str
-    b: list[str]
-    w: list[str]
-    t: str
+    number: Annotated[int, msgspec.Meta(ge=0)]
+    primary: str
+    backups: tuple[str, ...]
+    witnesses: tuple[str, ...]
+    snapshot_id: str
+
+    @property
+    def holders(self) -> tuple[str, ...]:
+        """The primary and the backups."""
+        return (self.primary, *self.backups)
 
 
 Ballot = list[Any]  # [round, uid, incarnation], compared in this order: no two lives of a process share one
@@ -27,24 +48,7 @@
     return node_id.split("#", 1)[0]
 
 
-def check_epoch(*, epoch: Any) -> None:
-    """Raise ValueError for what is no epoch: it would be kept, and end the process once it is looked at.
-
-    >>> check_epoch(epoch={"n": 1, "p": "a", "b": [], "w": ["a"], "t": ""})
-    >>> check_epoch(epoch={"n": 1, "p": "a"})
-    Traceback (most recent call last):
-    ValueError: not an epoch: {'n': 1, 'p': 'a'}
-    """
-    good = isinstance(epoch, dict) and type(epoch.get("n")) is int and epoch["n"] >= 0
-    good = good and isinstance(epoch.get("p"), str) and isinstance(epoch.get("t"), str)
-    for name in ("b", "w"):
-        row = epoch.get(name) if good else None
-        good = good and isinstance(row, list) and all(isinstance(node_id, str) for node_id in row)
-    if not good:
-        raise ValueError(f"not an epoch: {epoch!r:.80}")
-
-
-def majority(*, votes: set[str], among: list[str]) -> bool:
+def majority(*, votes: set[str], among: Iterable[str]) -> bool:
     """More than half of `among` voted.
 
     >>> majority(votes={"a", "b", "z"}, among=["a", "b", "c"])
@@ -52,7 +56,8 @@
     >>> majority(votes={"a", "z"}, among=["a", "b", "c"])
     False
     """
-    return 2 * len(votes & set(among)) > len(set(among))
+    members = set(among)
+    return 2 * len(votes & members) > len(members)
 
 
 class Acceptor:
@@ -69,39 +74,45 @@
 
     def dump(self) -> dict[str, Any]:
         """What the disk keeps."""
-        return {"e": self.seen, "pb": self.promised, "ab": self.voted, "av": self.value}
+        return {
+            "e": None if self.seen is None else self.seen.document(),
+            "pb": self.promised,
+            "ab": self.voted,
+            "av": None if self.value is None else self.value.document(),
+        }
 
     def load(self, document: dict[str, Any]) -> None:
         """Take what the disk kept."""
-        self.seen, self.promised = document["e"], document["pb"]
-        self.voted, self.value = document["ab"], document["av"]
+        self.seen = document["e"] and decode(document["e"], into=Epoch)
+        self.promised, self.voted = document["pb"], document["ab"]
+        self.value = document["av"] and decode(document["av"], into=Epoch)
 
     def learn(self, epoch: Epoch) -> bool:
         """Take note of a decided epoch; true if it is news."""
-        if self.seen is not None and epoch["n"] <= self.seen["n"]:
+        if self.seen is not None and epoch.number <= self.seen.number:
             return False
         self.seen = epoch
         self.promised = self.voted = self.value = None
         return True
 
     def _open(self, *, n: int) -> bool:
-        return self.seen is not None and n == self.seen["n"] + 1 and self.node_id in self.seen["w"]
+        return self.seen is not None and n == self.seen.number + 1 and self.node_id in self.seen.witnesses
 
     def prepare(self, *, n: int, ballot: Ballot) -> dict[str, Any] | None:
         """Promise a ballot for number `n`; None: not mine to answer."""
-        if self.seen is not None and n <= self.seen["n"]:
-            return {"ok": False, "cur": self.seen}
+        if self.seen is not None and n <= self.seen.number:
+            return {"ok": False, "cur": self.seen.document()}
         if not self._open(n=n):
             return None
         if self.promised is not None and ballot < self.promised:
             return {"ok": False, "cur": None, "pb": self.promised}
         self.promised = ballot
-        return {"ok": True, "ab": self.voted, "av": self.value}
+        return {"ok": True, "ab": self.voted, "av": None if self.value is None else self.value.document()}
 
     def accept(self, *, n: int, ballot: Ballot, value: Epoch) -> dict[str, Any] | None:
         """Vote for a value."""
-        if self.seen is not None and n <= self.seen["n"]:
-            return {"ok": False, "cur": self.seen}
+        if self.seen is not None and n <= self.seen.number:
+            return {"ok": False, "cur": self.seen.document()}
         if not self._open(n=n):
             return None
         if self.promised is not None and ballot < self.promised:
--- a/yarrowloom/replication/handover.py
+++ b/yarrowloom/replication/handover.py
@@ -33,22 +33,26 @@
 
 def substitutes(*, environment: ReplicaEnvironment, epoch: Epoch) -> list[str]:
     """Live members that hold nothing of the epoch yet."""
-    holders = (epoch["p"], *epoch["b"])
+    holders = (epoch.primary, *epoch.backups)
     return [u for u in environment.partners(first=[]) if u not in holders and environment.up(node_id=u)]
 
 
 def copied_elsewhere(*, environment: ReplicaEnvironment, epoch: Epoch | None) -> bool:
     """Another live member holds all that was confirmed, or this one holds nothing."""
-    if epoch is None or environment.node_id not in (epoch["p"], *epoch["b"]):
+    if epoch is None or environment.node_id not in (epoch.primary, *epoch.backups):
         return True
-    return any(u != environment.node_id and environment.up(node_id=u) for u in (epoch["p"], *epoch["b"]))
+    return any(u != environment.node_id and environment.up(node_id=u) for u in (epoch.primary, *epoch.backups))
 
 
 def may_end(*, environment: ReplicaEnvironment, epoch: Epoch | None, asked_s: float) -> bool:
     """No epoch needs this member any more; or another holder is there, and no further one is to be had or has been
     found in RELIEF_S; or no other member is known at all. `asked_s`: how long it has been leaving.
     """
-    if epoch is None or environment.node_id not in (epoch["p"], *epoch["b"]) or not environment.partners(first=[]):
+    if (
+        epoch is None
+        or environment.node_id not in (epoch.primary, *epoch.backups)
+        or not environment.partners(first=[])
+    ):
         return True
     if not copied_elsewhere(environment=environment, epoch=epoch):
         return False
@@ -89,7 +93,9 @@
             return  # several leave at once: they would only hand the copy to and fro
         self._asked = member.environment.now
         if member.role is Role.BACKUP:
-            member.environment.send(node_id=epoch["p"], kind=Kind.YIELD, body={"g": member.group_id, "n": epoch["n"]})
+            member.environment.send(
+                node_id=epoch.primary, kind=Kind.YIELD, body={"g": member.group_id, "n": epoch.number}
+            )
         elif member.role is Role.PRIMARY:
             self._hand_over(epoch=epoch)
 
@@ -97,7 +103,7 @@
         """Yield to a backup that answers; without one, another copy comes first."""
         member = self._member
         silent = member.lease.silent(epoch=epoch, awake=member.awake, patience=2 * LEAVE_S)
-        answering = [node_id for node_id in epoch["b"] if node_id not in silent]
+        answering = [node_id for node_id in epoch.backups if node_id not in silent]
         if answering:
             member.give_up(to=answering[0])
         elif substitutes(environment=member.environment, epoch=epoch):
@@ -109,6 +115,6 @@
         epoch = member.acceptor.seen
         if member.role is Role.BACKUP and member.base == number:
             member.take(why="yielded", avoid=[node_id])
-        elif member.role is Role.PRIMARY and epoch is not None and epoch["n"] == number and node_id in epoch["b"]:
+        elif member.role is Role.PRIMARY and epoch is not None and epoch.number == number and node_id in epoch.backups:
             if substitutes(environment=member.environment, epoch=epoch):
                 member.take(why="backup-leaves", avoid=[node_id])
--- a/yarrowloom/replication/leader_lease.py
+++ b/yarrowloom/replication/leader_lease.py
@@ -1,5 +1,6 @@
 """What lets a primary serve: the lease of its backups, and contact with a majority of its epoch's witnesses."""
 
+from collections.abc import Iterable
 from typing import Any
 
 from ..transport.envelope import Kind
@@ -37,7 +38,7 @@
 
     def start(self, *, epoch: Epoch, answers: dict[str, float]) -> None:
         """An epoch is installed; `answers`: by member, when the INSTALL was sent that it answered."""
-        self._answers = {backup: answers[backup] for backup in epoch["b"]}
+        self._answers = {backup: answers[backup] for backup in epoch.backups}
         self.until = min(self._answers.values(), default=self._environment.now) + PROMISE_S
         self._apart = None
         self.contact.begin(epoch=epoch, node_id=self._environment.node_id)
@@ -51,12 +52,14 @@
     def answered(self, *, epoch: Epoch, node_id: str, sent: float) -> None:
         """A backup answered what was sent at `sent`: it will not take over for a while from then."""
         self._answers[node_id] = max(self._answers.get(node_id, NEVER_S), sent)
-        oldest = min(self._answers.get(backup, NEVER_S) for backup in epoch["b"])
+        oldest = min(self._answers.get(backup, NEVER_S) for backup in epoch.backups)
         self.until = max(self.until, oldest + PROMISE_S)
 
     def silent(self, *, epoch: Epoch, awake: float, patience: float = DOUBT_S) -> list[str]:
         """Backups that have not answered for longer than `patience`; this process last stood still at `awake`."""
-        return [u for u in epoch["b"] if self._environment.now > max(self._answers.get(u, NEVER_S), awake) + patience]
+        return [
+            u for u in epoch.backups if self._environment.now > max(self._answers.get(u, NEVER_S), awake) + patience
+        ]
 
     def watch(self) -> None:
         """Note when contact is lost and when it is back."""
@@ -72,18 +75,18 @@
     def ask(self, *, epoch: Epoch) -> None:
         """Ask the backups for their lease and the other witnesses, less often, for contact."""
         now = self._environment.now
-        if not epoch["b"]:
+        if not epoch.backups:
             self.until = now + PROMISE_S
-        question: dict[str, Any] = {"g": self._group, "n": epoch["n"], "t": now}
+        question: dict[str, Any] = {"g": self._group, "n": epoch.number, "t": now}
         if self._apart is not None:
             question["apart"] = True
         if now - self._pinged >= PING_S:
             self._pinged = now
-            for node_id in epoch["b"]:
+            for node_id in epoch.backups:
                 self._environment.send(node_id=node_id, kind=Kind.LEADER_LEASE_REQUEST, body=question)
-        self._probe(question=question, witnesses=[u for u in epoch["w"] if u not in epoch["b"]])
+        self._probe(question=question, witnesses=[u for u in epoch.witnesses if u not in epoch.backups])
 
-    def _probe(self, *, question: dict[str, Any], witnesses: list[str]) -> None:
+    def _probe(self, *, question: dict[str, Any], witnesses: Iterable[str]) -> None:
         if self._environment.now - self._probed >= CONTACT_PING_S:
             self._probed = self._environment.now
             for node_id in witnesses:
@@ -97,17 +100,17 @@
         while, which is what its answer means. A witness answers also if it has promised a ballot: whoever may campaign
         has ended the lease before. To a primary that lost contact a backup tells whether it has it, and looks.
         """
-        if epoch is None or epoch["n"] != question["n"]:
+        if epoch is None or epoch.number != question["n"]:
             return None
-        if self._environment.node_id not in epoch["b"]:
-            return question if self._environment.node_id in epoch["w"] else None
+        if self._environment.node_id not in epoch.backups:
+            return question if self._environment.node_id in epoch.witnesses else None
         if not renews:
             return None
-        if asker != epoch["p"] or not question.get("apart"):
+        if asker != epoch.primary or not question.get("apart"):
             return question
         self.contact.begin(epoch=epoch, node_id=self._environment.node_id)
-        own = {"g": self._group, "n": epoch["n"], "t": self._environment.now}
-        self._probe(question=own, witnesses=epoch["w"])
+        own = {"g": self._group, "n": epoch.number, "t": self._environment.now}
+        self._probe(question=own, witnesses=epoch.witnesses)
         return {**question, "contact": self._environment.now < self.contact.until}
 
     def better_off(self, *, answer: dict[str, Any]) -> bool:
--- a/yarrowloom/replication/quorum_contact.py
+++ b/yarrowloom/replication/quorum_contact.py
@@ -24,10 +24,10 @@
 
     def begin(self, *, epoch: Epoch, node_id: str) -> None:
         """Count for this epoch from now on; a witness set of which `uid` alone is the majority needs no answers."""
-        if self._epoch == epoch["n"]:
+        if self._epoch == epoch.number:
             return
-        witnesses = set(epoch["w"])
-        self._epoch = epoch["n"]
+        witnesses = set(epoch.witnesses)
+        self._epoch = epoch.number
         self._answers = dict.fromkeys(witnesses - {node_id}, -math.inf)
         self._needed = len(witnesses) // 2 + 1 - (node_id in witnesses)
         self.until = math.inf if self._needed == 0 else -math.inf
@@ -36,7 +36,9 @@
         """A witness answered what was sent to it at `sent`.
 
         >>> contact = Contact()
-        >>> contact.begin(epoch={"n": 1, "p": "a", "b": ["b"], "w": ["a", "b", "c", "d", "e"], "t": ""}, node_id="a")
+        >>> witnesses = ("a", "b", "c", "d", "e")
+        >>> epoch = Epoch(number=1, primary="a", backups=("b",), witnesses=witnesses, snapshot_id="")
+        >>> contact.begin(epoch=epoch, node_id="a")
         >>> contact.heard(node_id="b", sent=5.0)
         >>> contact.until
         -inf
--- a/yarrowloom/replication/reconfiguration.py
+++ b/yarrowloom/replication/reconfiguration.py
@@ -46,7 +46,7 @@
 
     def reason(self, *, environment: ReplicaEnvironment, epoch: Epoch) -> str:
         """Why an election is due; empty: it is not."""
-        now, have = environment.now, epoch["w"]
+        now, have = environment.now, epoch.witnesses
         witnesses = frozenset(environment.witnesses(have=have))
         waited = self._witnesses.same(members=witnesses, now=now)
         small = len(have) < 2 * environment.losses() + 1 and len(witnesses) > len(have)
@@ -54,14 +54,14 @@
         at_risk = 2 * (live - environment.losses()) <= len(have)
         if witnesses != frozenset(have) and (small or waited >= (RISK_S if at_risk else WANT_S)):
             return "witnesses"
-        holders = [epoch["p"], *epoch["b"]]
-        if len(epoch["b"]) < environment.losses():
+        holders = [epoch.primary, *epoch.backups]
+        if len(epoch.backups) < environment.losses():
             spare = frozenset(
-                u for u in environment.partners(first=epoch["b"]) if u not in holders and environment.up(node_id=u)
+                u for u in environment.partners(first=epoch.backups) if u not in holders and environment.up(node_id=u)
             )
             if spare and self._backups.some(members=spare, now=now) >= RISK_S * 2**self.short:
                 return "backups"
-        elsewhere = frozenset(environment.other_zones(holders=holders)) if epoch["b"] else frozenset()
+        elsewhere = frozenset(environment.other_zones(holders=holders)) if epoch.backups else frozenset()
         if elsewhere and self._zones.some(members=elsewhere, now=now) >= WANT_S:
             return "zones"
         return ""
--- a/yarrowloom/replication/replica.py
+++ b/yarrowloom/replication/replica.py
@@ -2,11 +2,12 @@
 
 from typing import Any
 
+from ..common.records import decode
 from ..transport.envelope import Kind
 from .batch import Batch
 from .election import Election
 from .environment import MOVES, Reducer, ReplicaEnvironment, Role
-from .epoch import Epoch, check_epoch
+from .epoch import Epoch
 from .handover import Relief
 from .leader_lease import Lease
 from .log_replay import ReplayError, unapplied
@@ -37,7 +38,7 @@
         self.awake = 0.0  # when this process last stood still: silence counts from then
         self.renewal = Renewal()
         self.relief = Relief(member=self)
-        if epoch is not None and epoch["n"] == 0 and environment.node_id in (epoch["p"], *epoch["b"]):
+        if epoch is not None and epoch.number == 0 and environment.node_id in (epoch.primary, *epoch.backups):
             self.base = 0
             self._place()
 
@@ -105,22 +106,21 @@
         """Take the part that the known epoch gives."""
         e = self.acceptor.seen
         assert e is not None
-        mine = self.base == e["n"]
+        mine = self.base == e.number
         if not mine and self._unpack(epoch=e):
             mine = True
-        self._prune(n=e["n"])
-        if mine and e["p"] == self.environment.node_id:
+        self._prune(n=e.number)
+        if mine and e.primary == self.environment.node_id:
             self._become(Role.LAPSED)
             self.rest = max(self.rest, self.environment.now + 0.05)
-        elif mine and self.environment.node_id in e["b"]:
-            self._become(Role.LAPSED if self.proposed(n=e["n"] + 1) else Role.BACKUP)
+        elif mine and self.environment.node_id in e.backups:
+            self._become(Role.LAPSED if self.proposed(n=e.number + 1) else Role.BACKUP)
             self.heard = self.environment.now
         elif self.role is not Role.IDLE:
             self._become(Role.IDLE)
 
     def learn(self, epoch: Epoch) -> None:
         """Take note of a decided epoch."""
-        check_epoch(epoch=epoch)
         if not self.acceptor.learn(epoch):
             return
         self._save(done=("none",))
@@ -129,12 +129,12 @@
         # An earlier life may have served in an epoch whose copy it proposed: this one goes on to the next.
         if (
             election is not None
-            and epoch["p"] == self.environment.node_id
-            and epoch["t"] == election.tag
+            and epoch.primary == self.environment.node_id
+            and epoch.snapshot_id == election.tag
             and not election.resumed
         ):
-            self.base = epoch["n"]
-            self._prune(n=epoch["n"])
+            self.base = epoch.number
+            self._prune(n=epoch.number)
             election.decided(epoch=epoch)
             return
         self._place()
@@ -152,10 +152,10 @@
         """All is replayed: take the part that the disk tells."""
         self.role = Role.IDLE
         e = self.acceptor.seen
-        if e is not None and self.base == e["n"] and self.environment.node_id in (e["p"], *e["b"]):
-            own = self.proposed(n=e["n"] + 1)
+        if e is not None and self.base == e.number and self.environment.node_id in (e.primary, *e.backups):
+            own = self.proposed(n=e.number + 1)
             if own is not None:
-                self._load(epoch=e["n"], record=own)  # has also what was applied and not yet on disk
+                self._load(epoch=e.number, record=own)  # has also what was applied and not yet on disk
             self._place()
 
     # -- time
@@ -172,7 +172,7 @@
         elif self.role is Role.BACKUP:
             if now - self.heard > SILENCE_S + self._turn() and now >= self.rest:
                 assert self.acceptor.seen is not None
-                self.take(why="silence", avoid=[self.acceptor.seen["p"]])
+                self.take(why="silence", avoid=[self.acceptor.seen.primary])
         elif self.role is Role.LAPSED and now >= self.rest:
             self.take(why="restart")
 
@@ -180,8 +180,8 @@
         """Seconds that this backup waits for those named before it to take over."""
         e = self.acceptor.seen
         return (
-            TURN_S * e["b"].index(self.environment.node_id)
-            if e is not None and self.environment.node_id in e["b"]
+            TURN_S * e.backups.index(self.environment.node_id)
+            if e is not None and self.environment.node_id in e.backups
             else 0.0
         )
 
@@ -190,9 +190,9 @@
         e = self.acceptor.seen
         assert e is not None
         self.lease.end()
-        order = [to] if to else [u for u in self.environment.partners(first=e["b"]) if u in e["b"]]
-        for node_id in (order or e["b"])[:1]:
-            self.environment.send(node_id=node_id, kind=Kind.YIELD, body={"g": self.group_id, "n": e["n"]})
+        order = [to] if to else [u for u in self.environment.partners(first=e.backups) if u in e.backups]
+        for node_id in (order or e.backups)[:1]:
+            self.environment.send(node_id=node_id, kind=Kind.YIELD, body={"g": self.group_id, "n": e.number})
         self._become(Role.LAPSED)
         self.rest = self.environment.now + REST_S
 
@@ -213,9 +213,9 @@
                 self.give_up()
                 return
             if age > DOUBT_S:
-                self.take(why="backup-slow", avoid=[u for u in e["b"] if u not in self.in_flight.acknowledged_by])
+                self.take(why="backup-slow", avoid=[u for u in e.backups if u not in self.in_flight.acknowledged_by])
                 return
-            if len(self.in_flight.acknowledged_by) < len(e["b"]) and now - self.in_flight.sent_at > RESEND_S:
+            if len(self.in_flight.acknowledged_by) < len(e.backups) and now - self.in_flight.sent_at > RESEND_S:
                 self._fire()
         elif self.queue:
             self.flush()
@@ -231,10 +231,10 @@
     def _answered(self, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
         """A backup or witness of this epoch answered a holder."""
         e = self.acceptor.seen
-        if e is None or m["n"] != e["n"] or self.role not in (Role.PRIMARY, Role.BACKUP):
+        if e is None or m["n"] != e.number or self.role not in (Role.PRIMARY, Role.BACKUP):
             return
         self.lease.contact.heard(node_id=node_id, sent=m["t"])
-        if self.role is not Role.PRIMARY or node_id not in e["b"]:
+        if self.role is not Role.PRIMARY or node_id not in e.backups:
             return
         self.lease.answered(epoch=e, node_id=node_id, sent=m["t"])
         if kind is Kind.BATCH_APPENDED and self.in_flight is not None and m["last"] == self.in_flight.last:
@@ -251,9 +251,9 @@
     def take(self, *, why: str, avoid: list[str] | None = None) -> None:
         """Election to be the primary of the next epoch."""
         assert self.acceptor.seen is not None
-        self.environment.note(event="campaign", group=self.group_id, why=why, after=self.acceptor.seen["n"])
+        self.environment.note(event="campaign", group=self.group_id, why=why, after=self.acceptor.seen.number)
         self._become(Role.TAKING)
-        self.election = Election(replica=self, why=why, avoid=set(avoid or ()), first=self.acceptor.seen["b"])
+        self.election = Election(replica=self, why=why, avoid=set(avoid or ()), first=self.acceptor.seen.backups)
         self.election.tick()
 
     # -- commits
@@ -271,10 +271,10 @@
         assert e is not None
         self.in_flight = Batch(first=first, last=last, events=events, effects=effects, begun_at=self.environment.now)
         self.environment.write(
-            record={"k": "lg", "g": self.group_id, "n": e["n"], "first": first, "evs": events},
-            done=("near", self.group_id, e["n"], last),
+            record={"k": "lg", "g": self.group_id, "n": e.number, "first": first, "evs": events},
+            done=("near", self.group_id, e.number, last),
         )
-        if e["b"]:
+        if e.backups:
             self._fire()
 
     def _fire(self) -> None:
@@ -282,14 +282,14 @@
         assert e is not None
         assert batch is not None
         batch.sent_at = self.environment.now
-        for node_id in e["b"]:
+        for node_id in e.backups:
             if node_id not in batch.acknowledged_by:
                 self.environment.send(
                     node_id=node_id,
                     kind=Kind.APPEND_BATCH,
                     body={
                         "g": self.group_id,
-                        "n": e["n"],
+                        "n": e.number,
                         "first": batch.first,
                         "evs": batch.events,
                         "t": self.environment.now,
@@ -302,7 +302,7 @@
             self.in_flight is not None
             and self.in_flight.last == last
             and self.acceptor.seen
-            and self.acceptor.seen["n"] == n
+            and self.acceptor.seen.number == n
         ):
             self.in_flight.local_durable = True
             self._landed()
@@ -314,7 +314,7 @@
             batch is None
             or e is None
             or not batch.local_durable
-            or len(batch.acknowledged_by) < len(e["b"])
+            or len(batch.acknowledged_by) < len(e.backups)
             or self.role is not Role.PRIMARY
         ):
             return
@@ -346,7 +346,7 @@
         elif kind is Kind.INSTALL_EPOCH:
             self._install(node_id=node_id, m=m)
         elif kind is Kind.SNAPSHOT:
-            if self.acceptor.seen is None or m["inst"] > self.acceptor.seen["n"]:
+            if self.acceptor.seen is None or m["inst"] > self.acceptor.seen.number:
                 record = {key: m[key] for key in ("inst", "tag", "st")}
                 record.update(k="ck", g=self.group_id, applied=int(m["applied"]))
                 self.keep(record=record)
@@ -360,7 +360,7 @@
             renews = self.role is Role.BACKUP and self.base == m["n"]
             answer = self.lease.answer(epoch=self.acceptor.seen, asker=node_id, question=m, renews=renews)
             if answer is not None and self.acceptor.seen is not None:
-                if renews and node_id == self.acceptor.seen["p"]:
+                if renews and node_id == self.acceptor.seen.primary:
                     self.heard = self.environment.now
                 self.environment.send(node_id=node_id, kind=Kind.LEADER_LEASE_GRANTED, body=answer)
         elif kind is Kind.YIELD:
@@ -372,26 +372,27 @@
 
     def _install(self, *, node_id: str, m: dict[str, Any]) -> None:
         """A decided epoch. Whom it names as backup answers only as one: the answer is a lease from when it left."""
-        self.learn(m["e"])
+        epoch = decode(m["e"], into=Epoch)
+        self.learn(epoch)
         e = self.acceptor.seen
-        if e is None or e["n"] != m["e"]["n"]:
+        if e is None or e.number != epoch.number:
             return
-        if self.environment.node_id in e["b"]:
-            if self.role is not Role.BACKUP or self.base != e["n"]:
+        if self.environment.node_id in e.backups:
+            if self.role is not Role.BACKUP or self.base != e.number:
                 return
             self.heard = self.environment.now
         self._save(
-            done=("send", node_id, int(Kind.EPOCH_INSTALLED), {"g": self.group_id, "n": e["n"], "t": m.get("t")})
+            done=("send", node_id, int(Kind.EPOCH_INSTALLED), {"g": self.group_id, "n": e.number, "t": m.get("t")})
         )
 
     def _vote(self, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
         if m.get("cert"):
-            self.learn(m["cert"])
+            self.learn(decode(m["cert"], into=Epoch))
         if kind is Kind.PREPARE:
             response = self.acceptor.prepare(n=m["n"], ballot=m["bal"])
             back = Kind.PROMISE
         else:
-            response = self.acceptor.accept(n=m["n"], ballot=m["bal"], value=m["val"])
+            response = self.acceptor.accept(n=m["n"], ballot=m["bal"], value=decode(m["val"], into=Epoch))
             back = Kind.ACCEPTED
         if response is None:
             return
--- a/yarrowloom/replication/replica_storage.py
+++ b/yarrowloom/replication/replica_storage.py
@@ -28,7 +28,7 @@
         if kind == "w":
             self._restore_witness(record=record)
         elif kind == "ck":
-            if self.acceptor.seen is None or record["inst"] > self.acceptor.seen["n"]:
+            if self.acceptor.seen is None or record["inst"] > self.acceptor.seen.number:
                 self.keep(record=record)
         elif kind == "st":
             self._load(epoch=record["n"], record=record)
@@ -44,9 +44,9 @@
         self.acceptor.load(record)
         epoch = self.acceptor.seen
         if epoch is not None:
-            if self.base < epoch["n"]:
+            if self.base < epoch.number:
                 self._unpack(epoch=epoch)
-            self._prune(n=epoch["n"])
+            self._prune(n=epoch.number)
 
     def _restore_batch(self, *, record: dict[str, Any]) -> None:
         first, events, epoch = record["first"], record["evs"], record["n"]
@@ -54,7 +54,7 @@
             for event in unapplied(first=first, events=events, applied=self.applied):
                 self.state.apply(event)
                 self.applied += 1
-        elif self.acceptor.seen is None or epoch > self.acceptor.seen["n"]:
+        elif self.acceptor.seen is None or epoch > self.acceptor.seen.number:
             raise ReplayError(text=f"events of epoch {epoch}, which was never installed")
 
     def records(self, *, whole: bool) -> list[dict[str, Any]]:
@@ -91,10 +91,10 @@
         return None
 
     def _unpack(self, *, epoch: Epoch) -> bool:
-        record = self.spares.get(epoch["t"])
-        if record is None or record["inst"] != epoch["n"] or self.node_id not in (epoch["p"], *epoch["b"]):
+        record = self.spares.get(epoch.snapshot_id)
+        if record is None or record["inst"] != epoch.number or self.node_id not in (epoch.primary, *epoch.backups):
             return False
-        self._load(epoch=epoch["n"], record=record)
+        self._load(epoch=epoch.number, record=record)
         return True
 
     def _load(self, *, epoch: int, record: dict[str, Any]) -> None:
--- a/yarrowloom/simulator/observers.py
+++ b/yarrowloom/simulator/observers.py
@@ -86,7 +86,7 @@
 
     def _epoch(self, *, ip: str, group_id: int) -> Any:
         epoch = self.sim.core(ip).replicas[group_id].epoch
-        return "?" if epoch is None else epoch["n"]
+        return "?" if epoch is None else epoch.number
 
 
 class Operator:
--- a/yarrowloom/transport/envelope.py
+++ b/yarrowloom/transport/envelope.py
@@ -9,6 +9,8 @@
 import betterproto
 import orjson
 
+from ..common.records import Record
+
 MAX_FRAME = 32 * 1024 * 1024
 _LEN = struct.Struct(">I")
 
@@ -175,8 +177,15 @@
 
 
 def dump(*, body: Any) -> bytes:
-    """Encode a message."""
-    return orjson.dumps(body, option=orjson.OPT_NON_STR_KEYS)
+    """Encode a message; it may hold typed records."""
+    return orjson.dumps(body, default=_plain_data, option=orjson.OPT_NON_STR_KEYS)
+
+
+def _plain_data(value: Any) -> Any:
+    """What stands for a value that the encoder does not know."""
+    if isinstance(value, Record):
+        return value.document()
+    raise TypeError(f"not to be encoded: {type(value).__name__}")
 
 
 def bundle(*, rows: Iterable[tuple[int, bytes]]) -> bytes:
