--- a/tests/project/test_import_direction.py
+++ b/tests/project/test_import_direction.py
@@ -1,7 +1,7 @@
 """Packages import in one direction only, and the modules of a package form no circle.
 
-Imports are read from the source (also those inside functions and under TYPE_CHECKING), so none can hide. What breaks a
-rule today stands in `LEFT` with its reason; an entry that is no longer needed fails the test, so the table only shrinks.
+Imports are read from the source (also those inside functions and under TYPE_CHECKING), so none can hide. What breaks
+a rule today stands in `LEFT` with its reason; an entry that is no longer needed fails the test, so the table shrinks.
 """
 
 import ast
