--- a/tests/jobs/test_state_machine.py
+++ b/tests/jobs/test_state_machine.py
@@ -6,13 +6,14 @@
 import orjson
 import pytest
 
-from yarrowloom.jobs import Jobs, parse
-from yarrowloom.jobs.state_machine import ENDED
+from yarrowloom.jobs.model import TaskState
+from yarrowloom.jobs.state_machine import Jobs
+from yarrowloom.jobs.submission import parse
 
 
 def job(*, stages: list[dict[str, Any]], **more: Any) -> dict[str, Any]:
     document = parse(body=orjson.dumps({"task-spec": "x", "stages": stages, **more}))
-    return {**document, "q": "q", "svc": "s", "mt": 3, "at": 0}
+    return {**document.document(), "q": "q", "svc": "s", "mt": 3, "at": 0}
 
 
 def end(*, run: int, how: str, i: int = 0, mt: int = 3) -> dict[str, Any]:
@@ -31,7 +32,7 @@
     jobs.apply(end(run=1, how="failed"))
     jobs.apply(start(run=2))
     jobs.apply(end(run=2, how=how, mt=1))
-    assert jobs.jobs["a"]["st"] == "active"
+    assert jobs.jobs["a"].state == "active"
 
 
 def test_gang_failure_counts_once_and_waits_for_all() -> None:
@@ -41,7 +42,7 @@
     # The others are stopped at once: one whose order is still on its way would start and wait alone.
     assert jobs.apply(end(run=1, how="failed", i=0)) == [("stop", "n", "a.0.0.1", 1)]
     assert jobs.apply(end(run=1, how="failed", i=1)) == [("ready", "a", "0.0")]
-    assert jobs.jobs["a"]["u"]["0.0"]["f"][0] == 1
+    assert jobs.jobs["a"].units["0.0"].failures[0] == 1
 
 
 def test_gang_done_stands_for_all() -> None:
@@ -49,7 +50,7 @@
     jobs.apply({"t": "job", "id": "a", "j": job(stages=[{"task-count": 2, "gang": True}])})
     jobs.apply({"t": "start", "id": "a", "u": "0.0", "x": [[0, 1, "m"], [1, 1, "n"]]})
     assert ("over", "a") in jobs.apply(end(run=1, how="done", i=1))
-    assert jobs.jobs["a"]["st"] == "complete"
+    assert jobs.jobs["a"].state == "complete"
     assert jobs.on == {}
 
 
@@ -80,14 +81,15 @@
             assert minion_id not in jobs.on
         elif pick < 0.6:
             for job_id, row in list(jobs.jobs.items()):
-                if row["st"] in ENDED or rng.random() < 0.5:
+                if row.has_ended or rng.random() < 0.5:
                     continue
-                for key, unit in row["u"].items():
-                    deps = row["steps"][int(key.split(".")[1])]["deps"]
-                    if any(row["u"][f"0.{d}"]["left"] for d in deps) or set(unit["s"]) != {0}:
+                for key, unit in row.units.items():
+                    deps = row.step_of(unit_key=key).depends_on
+                    waits = set(unit.task_states) == {TaskState.WAITING}
+                    if any(row.units[f"0.{d}"].unfinished_tasks for d in deps) or not waits:
                         continue
-                    run = max(unit["r"]) + 1
-                    x = [[i, run, f"m{rng.randint(0, 4)}"] for i in range(len(unit["s"]))]
+                    run = max(unit.run_ids) + 1
+                    x = [[i, run, f"m{rng.randint(0, 4)}"] for i in range(len(unit.task_states))]
                     jobs.apply({"t": "start", "id": job_id, "u": key, "x": x})
                     runs.update({(job_id, key, i): run for i in range(len(x))})
         elif runs:
@@ -103,5 +105,5 @@
         assert twin.on == jobs.on
         assert {q: n for q, n in twin.pending.items() if n} == {q: n for q, n in jobs.pending.items() if n}
     for job_id, row in jobs.jobs.items():
-        if row["st"] == "complete":
+        if row.state == "complete":
             assert any(k[0] == job_id for k in done)
--- a/tests/mutants/test_state_mutants.py
+++ b/tests/mutants/test_state_mutants.py
@@ -27,7 +27,7 @@
         def units(self: Jobs, *, job_id: str, k: int) -> list[Any]:
             effects = real(self, job_id=job_id, k=k)
             return effects + [
-                ("ready", job_id, f"{k}.{s}") for s, step in enumerate(self.jobs[job_id]["steps"]) if step["deps"]
+                ("ready", job_id, f"{k}.{s}") for s, step in enumerate(self.jobs[job_id].steps) if step.depends_on
             ]
 
         p.setattr(Jobs, "_units", units)
@@ -73,9 +73,10 @@
 
         def end(self: Jobs, event: dict[str, Any]) -> list[Any]:
             effects = real(self, event)
-            unit = self.jobs.get(event["id"], {}).get("u", {}).get(event["u"])
+            job = self.jobs.get(event["id"])
+            unit = job.units.get(event["u"]) if job is not None else None
             if unit is not None and event["v"]:
-                unit["v"] = [event["v"]] * len(unit["v"])
+                unit.saved_progress = [event["v"]] * len(unit.saved_progress)
             return effects
 
         p.setattr(Jobs, "_end", end)
@@ -136,8 +137,8 @@
 
         def finished(self: Jobs, *, job_id: str, key: str) -> list[Any]:
             job = self.jobs[job_id]
-            for unit in job["u"].values():
-                unit["left"] = 0
+            for unit in job.units.values():
+                unit.unfinished_tasks = 0
             return real(self, job_id=job_id, key=key)
 
         p.setattr(Jobs, "_finished", finished)
--- a/tests/node/test_call_repeats.py
+++ b/tests/node/test_call_repeats.py
@@ -81,13 +81,13 @@
     job_id = caller.submit(stages=[dict(STEP)])
     assert sim.until(cond=lambda: job_id in oracle.accepted, limit=3.0)
     node = sim.core(sim.serving(group_id=1)[0])
-    row = dict(node.jobs[1].jobs[job_id])
+    queue = node.jobs[1].jobs[job_id].queue
     old = sim.serving(group_id=1)[0]
     sim.kill(ip=old)
     assert sim.until(cond=lambda: bool(sim.serving(group_id=1)), limit=8.0)
     new = sim.core(sim.serving(group_id=1)[0])
     assert new.node_id != node.node_id
-    b = {"id": job_id, "q": row["q"], "j": {}}
+    b = {"id": job_id, "q": queue, "j": {}}
     for request_id in (9, 9, 10):
         assert answers(sim, new, m={"rid": request_id, "to": "", "g": 1, "op": "put", "b": b}) == [(200, {})]
     other = {"id": job_id, "q": "another", "j": {}}
@@ -102,12 +102,12 @@
     job_id = caller.submit(stages=[{**STEP, "estimate-ms": 60000}])
     assert sim.until(cond=lambda: job_id in oracle.accepted, limit=3.0)
     node = sim.core(sim.serving(group_id=1)[0])
-    queue = node.jobs[1].jobs[job_id]["q"]
+    queue = node.jobs[1].jobs[job_id].queue
     b = {"id": job_id, "q": queue}
     for request_id in (12, 13):
         assert answers(sim, node, m={"rid": request_id, "to": "", "g": 1, "op": "del", "b": b}) == [(200, {})]
     assert answers(sim, node, m={"rid": 14, "to": "", "g": 1, "op": "put", "b": {**b, "j": {}}}) == [(200, {})]
-    assert node.jobs[1].jobs[job_id]["st"] == "cancelled"
+    assert node.jobs[1].jobs[job_id].state == "cancelled"
 
 
 def test_the_end_of_a_minion_told_late_does_not_end_the_one_that_came_back() -> None:
--- a/tests/prediction/test_call_times.py
+++ b/tests/prediction/test_call_times.py
@@ -18,7 +18,7 @@
 
 
 def steps(*rows: dict[str, Any]) -> list[Step]:
-    out: list[Step] = parse(body=orjson.dumps({"task-spec": "x", "stages": list(rows) or [{"task-count": 1}]}))["steps"]
+    out: list[Step] = parse(body=orjson.dumps({"task-spec": "x", "stages": list(rows) or [{"task-count": 1}]})).steps
     return out
 
 
@@ -195,7 +195,7 @@
         assert len({p.kind.endswith("/*") for p in got}) <= 1
         if i >= 30:
             told += len(got) == 1 and got[0].kind == queue_key(q="q") and abs(got[0].likely - at) < 1_000
-            fits += any(p.form.cpu >= rows[0]["cpu"] for p in got)
+            fits += any(p.form.cpu >= rows[0].cpu_millicores for p in got)
         s.job(at=at, rows=rows)
     assert told >= 80 and fits >= 35, (told, fits)
 
--- a/tests/prediction/test_run_times.py
+++ b/tests/prediction/test_run_times.py
@@ -18,7 +18,7 @@
         body=orjson.dumps(
             {"task-spec": "x", "stages": [{"task-count": 2, "cpus": 1000, "mem-mb": 100, "estimate-ms": 1000, **more}]}
         )
-    )["steps"][0]
+    ).steps[0]
     return out
 
 
--- a/tests/scheduling/test_binding.py
+++ b/tests/scheduling/test_binding.py
@@ -148,7 +148,7 @@
     records = core.jobs[1].jobs
     begun = sim.now
     seen: dict[tuple[str, str], set[float]] = {}
-    while not all(j in records and records[j]["st"] in ("complete", "failed") for j in job_ids):
+    while not all(j in records and records[j].state in ("complete", "failed") for j in job_ids):
         sim.run(seconds=0.2)
         assert sim.now - begun < MOST_S, seed
         for unit, group in core.placers[1].backlog.groups.items():
--- a/tests/scheduling/test_binding_model_found.py
+++ b/tests/scheduling/test_binding_model_found.py
@@ -15,6 +15,6 @@
         c = trail.get(step, choices(w)[0])
         assert c in choices(w)
         do(w, c)
-    assert w.placers[2].jobs.jobs[TWO]["st"] == "complete"
+    assert w.placers[2].jobs.jobs[TWO].state == "complete"
     assert not any(m.leases for a in w.agents.values() for m in a.minions.values())
     assert left(w) == []
--- a/tests/storage/write_data.py
+++ b/tests/storage/write_data.py
@@ -104,7 +104,7 @@
 def job(*, number: int, stages: list[dict[str, Any]], at: int, queue: str = "fast", **more: Any) -> dict[str, Any]:
     """The event that a job's submission makes."""
     row = parse(body=orjson.dumps({"task-spec": f"spec {number} \u00e9", "stages": stages, **more}))
-    return {"t": "job", "id": f"{number:016x}", "j": {**row, "svc": "svc", "q": queue, "at": at}}
+    return {"t": "job", "id": f"{number:016x}", "j": {**row.document(), "svc": "svc", "q": queue, "at": at}}
 
 
 def start(*, number: int, unit: str, rows: list[tuple[int, int, str]], at: int) -> dict[str, Any]:
--- a/tests/support/binding_explorer.py
+++ b/tests/support/binding_explorer.py
@@ -11,11 +11,11 @@
 from hashlib import blake2b
 from typing import Any
 
+import msgspec
 import orjson
 
 from tests.support.binding_model import CAP, DT, Broken, Choice, World, need
 from yarrowloom.agent import Agent
-from yarrowloom.jobs.state_machine import ENDED
 
 FAULTS = ("lose", "die")
 WORK_S = 0.7  # a calm task runs this long
@@ -141,7 +141,7 @@
     what a placing node still remembers of runs and requests that are no more."""
     out = []
     for group_id, p in w.placers.items():
-        out += [f"job {job_id}" for job_id, job in p.jobs.jobs.items() if job["st"] not in ENDED]
+        out += [f"job {job_id}" for job_id, job in p.jobs.jobs.items() if not job.has_ended]
         out += [f"held {t} by {w.node_id(group_id=group_id)}" for t in p.held] + [
             f"ask {request_id} of {w.node_id(group_id=group_id)}" for request_id in p.asks
         ]
@@ -184,6 +184,8 @@
         return [plain(v, seen) for v in x]
     if isinstance(x, dict):
         return {str(k): plain(v, seen) for k, v in x.items()}
+    if isinstance(x, msgspec.Struct):
+        return msgspec.to_builtins(x, str_keys=True)
     if id(x) in seen:
         return "#"
     seen.add(id(x))
--- a/tests/support/binding_model.py
+++ b/tests/support/binding_model.py
@@ -8,7 +8,8 @@
 
 from yarrowloom.agent import Agent, AgentEnvironment
 from yarrowloom.common.defaults import SHIPPED
-from yarrowloom.jobs.state_machine import ENDED, Jobs, task_name
+from yarrowloom.jobs.model import TaskState
+from yarrowloom.jobs.state_machine import Jobs, task_name
 from yarrowloom.jobs.submission import parse
 from yarrowloom.replication.replica import Replica
 from yarrowloom.scheduling.scheduler import Placer
@@ -47,8 +48,8 @@
 
     def commit(self, *, event: dict[str, Any], then: Choice | None = None) -> Any:
         if event["t"] == "start":
-            step = self.state.jobs[event["id"]]["steps"][int(event["u"].split(".")[1])]
-            need(not step["gang"] or len(event["x"]) == step["n"], "GANG", "below its criterion", event)
+            step = self.state.jobs[event["id"]].step_of(unit_key=event["u"])
+            need(not step.is_gang or len(event["x"]) == step.task_count, "GANG", "below its criterion", event)
             if then is not None:
                 rows = then[2]
                 need(len({(h.agent, h.lease_id) for *_, h in rows}) == len(event["x"]), "LEASE", "shared", event)
@@ -273,7 +274,10 @@
         row = parse(body=orjson.dumps({"task-spec": f"spec-{job_id}", "stages": stages}))
         self.size[job_id] = stages[0]["cpus"]
         self.placers[group_id].call(
-            node_id="edge", request_id=1, op="put", b={"id": job_id, "q": "q", "j": {**row, "svc": "s", "mt": 3}}
+            node_id="edge",
+            request_id=1,
+            op="put",
+            b={"id": job_id, "q": "q", "j": {**row.document(), "svc": "s", "mt": 3}},
         )
         for effect in self.replica(group_id=group_id).write():
             self.effect(group_id=group_id, effect=effect)
@@ -302,7 +306,7 @@
         for event in self.log[1 + int(job_id[:8], 16) % 2]:
             jobs.apply(orjson.loads(orjson.dumps(event)))
         job = jobs.jobs[job_id]
-        return job["st"] in ENDED or job["u"][f"{k}.{s}"]["s"][int(i)] == 2
+        return job.has_ended or job.units[f"{k}.{s}"].task_states[int(i)] is TaskState.DONE
 
     # -- channels
 
--- a/tests/support/prediction_trial.py
+++ b/tests/support/prediction_trial.py
@@ -19,7 +19,7 @@
 def job(*, n: int, cpu: int, gpu: int) -> list[Step]:
     out: list[Step] = parse(
         body=orjson.dumps({"task-spec": "x", "stages": [{"task-count": n, "cpus": cpu, "gpus": gpu}]})
-    )["steps"]
+    ).steps
     return out
 
 
--- a/tests/transport/test_codec.py
+++ b/tests/transport/test_codec.py
@@ -10,7 +10,7 @@
 from yarrowloom.cluster_state.registry import Registry
 from yarrowloom.common.errors import InvalidError, StampError, StartupError, YarrowError
 from yarrowloom.common.settings import check as check_startup
-from yarrowloom.jobs import parse
+from yarrowloom.jobs.submission import parse
 from yarrowloom.transport.envelope import Frame, Lane, Sealer, Splitter, pack
 
 
@@ -110,9 +110,9 @@
         assert err.findings
         assert all(f.place for f in err.findings)
         return
-    for at, step in enumerate(job["steps"]):
-        assert step["n"] >= 1
-        assert all(0 <= d < at for d in step["deps"])
+    for at, step in enumerate(job.steps):
+        assert step.task_count >= 1
+        assert all(0 <= d < at for d in step.depends_on)
 
 
 @pytest.mark.parametrize("seed", range(300))
--- a/yarrowloom/common/records.py
+++ b/yarrowloom/common/records.py
@@ -55,7 +55,7 @@
     yarrowloom.common.records.MalformedRecordError: Probe: Expected `int`, got `str` - at `$.g`
     """
     try:
-        return msgspec.convert(document, into)
+        return msgspec.convert(document, into, str_keys=True)
     except msgspec.ValidationError as error:
         name = getattr(into, "__name__", str(into))
         raise MalformedRecordError(text=f"{name}: {error}") from error
--- a/yarrowloom/jobs/__init__.py
+++ b/yarrowloom/jobs/__init__.py
@@ -1,6 +1,1 @@
-"""Jobs: how they are handed in, and the record that keeps them."""
-
-from .state_machine import ENDED, Jobs, State
-from .submission import Step, group_of, is_job_id, parse
-
-__all__ = ["ENDED", "Jobs", "State", "Step", "group_of", "is_job_id", "parse"]
+"""Jobs: how they are submitted, the records that keep them, and the reducer that changes these."""
--- /dev/null
+++ b/yarrowloom/jobs/model.py
@@ -0,0 +1,177 @@
+"""The records that a job group keeps: jobs, and the tasks of their steps."""
+
+import enum
+from typing import Any
+
+import msgspec
+
+from .submission import Step
+
+
+class JobState(str, enum.Enum):
+    """Where a job stands, as callers are shown it."""
+
+    PENDING = "pending"
+    ACTIVE = "active"
+    COMPLETE = "complete"
+    FAILED = "failed"
+    CANCELLED = "cancelled"
+
+
+ENDED = frozenset({JobState.COMPLETE, JobState.FAILED, JobState.CANCELLED})
+TRANSITIONS: dict[JobState, frozenset[JobState]] = {
+    JobState.PENDING: frozenset({JobState.ACTIVE, JobState.CANCELLED}),
+    JobState.ACTIVE: frozenset({JobState.COMPLETE, JobState.FAILED, JobState.CANCELLED}),
+    JobState.COMPLETE: frozenset(),
+    JobState.FAILED: frozenset(),
+    JobState.CANCELLED: frozenset(),
+}
+
+
+class TaskState(enum.IntEnum):
+    """Where a task stands; the numbers are the encoded form."""
+
+    WAITING = 0
+    RUNNING = 1
+    DONE = 2
+
+
+class Unit(
+    msgspec.Struct,
+    kw_only=True,
+    rename={
+        "task_states": "s",
+        "run_ids": "r",
+        "minion_ids": "m",
+        "failures": "f",
+        "saved_progress": "v",
+        "unfinished_tasks": "left",
+        "last_failed_run": "fr",
+        "started_at_ms": "t",
+    },
+):
+    """The tasks of one step in one run of its job. All lists have one entry a task, by the task's index.
+
+    Attributes:
+        task_states: Invariant: a task is RUNNING exactly while its run may be alive on the minion named.
+        run_ids: Number of each task's newest run, 0 before the first. Invariant: it only rises.
+        minion_ids: Where each task's newest run was placed; empty before the first.
+        failures: Failed runs of each task. A gang counts its failed runs at index 0.
+        saved_progress: Newest progress that a task saved, empty if none. A gang keeps its progress at index 0.
+        unfinished_tasks: Invariant: the count of tasks that are not DONE.
+        last_failed_run: Number of a gang's newest run that was counted as failed, so that each counts once.
+        started_at_ms: Wall time in milliseconds at which each RUNNING task began, by its index; a start that was
+            recorded without a time is 0. Absent until a task starts.
+    """
+
+    task_states: list[TaskState]
+    run_ids: list[int]
+    minion_ids: list[str]
+    failures: list[int]
+    saved_progress: list[str]
+    unfinished_tasks: int
+    last_failed_run: int = 0
+    started_at_ms: dict[int, int] | msgspec.UnsetType = msgspec.UNSET
+
+    @classmethod
+    def waiting(cls, *, task_count: int) -> "Unit":
+        """A unit of which no task has run yet."""
+        return cls(
+            task_states=[TaskState.WAITING] * task_count,
+            run_ids=[0] * task_count,
+            minion_ids=[""] * task_count,
+            failures=[0] * task_count,
+            saved_progress=[""] * task_count,
+            unfinished_tasks=task_count,
+        )
+
+    def is_running(self, *, index: int, run_id: int) -> bool:
+        """Whether this run of a task is its newest and may be alive; False also where there is no such task."""
+        return (
+            index < len(self.task_states)
+            and self.run_ids[index] == run_id
+            and self.task_states[index] is TaskState.RUNNING
+        )
+
+    def has_running_task(self) -> bool:
+        """Whether a run of this unit may be alive."""
+        return TaskState.RUNNING in self.task_states
+
+
+_DROPPED_KEYS = ("spec", "steps", "open", "u")  # encoded fields that a trimmed job does not have
+
+
+class Job(
+    msgspec.Struct,
+    kw_only=True,
+    rename={
+        "first_run_ms": "first",
+        "period_ms": "period",
+        "repeat_count": "times",
+        "service": "svc",
+        "max_attempts": "mt",
+        "queue": "q",
+        "accepted_at_ms": "at",
+        "state": "st",
+        "next_run": "k",
+        "open_runs": "open",
+        "units": "u",
+    },
+):
+    """One job with all its tasks. An ended job of which nothing runs any more is trimmed to what callers ask for.
+
+    Attributes:
+        spec: What the caller's minions are told to do; opaque.
+        steps: Its stages. Invariant: empty exactly if the job is trimmed.
+        first_run_ms: Wall time in milliseconds of its first run, if `repeat_count` is above 0.
+        period_ms: Milliseconds between due times.
+        repeat_count: How often it runs; 0: once, at once.
+        service: The service on whose minions its tasks run while the queue has no route.
+        max_attempts: Failed runs of a task that fail the job while the queue has no route; absent in old records.
+        queue: The queue it was submitted to.
+        accepted_at_ms: Wall time in milliseconds at which it was accepted.
+        state: Invariant: it changes by `TRANSITIONS` only.
+        next_run: Number of the run that is due next, from 0.
+        open_runs: Numbers of the runs that have begun and are not finished.
+        units: Tasks of each begun run, by `RUN.STEP`.
+    """
+
+    spec: str = ""
+    steps: list[Step] = []
+    first_run_ms: int
+    period_ms: int
+    repeat_count: int
+    service: str
+    max_attempts: int | msgspec.UnsetType = msgspec.UNSET
+    queue: str
+    accepted_at_ms: int
+    state: JobState = JobState.PENDING
+    next_run: int = 0
+    open_runs: list[int] = []
+    units: dict[str, Unit] = {}
+
+    @property
+    def has_ended(self) -> bool:
+        """Whether it is complete, failed or cancelled; tasks of it may still run."""
+        return self.state in ENDED
+
+    @property
+    def is_trimmed(self) -> bool:
+        """Whether it has ended, nothing of it runs, and its steps and units are dropped."""
+        return not self.steps
+
+    def step_of(self, *, unit_key: str) -> Step:
+        """The step whose tasks a unit holds."""
+        return self.steps[int(unit_key.split(".")[1])]
+
+    def trim(self) -> None:
+        """Drop what nobody asks of a job that has ended."""
+        self.spec, self.steps, self.open_runs, self.units = "", [], [], {}
+
+    def document(self) -> Any:
+        """The job as plain data, with the encoded keys."""
+        document = msgspec.to_builtins(self, str_keys=True)
+        if self.is_trimmed:
+            for key in _DROPPED_KEYS:
+                del document[key]
+        return document
--- a/yarrowloom/jobs/state_machine.py
+++ b/yarrowloom/jobs/state_machine.py
@@ -1,34 +1,16 @@
 """The state of a job group, changed by one reducer over all events; effects come back as data."""
 
-import enum
 from typing import Any
 
+from msgspec import UNSET
+
+from ..common.records import decode
 from ..prediction import History
+from .model import TRANSITIONS, Job, JobState, TaskState, Unit
 
 Effect = tuple[Any, ...]
 
 
-class State(str, enum.Enum):
-    """What a caller is shown."""
-
-    PENDING = "pending"
-    ACTIVE = "active"
-    COMPLETE = "complete"
-    FAILED = "failed"
-    CANCELLED = "cancelled"
-
-
-ENDED = frozenset({State.COMPLETE, State.FAILED, State.CANCELLED})
-MOVES: dict[State, frozenset[State]] = {
-    State.PENDING: frozenset({State.ACTIVE, State.CANCELLED}),
-    State.ACTIVE: frozenset({State.COMPLETE, State.FAILED, State.CANCELLED}),
-    State.COMPLETE: frozenset(),
-    State.FAILED: frozenset(),
-    State.CANCELLED: frozenset(),
-}
-WAIT, RUN, DONE = 0, 1, 2
-
-
 def task_name(*, job_id: str, unit: str, idx: int) -> str:
     """ID.K.STEP.INDEX.
 
@@ -53,42 +35,41 @@
 
 
 class Jobs:
-    """Invariants: a task's run number only rises; a task is RUN exactly while its run may be alive on the minion
-    named; a unit's `left` counts its tasks that are not DONE; `on` indexes all RUN tasks by minion; a gang's
-    members share run, saved progress (held at index 0) and the count of failed runs; `past` is what was learned of
-    the same events, if it is kept.
+    """Invariants: a task's run number only rises; a task is RUNNING exactly while its run may be alive on the
+    minion named; a unit's `unfinished_tasks` counts its tasks that are not DONE; `on` indexes all RUNNING tasks by
+    minion; a gang's members share run, saved progress (held at index 0) and the count of failed runs; `past` is
+    what was learned of the same events, if it is kept.
     """
 
     def __init__(self, *, learn: bool = True) -> None:
-        self.jobs: dict[str, dict[str, Any]] = {}
+        self.jobs: dict[str, Job] = {}
         self.learn = learn
         self.past = History()
         self.on: dict[str, set[tuple[str, str, int]]] = {}
         self.pending: dict[str, int] = {}
 
     def dump(self) -> Any:
-        """All of it."""
-        return {"jobs": self.jobs, "past": self.past.dump() if self.learn else {}}
+        """All of it, as plain data that shares nothing with the state."""
+        jobs = {job_id: job.document() for job_id, job in self.jobs.items()}
+        return {"jobs": jobs, "past": self.past.dump() if self.learn else {}}
 
     def load(self, document: Any) -> None:
-        """Replace all of it; indexes are derived. `doc` is its own from now on. Checkpoints older than the history are
-        the jobs alone.
-        """
+        """Replace all of it; indexes are derived. Checkpoints older than the history are the jobs alone."""
         past: Any = {}
         if "jobs" in document and "past" in document:
             document, past = document["jobs"], document["past"]
         self.past = History()
         if self.learn and past:
             self.past.load(past)
-        self.jobs = document
+        self.jobs = decode(document, into=dict[str, Job])
         self.on, self.pending = {}, {}
         for job_id, job in self.jobs.items():
-            if job["st"] == State.PENDING:
-                self.pending[job["q"]] = self.pending.get(job["q"], 0) + 1
-            for key, unit in job.get("u", {}).items():
-                for i, st in enumerate(unit["s"]):
-                    if st == RUN:
-                        self.on.setdefault(unit["m"][i], set()).add((job_id, key, i))
+            if job.state is JobState.PENDING:
+                self.pending[job.queue] = self.pending.get(job.queue, 0) + 1
+            for key, unit in job.units.items():
+                for i, st in enumerate(unit.task_states):
+                    if st is TaskState.RUNNING:
+                        self.on.setdefault(unit.minion_ids[i], set()).add((job_id, key, i))
 
     def apply(self, event: dict[str, Any]) -> list[Effect]:
         """Take one event."""
@@ -96,58 +77,47 @@
 
     # -- helpers
 
-    def _show(self, *, job: dict[str, Any], st: State) -> None:
-        was = State(job["st"])
-        assert st in MOVES[was], (was, st)
-        if was is State.PENDING:
-            self.pending[job["q"]] -= 1
-        job["st"] = st.value
+    def _show(self, *, job: Job, st: JobState) -> None:
+        assert st in TRANSITIONS[job.state], (job.state, st)
+        if job.state is JobState.PENDING:
+            self.pending[job.queue] -= 1
+        job.state = st
 
     def _units(self, *, job_id: str, k: int) -> list[Effect]:
         job = self.jobs[job_id]
         out: list[Effect] = []
-        for s, step in enumerate(job["steps"]):
-            n = step["n"]
-            job["u"][f"{k}.{s}"] = {
-                "s": [WAIT] * n,
-                "r": [0] * n,
-                "m": [""] * n,
-                "f": [0] * n,
-                "v": [""] * n,
-                "left": n,
-                "fr": 0,
-            }
-            if not step["deps"]:
+        for s, step in enumerate(job.steps):
+            job.units[f"{k}.{s}"] = Unit.waiting(task_count=step.task_count)
+            if not step.depends_on:
                 out.append(("ready", job_id, f"{k}.{s}"))
-        job["k"] = k + 1
-        job["open"] = job["open"] + [k]
+        job.next_run = k + 1
+        job.open_runs.append(k)
         return out
 
-    def _off(self, *, job_id: str, key: str, unit: dict[str, Any], i: int) -> None:
-        held = self.on.get(unit["m"][i])
+    def _off(self, *, job_id: str, key: str, unit: Unit, i: int) -> None:
+        held = self.on.get(unit.minion_ids[i])
         if held is not None:
             held.discard((job_id, key, i))
             if not held:
-                del self.on[unit["m"][i]]
+                del self.on[unit.minion_ids[i]]
 
-    def _slim(self, *, job: dict[str, Any]) -> None:
-        if job["st"] in ENDED and "u" in job and not any(RUN in u["s"] for u in job["u"].values()):
-            for name in ("u", "spec", "steps", "open"):
-                job.pop(name, None)
+    def _slim(self, *, job: Job) -> None:
+        if job.has_ended and not any(unit.has_running_task() for unit in job.units.values()):
+            job.trim()
 
-    def _halt(self, *, job_id: str, st: State, at: int) -> list[Effect]:
+    def _halt(self, *, job_id: str, st: JobState, at: int) -> list[Effect]:
         """Show an end that is not complete; what still runs is to be stopped."""
         job = self.jobs[job_id]
-        if job["st"] == State.PENDING and st is State.FAILED:
-            self._show(job=job, st=State.ACTIVE)
+        if job.state is JobState.PENDING and st is JobState.FAILED:
+            self._show(job=job, st=JobState.ACTIVE)
         self._show(job=job, st=st)
         self._learned(job_id=job_id, job=job, at=at)
         out: list[Effect] = [("over", job_id)]
-        for key, unit in job["u"].items():
+        for key, unit in job.units.items():
             out += [
-                ("stop", unit["m"][i], task_name(job_id=job_id, unit=key, idx=i), unit["r"][i])
-                for i, s in enumerate(unit["s"])
-                if s == RUN
+                ("stop", unit.minion_ids[i], task_name(job_id=job_id, unit=key, idx=i), unit.run_ids[i])
+                for i, s in enumerate(unit.task_states)
+                if s is TaskState.RUNNING
             ]
         self._slim(job=job)
         return out
@@ -157,20 +127,20 @@
         job = self.jobs[job_id]
         k, s = key.split(".")
         out: list[Effect] = []
-        for later, step in enumerate(job["steps"]):
-            if int(s) in step["deps"] and all(job["u"][f"{k}.{d}"]["left"] == 0 for d in step["deps"]):
+        for later, step in enumerate(job.steps):
+            if int(s) in step.depends_on and all(job.units[f"{k}.{d}"].unfinished_tasks == 0 for d in step.depends_on):
                 out.append(("ready", job_id, f"{k}.{later}"))
-        if all(job["u"][f"{k}.{d}"]["left"] == 0 for d in range(len(job["steps"]))):
-            job["open"] = [o for o in job["open"] if o != int(k)]
-            if not job["open"] and job["k"] >= max(job["times"], 1):
-                self._show(job=job, st=State.COMPLETE)
+        if all(job.units[f"{k}.{d}"].unfinished_tasks == 0 for d in range(len(job.steps))):
+            job.open_runs = [o for o in job.open_runs if o != int(k)]
+            if not job.open_runs and job.next_run >= max(job.repeat_count, 1):
+                self._show(job=job, st=JobState.COMPLETE)
                 out.append(("over", job_id))
         return out
 
-    def _learned(self, *, job_id: str, job: dict[str, Any], at: int) -> None:
+    def _learned(self, *, job_id: str, job: Job, at: int) -> None:
         """A job may have ended: the history takes note before its steps are dropped."""
-        if self.learn and at and job["st"] in ENDED and "steps" in job:
-            self.past.note_over(at=at, job_id=job_id, q=job["q"], steps=job["steps"], done=job["st"] == State.COMPLETE)
+        if self.learn and at and job.has_ended and not job.is_trimmed:
+            self.past.note_over(at=at, job_id=job_id, q=job.queue, steps=job.steps, done=job.state is JobState.COMPLETE)
 
     # -- events
 
@@ -178,93 +148,96 @@
         job_id = event["id"]
         if job_id in self.jobs:
             return []
-        job = {**event["j"], "st": State.PENDING.value, "k": 0, "open": [], "u": {}}
+        job = decode(event["j"], into=Job)
         self.jobs[job_id] = job
-        self.pending[job["q"]] = self.pending.get(job["q"], 0) + 1
+        self.pending[job.queue] = self.pending.get(job.queue, 0) + 1
         if self.learn:
             self.past.note_job(
-                at=job["at"],
+                at=job.accepted_at_ms,
                 job_id=job_id,
-                q=job["q"],
-                service=job["svc"],
-                steps=job["steps"],
-                first=job["first"],
-                period=job["period"],
-                times=job["times"],
+                q=job.queue,
+                service=job.service,
+                steps=job.steps,
+                first=job.first_run_ms,
+                period=job.period_ms,
+                times=job.repeat_count,
             )
-        if job["times"]:
+        if job.repeat_count:
             return [("timed", job_id)]
         return self._units(job_id=job_id, k=0)
 
     def _due(self, event: dict[str, Any]) -> list[Effect]:
         job = self.jobs.get(event["id"])
-        if job is None or job["st"] in ENDED or job["k"] != event["k"] or event["k"] >= job["times"]:
+        if job is None or job.has_ended or job.next_run != event["k"] or event["k"] >= job.repeat_count:
             return []
         return self._units(job_id=event["id"], k=event["k"])
 
     def _start(self, event: dict[str, Any]) -> list[Effect]:
         job_id, key = event["id"], event["u"]
         job = self.jobs[job_id]
-        unit = job["u"][key]
-        if job["st"] == State.PENDING:
-            self._show(job=job, st=State.ACTIVE)
+        unit = job.units[key]
+        if job.state is JobState.PENDING:
+            self._show(job=job, st=JobState.ACTIVE)
         for i, run, minion_id in event["x"]:
-            assert unit["s"][i] == WAIT
-            assert run > unit["r"][i]
-            unit["s"][i], unit["r"][i], unit["m"][i] = RUN, run, minion_id
-            unit.setdefault("t", {})[str(i)] = event.get("at", 0)
+            assert unit.task_states[i] is TaskState.WAITING
+            assert run > unit.run_ids[i]
+            unit.task_states[i], unit.run_ids[i], unit.minion_ids[i] = TaskState.RUNNING, run, minion_id
+            if unit.started_at_ms is UNSET:
+                unit.started_at_ms = {}
+            unit.started_at_ms[i] = event.get("at", 0)
             self.on.setdefault(minion_id, set()).add((job_id, key, i))
         return []
 
     def _end(self, event: dict[str, Any]) -> list[Effect]:
         job_id, key, i = event["id"], event["u"], event["i"]
         job = self.jobs.get(job_id)
-        unit = job["u"].get(key) if job is not None and "u" in job else None
-        if job is None or unit is None or i >= len(unit["s"]) or unit["r"][i] != event["run"] or unit["s"][i] != RUN:
+        unit = job.units.get(key) if job is not None else None
+        if job is None or unit is None or not unit.is_running(index=i, run_id=event["run"]):
             return []
-        step = job["steps"][int(key.split(".")[1])]
+        step = job.steps[int(key.split(".")[1])]
         self._off(job_id=job_id, key=key, unit=unit, i=i)
-        began = unit.get("t", {}).pop(str(i), 0)
+        began = unit.started_at_ms.pop(i, 0) if unit.started_at_ms is not UNSET else 0
         if self.learn and began and "at" in event:
             self.past.note_end(
-                q=job["q"],
+                q=job.queue,
                 step=step,
                 task=task_name(job_id=job_id, unit=key, idx=i),
                 run=event["run"],
                 how=event["how"],
                 ms=float(max(event["at"] - began, 0)),
-                minion_id=unit["m"][i],
-                whole=not unit["v"][0 if step["gang"] else i],
+                minion_id=unit.minion_ids[i],
+                whole=not unit.saved_progress[0 if step.is_gang else i],
             )
         out: list[Effect] = []
-        if event["how"] == "done" and not step["last"]:
-            for j in range(len(unit["s"])) if step["gang"] else (i,):
-                if unit["s"][j] == RUN:
+        if event["how"] == "done" and not step.is_long_running:
+            for j in range(len(unit.task_states)) if step.is_gang else (i,):
+                if unit.task_states[j] is TaskState.RUNNING:
                     self._off(job_id=job_id, key=key, unit=unit, i=j)
-                if unit["s"][j] != DONE:
-                    unit["s"][j] = DONE
-                    unit["left"] -= 1
-            if unit["left"] == 0 and job["st"] not in ENDED:
+                if unit.task_states[j] is not TaskState.DONE:
+                    unit.task_states[j] = TaskState.DONE
+                    unit.unfinished_tasks -= 1
+            if unit.unfinished_tasks == 0 and not job.has_ended:
                 out += self._finished(job_id=job_id, key=key)
                 self._learned(job_id=job_id, job=job, at=event.get("at", 0))
         else:
-            unit["s"][i] = WAIT
-            at = 0 if step["gang"] else i
+            unit.task_states[i] = TaskState.WAITING
+            at = 0 if step.is_gang else i
             if event["v"]:
-                unit["v"][at] = event["v"]
-            if event["how"] == "failed" and not step["last"] and (not step["gang"] or unit["fr"] != event["run"]):
-                unit["fr"] = event["run"]
-                unit["f"][at] += 1
-            if job["st"] not in ENDED:
-                if event["how"] == "failed" and not step["last"] and unit["f"][at] >= max(1, event["mt"]):
-                    out += self._halt(job_id=job_id, st=State.FAILED, at=event.get("at", 0))
-                elif not step["gang"] or RUN not in unit["s"]:
+                unit.saved_progress[at] = event["v"]
+            failed = event["how"] == "failed" and not step.is_long_running
+            if failed and (not step.is_gang or unit.last_failed_run != event["run"]):
+                unit.last_failed_run = event["run"]
+                unit.failures[at] += 1
+            if not job.has_ended:
+                if failed and unit.failures[at] >= max(1, event["mt"]):
+                    out += self._halt(job_id=job_id, st=JobState.FAILED, at=event.get("at", 0))
+                elif not step.is_gang or TaskState.RUNNING not in unit.task_states:
                     out.append(("ready", job_id, key))
-                elif step["gang"]:  # also those whose order is still on its way: they would wait alone
+                elif step.is_gang:  # also those whose order is still on its way: they would wait alone
                     out += [
-                        ("stop", unit["m"][j], task_name(job_id=job_id, unit=key, idx=j), unit["r"][j])
-                        for j, s in enumerate(unit["s"])
-                        if s == RUN
+                        ("stop", unit.minion_ids[j], task_name(job_id=job_id, unit=key, idx=j), unit.run_ids[j])
+                        for j, s in enumerate(unit.task_states)
+                        if s is TaskState.RUNNING
                     ]
         self._slim(job=job)
         return out
@@ -275,7 +248,7 @@
         for job_id, key, i in sorted(self.on.get(event["m"], ())):
             job = self.jobs[job_id]
             task = task_name(job_id=job_id, unit=key, idx=i)
-            run = job["u"][key]["r"][i]
+            run = job.units[key].run_ids[i]
             if event["x"] is not None and [task, run] not in event["x"]:
                 continue
             out += self._end(
@@ -294,13 +267,13 @@
 
     def _cancel(self, event: dict[str, Any]) -> list[Effect]:
         job = self.jobs.get(event["id"])
-        if job is None or job["st"] in ENDED:
+        if job is None or job.has_ended:
             return []
-        return self._halt(job_id=event["id"], st=State.CANCELLED, at=event.get("at", 0))
+        return self._halt(job_id=event["id"], st=JobState.CANCELLED, at=event.get("at", 0))
 
     def _forget(self, event: dict[str, Any]) -> list[Effect]:
         for job_id in event["ids"]:
             job = self.jobs.get(job_id)
-            if job is not None and job["st"] in ENDED and "u" not in job:
+            if job is not None and job.is_trimmed:
                 del self.jobs[job_id]
         return []
--- a/yarrowloom/jobs/submission.py
+++ b/yarrowloom/jobs/submission.py
@@ -1,10 +1,11 @@
 """Jobs as they are handed in: checked with all findings, brought to the short form that records keep."""
 
-from typing import Any, TypedDict
+from typing import Any
 
 import orjson
 
 from ..common.errors import Finding, InvalidError
+from ..common.records import Record
 
 MAX_TASKS = 20_000
 MAX_STEPS = 256
@@ -12,35 +13,102 @@
 _ID = frozenset("0123456789abcdef")
 
 
-class Step(TypedDict):
-    """One stage. Invariant: `deps` name earlier steps only, so steps are in a working order."""
+class Step(
+    Record,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "task_count": "n",
+        "cpu_millicores": "cpu",
+        "memory_mb": "mem",
+        "gpus": "gpu",
+        "estimate_ms": "est",
+        "depends_on": "deps",
+        "takes_checkpoints": "ck",
+        "is_gang": "gang",
+        "prefers_same_rack": "tight",
+        "required_label": "req",
+        "preferred_label": "near",
+        "max_per_minion": "apart",
+        "may_be_duplicated": "dup",
+        "is_long_running": "last",
+    },
+):
+    """One stage of a job: tasks that are alike.
+
+    Attributes:
+        task_count: How many tasks, 1 or more.
+        cpu_millicores: What one task needs, in thousandths of a core.
+        memory_mb: What one task needs, in MB.
+        gpus: How many GPUs one task needs.
+        estimate_ms: How long the caller expects a task to run, in milliseconds; 0: not said.
+        depends_on: Indices of the steps that must be finished before. Invariant: earlier steps only, so steps are in
+            a working order.
+        takes_checkpoints: Whether a task keeps its progress when it is stopped.
+        is_gang: Whether all tasks start together or not at all.
+        prefers_same_rack: Whether a gang is to run in one rack.
+        required_label: A label that a minion must have; empty: none.
+        preferred_label: A label of minions near the task's data; empty: none.
+        max_per_minion: Most tasks of the step on one minion; 0: any number.
+        may_be_duplicated: Whether a second copy of a slow task does no harm.
+        is_long_running: Whether tasks run until they are cancelled.
+    """
+
+    task_count: int
+    cpu_millicores: int
+    memory_mb: int
+    gpus: int
+    estimate_ms: int
+    depends_on: list[int]
+    takes_checkpoints: bool
+    is_gang: bool
+    prefers_same_rack: bool
+    required_label: str
+    preferred_label: str
+    max_per_minion: int
+    may_be_duplicated: bool
+    is_long_running: bool
+
+
+class Submission(
+    Record,
+    frozen=True,
+    kw_only=True,
+    rename={"first_run_ms": "first", "period_ms": "period", "repeat_count": "times"},
+):
+    """A job as it was submitted, checked.
+
+    Attributes:
+        spec: What the caller's minions are told to do; opaque.
+        steps: Its stages, one or more.
+        first_run_ms: Wall time in milliseconds of its first run, if `repeat_count` is above 0.
+        period_ms: Milliseconds between due times.
+        repeat_count: How often it runs; 0: once, at once.
+    """
 
-    n: int
-    cpu: int
-    mem: int
-    gpu: int
-    est: int
-    deps: list[int]
-    ck: bool
-    gang: bool
-    tight: bool
-    req: str
-    near: str
-    apart: int
-    dup: bool
-    last: bool
+    spec: str
+    steps: list[Step]
+    first_run_ms: int
+    period_ms: int
+    repeat_count: int
 
 
 _INTS = {
-    "task-count": ("n", 1, MAX_TASKS),
-    "cpus": ("cpu", 0, 1 << 31),
-    "mem-mb": ("mem", 0, 1 << 31),
-    "gpus": ("gpu", 0, 1 << 20),
-    "estimate-ms": ("est", 0, 1 << 42),
-    "anti-affinity": ("apart", 0, 1 << 20),
+    "task-count": ("task_count", 1, MAX_TASKS),
+    "cpus": ("cpu_millicores", 0, 1 << 31),
+    "mem-mb": ("memory_mb", 0, 1 << 31),
+    "gpus": ("gpus", 0, 1 << 20),
+    "estimate-ms": ("estimate_ms", 0, 1 << 42),
+    "anti-affinity": ("max_per_minion", 0, 1 << 20),
+}
+_FLAGS = {
+    "checkpoints": "takes_checkpoints",
+    "gang": "is_gang",
+    "same-rack": "prefers_same_rack",
+    "duplicate": "may_be_duplicated",
+    "long-running": "is_long_running",
 }
-_FLAGS = {"checkpoints": "ck", "gang": "gang", "same-rack": "tight", "duplicate": "dup", "long-running": "last"}
-_TEXTS = {"requires": "req", "affinity": "near"}
+_TEXTS = {"requires": "required_label", "affinity": "preferred_label"}
 
 
 def is_job_id(*, text: str) -> bool:
@@ -63,7 +131,7 @@
 
 def _step(*, row: Any, at: int, bad: list[Finding]) -> Step:
     place = f"stages[{at}]"
-    out: dict[str, Any] = {"deps": []}
+    out: dict[str, Any] = {"depends_on": []}
     if not isinstance(row, dict):
         bad.append(Finding(place=place, text="not an object"))
         row = {"task-count": 1}
@@ -93,14 +161,14 @@
     elif not all(0 <= d < at for d in deps):
         bad.append(Finding(place=f"{place}.depends-on", text="names a step that is not earlier"))
     else:
-        out["deps"] = sorted(set(deps))
-    return out  # type: ignore[return-value]
+        out["depends_on"] = sorted(set(deps))
+    return Step(**out)
 
 
-def parse(*, body: bytes) -> dict[str, Any]:
-    """The short form of a job's body, or every finding.
+def parse(*, body: bytes) -> Submission:
+    """The job that a body stands for, or every finding.
 
-    >>> parse(body=b'{"task-spec":"x","stages":[{"task-count":2}]}')["steps"][0]["n"]
+    >>> parse(body=b'{"task-spec":"x","stages":[{"task-count":2}]}').steps[0].task_count
     2
     >>> try:
     ...     parse(body=b'{"stages":[{"task-count":0,"depends-on":[0]}]}')
@@ -125,7 +193,7 @@
         bad.append(Finding(place="stages", text=f"not a list of 1 to {MAX_STEPS}"))
         rows = []
     steps = [_step(row=row, at=i, bad=bad) for i, row in enumerate(rows)]
-    if sum(s["n"] for s in steps) > MAX_TASKS:
+    if sum(step.task_count for step in steps) > MAX_TASKS:
         bad.append(Finding(place="stages", text=f"more than {MAX_TASKS} tasks"))
     nums: dict[str, int] = {}
     for key in ("first-run-ms", "period-ms", "repeat-count"):
@@ -138,10 +206,10 @@
         nums[key] = val
     if bad:
         raise InvalidError(text="job is malformed", findings=bad)
-    return {
-        "spec": spec,
-        "steps": steps,
-        "first": nums["first-run-ms"],
-        "period": nums["period-ms"],
-        "times": nums["repeat-count"],
-    }
+    return Submission(
+        spec=spec,
+        steps=steps,
+        first_run_ms=nums["first-run-ms"],
+        period_ms=nums["period-ms"],
+        repeat_count=nums["repeat-count"],
+    )
--- a/yarrowloom/node/edge.py
+++ b/yarrowloom/node/edge.py
@@ -9,7 +9,7 @@
 from ..common.errors import InvalidError
 from ..common.log import Log
 from ..common.settings import NodeSettings
-from ..jobs.submission import group_of, is_job_id, parse
+from ..jobs.submission import Submission, group_of, is_job_id, parse
 from ..transport.envelope import Kind
 from ..transport.http_server import Limits, Request, Response
 from .edge_relays import FANOUT
@@ -31,7 +31,7 @@
     path: str = ""
     route: dict[str, Any] | None = None
     rest: str = ""
-    job: dict[str, Any] | None = None
+    job: Submission | None = None
     ttl: float = 0.0  # seconds until it must be answered
 
 
@@ -172,7 +172,7 @@
         b: dict[str, Any] = {"id": way.rest, "q": name, **seen}
         if method == "POST":
             assert way.job is not None
-            b["j"] = {**way.job, "svc": way.route["backend"], "mt": int(way.route.get("max-tries", 1))}
+            b["j"] = {**way.job.document(), "svc": way.route["backend"], "mt": int(way.route.get("max-tries", 1))}
         op = {"POST": "put", "GET": "get", "DELETE": "del"}[method]
         self.calls.start(group_id=group_id, op=op, b=b, done=(op, way.call, size), ttl=ttl)
 
--- a/yarrowloom/node/http_routes.py
+++ b/yarrowloom/node/http_routes.py
@@ -163,8 +163,8 @@
                 200,
                 {
                     "id": job_id,
-                    "queue": job["q"],
-                    "state": job["st"],
+                    "queue": job.queue,
+                    "state": job.state.value,
                     "groups": node.placers[group_id].explain(job_id=job_id),
                 },
             ),
--- a/yarrowloom/prediction/history.py
+++ b/yarrowloom/prediction/history.py
@@ -1,16 +1,14 @@
 """The one history of warm jobs and backfill: kept by the reducer of jobs, fed by its events, asked by placing nodes."""
 
 from collections.abc import Sequence
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
+from ..jobs.submission import Step
 from .call_times import JOBS_MOST, Calls
 from .job_kind import Form, Prediction, Why, kind_key, queue_key, root
 from .run_times import Runs, Times
 from .successor_jobs import Follow, What
 
-if TYPE_CHECKING:
-    from ..jobs.submission import Step
-
 FRESH = 192  # kinds on probation
 KINDS = 128  # kinds that were called PROVEN times
 PROVEN = 3
@@ -48,14 +46,15 @@
     by TIMERS; only proven kinds are followed or predicted. `looked` counts the candidates weighed by the last
     `predict`; it is no part of the state.
 
-    >>> step = {"n": 1, "cpu": 500, "mem": 64, "gpu": 0, "est": 900, "deps": [], "ck": False, "gang": False,
-    ...         "tight": False, "req": "", "near": "", "apart": 0, "dup": False, "last": False}
+    >>> from ..jobs.submission import parse
+    >>> stages = b'[{"task-count":1,"cpus":500,"mem-mb":64,"estimate-ms":900}]'
+    >>> steps = parse(body=b'{"task-spec":"x","stages":' + stages + b'}').steps
     >>> h = History()
     >>> for i in range(12):
-    ...     h.note_job(at=60_000 * i, job_id=f"{i:016x}", q="rebuild", service="s", steps=[step])
+    ...     h.note_job(at=60_000 * i, job_id=f"{i:016x}", q="rebuild", service="s", steps=steps)
     >>> [(p.why.value, p.likely) for p in h.predict(now_ms=715_000, horizon_ms=10_000)]
     [('period', 720000)]
-    >>> round(h.times(q="rebuild", step=step).p50)
+    >>> round(h.times(q="rebuild", step=steps[0]).p50)
     900
     """
 
@@ -89,7 +88,7 @@
         job_id: str,
         q: str,
         service: str,
-        steps: "Sequence[Step]",
+        steps: Sequence[Step],
         first: int = 0,
         period: int = 0,
         times: int = 0,
@@ -99,7 +98,7 @@
         """
         first_step = root(steps=steps)
         key = kind_key(q=q, steps=steps, period=period if times else 0)
-        form = Form(first_step["cpu"], first_step["mem"], first_step["gpu"], first_step["req"])
+        form = Form(first_step.cpu_millicores, first_step.memory_mb, first_step.gpus, first_step.required_label)
         if times:
             self.timers.pop(job_id, None)
             if len(self.timers) >= TIMERS:
@@ -109,10 +108,10 @@
                 q,
                 service,
                 list(form),
-                first_step["gang"],
-                first_step["tight"],
-                first_step["n"],
-                first_step["near"],
+                first_step.is_gang,
+                first_step.prefers_same_rack,
+                first_step.task_count,
+                first_step.preferred_label,
                 first,
                 period,
                 times,
@@ -122,7 +121,7 @@
         for name in (key, queue_key(q=q)):
             self._call(key=name, t=t, quiet=quiet, q=q, service=service, step=first_step, form=form)
 
-    def _call(self, *, key: str, t: int, quiet: int, q: str, service: str, step: "Step", form: Form) -> None:
+    def _call(self, *, key: str, t: int, quiet: int, q: str, service: str, step: Step, form: Form) -> None:
         kind = self.kinds.pop(key, None)
         if kind is not None:
             self.kinds[key] = kind
@@ -130,13 +129,18 @@
             kind = self.fresh.pop(key, None)
             if kind is None:
                 kind = Kind(
-                    queue=q, service=service, req=form.req, gang=step["gang"], tight=step["tight"], calls=Calls()
+                    queue=q,
+                    service=service,
+                    req=form.req,
+                    gang=step.is_gang,
+                    tight=step.prefers_same_rack,
+                    calls=Calls(),
                 )
                 if len(self.fresh) >= FRESH:
                     del self.fresh[next(iter(self.fresh))]
             self.fresh[key] = kind
-        kind.service, kind.req, kind.gang, kind.tight = service, form.req, step["gang"], step["tight"]
-        began = kind.calls.put(t=t, form=form, n=step["n"], near=step["near"], quiet=quiet)
+        kind.service, kind.req, kind.gang, kind.tight = service, form.req, step.is_gang, step.prefers_same_rack
+        began = kind.calls.put(t=t, form=form, n=step.task_count, near=step.preferred_label, quiet=quiet)
         if key in self.fresh:
             if kind.calls.n < PROVEN:
                 return
@@ -156,7 +160,7 @@
         del self.kinds[worst]
         self.follow.drop(kind=worst)
 
-    def note_over(self, *, at: int, job_id: str, q: str, steps: "Sequence[Step]", done: bool) -> None:
+    def note_over(self, *, at: int, job_id: str, q: str, steps: Sequence[Step], done: bool) -> None:
         """A job has ended at wall time `at`; `done`: it is complete, not failed or cancelled."""
         if self.timers.pop(job_id, None) is None and done:
             t, _ = self._inner(at)
@@ -168,7 +172,7 @@
         self,
         *,
         q: str,
-        step: "Step",
+        step: Step,
         task: str,
         run: int,
         how: str,
@@ -186,7 +190,7 @@
 
     # -- questions; none of them changes the state
 
-    def times(self, *, q: str, step: "Step", far: float = 1.0, minion_id: str = "") -> Times:
+    def times(self, *, q: str, step: Step, far: float = 1.0, minion_id: str = "") -> Times:
         """How long a task of this step runs, in milliseconds, if being away makes it `far` times as long; on the
         minion `mid`, or on one that is not slow.
         """
--- a/yarrowloom/prediction/job_kind.py
+++ b/yarrowloom/prediction/job_kind.py
@@ -3,10 +3,9 @@
 import enum
 import zlib
 from collections.abc import Sequence
-from typing import TYPE_CHECKING, NamedTuple
+from typing import NamedTuple
 
-if TYPE_CHECKING:
-    from ..jobs.submission import Step
+from ..jobs.submission import Step
 
 SIGNED = 16  # steps past this many count only by their number
 
@@ -64,31 +63,38 @@
     jobs: float
 
 
-def root(*, steps: "Sequence[Step]") -> "Step":
+def root(*, steps: Sequence[Step]) -> Step:
     """The step that counts most among those that can start at once."""
-    return max((s for s in steps if not s["deps"]), key=lambda s: (s["n"] * (s["cpu"] + 8000 * s["gpu"]), s["n"]))
+    return max(
+        (step for step in steps if not step.depends_on),
+        key=lambda step: (step.task_count * (step.cpu_millicores + 8000 * step.gpus), step.task_count),
+    )
 
 
-def kind_key(*, q: str, steps: "Sequence[Step]", period: int = 0) -> str:
+def kind_key(*, q: str, steps: Sequence[Step], period: int = 0) -> str:
     """Name of a job's kind: queue, shape of the step it starts with, signature of all steps, repeat pattern.
 
-    >>> step = {"n": 2, "cpu": 500, "mem": 64, "gpu": 0, "est": 9, "deps": [], "ck": False, "gang": False,
-    ...         "tight": False, "req": "", "near": "r1", "apart": 0, "dup": False, "last": False}
-    >>> kind_key(q="a", steps=[step]) == kind_key(q="a", steps=[{**step, "cpu": 400, "near": "r2"}])
+    >>> from msgspec.structs import replace
+    >>> from ..jobs.submission import parse
+    >>> steps = parse(body=b'{"task-spec":"x","stages":[{"task-count":2,"cpus":500,"affinity":"r1"}]}').steps
+    >>> alike = replace(steps[0], cpu_millicores=400, preferred_label="r2")
+    >>> kind_key(q="a", steps=steps) == kind_key(q="a", steps=[alike])
     True
-    >>> kind_key(q="a", steps=[step]) == kind_key(q="a", steps=[{**step, "cpu": 5000}])
+    >>> kind_key(q="a", steps=steps) == kind_key(q="a", steps=[replace(steps[0], cpu_millicores=5000)])
     False
     """
     sig = [len(steps)]
     for s in steps[:SIGNED]:
         sig += (
-            s["cpu"].bit_length(),
-            s["mem"].bit_length(),
-            s["gpu"].bit_length(),
-            s["n"].bit_length(),
-            s["gang"] + 2 * s["tight"] + 4 * s["last"] + 8 * bool(s["deps"]),
+            s.cpu_millicores.bit_length(),
+            s.memory_mb.bit_length(),
+            s.gpus.bit_length(),
+            s.task_count.bit_length(),
+            s.is_gang + 2 * s.prefers_same_rack + 4 * s.is_long_running + 8 * bool(s.depends_on),
         )
-    return f"{q}/{zlib.crc32(repr((sig, [s['req'] for s in steps[:SIGNED]], period.bit_length())).encode()):08x}"
+    return (
+        f"{q}/{zlib.crc32(repr((sig, [s.required_label for s in steps[:SIGNED]], period.bit_length())).encode()):08x}"
+    )
 
 
 def queue_key(*, q: str) -> str:
@@ -111,6 +117,12 @@
     return q == p and (rest == other or "*" in (rest, other))
 
 
-def run_key(*, q: str, step: "Step") -> RunKey:
+def run_key(*, q: str, step: Step) -> RunKey:
     """What run times are kept by: queue, shape, and whether the caller gave an estimate at all."""
-    return q, step["cpu"].bit_length(), step["mem"].bit_length(), step["gpu"].bit_length(), step["est"] > 0
+    return (
+        q,
+        step.cpu_millicores.bit_length(),
+        step.memory_mb.bit_length(),
+        step.gpus.bit_length(),
+        step.estimate_ms > 0,
+    )
--- a/yarrowloom/prediction/run_times.py
+++ b/yarrowloom/prediction/run_times.py
@@ -3,14 +3,12 @@
 import functools
 import math
 import zlib
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import Any, NamedTuple
 
+from ..jobs.submission import Step
 from .job_kind import RunKey, run_key
 from .slow_minions import Slow
 
-if TYPE_CHECKING:
-    from ..jobs.submission import Step
-
 KEEP = 32  # runs kept for each key
 KEYS = 256
 SEEN = 1024  # ends remembered, against ends told twice
@@ -111,7 +109,7 @@
         self,
         *,
         q: str,
-        step: "Step",
+        step: Step,
         task: str,
         run: int,
         how: str,
@@ -121,7 +119,7 @@
         minion_id: str = "",
     ) -> None:
         """See `History.note_end`."""
-        if how != "done" or not whole or ms < 0 or step["last"]:
+        if how != "done" or not whole or ms < 0 or step.is_long_running:
             return
         seen = self.seen
         mark = zlib.crc32(task.encode(), run)
@@ -137,14 +135,14 @@
             if len(self.rings) >= KEYS:
                 del self.rings[next(iter(self.rings))]
         self.rings[key] = ring
-        ran, est = _log(ms / far if far > 1.0 else ms), _log_est(step["est"] or BLIND_MS)
+        ran, est = _log(ms / far if far > 1.0 else ms), _log_est(step.estimate_ms or BLIND_MS)
         if minion_id and len(ring.rows) >= 8:
             ran -= self.slow.note(minion_id=minion_id, off=ran - est - (ring.lo + ring.hi) // 2)
         ring.put(ran=ran, est=est)
 
-    def times(self, *, q: str, step: "Step", far: float = 1.0, minion_id: str = "") -> Times:
+    def times(self, *, q: str, step: Step, far: float = 1.0, minion_id: str = "") -> Times:
         """See `History.times`."""
-        est = _log_est(step["est"] or BLIND_MS)
+        est = _log_est(step.estimate_ms or BLIND_MS)
         ring = self.rings.get(run_key(q=q, step=step))
         n = len(ring.rows) if ring is not None else 0
         by_est, vals = ring.sorted() if ring is not None else (True, [])
--- a/yarrowloom/scheduling/admission.py
+++ b/yarrowloom/scheduling/admission.py
@@ -2,7 +2,8 @@
 
 from typing import Any
 
-from ..jobs.state_machine import ENDED
+from ..common.records import decode
+from ..jobs.model import Job
 from . import job_queue as desk
 from .binding import Binding
 from .job_queue import LATE
@@ -23,12 +24,12 @@
             self.replica.barrier(
                 then=("reply", node_id, request_id, 200, {"pending": self.jobs.pending.get(b["q"], 0)})
             )
-        elif job is None or job["q"] != b["q"]:
+        elif job is None or job.queue != b["q"]:
             self.replica.barrier(then=("reply", node_id, request_id, 410, {}))
         elif op == "get":
-            self.replica.barrier(then=("reply", node_id, request_id, 200, {"state": job["st"]}))
+            self.replica.barrier(then=("reply", node_id, request_id, 200, {"state": job.state.value}))
         elif op == "del":
-            if job["st"] in ENDED:
+            if job.has_ended:
                 self.replica.barrier(then=("reply", node_id, request_id, 200, {}))
             else:
                 self.effects(
@@ -38,17 +39,15 @@
                     )
                 )
 
-    def _put(
-        self, *, node_id: str, request_id: int, b: dict[str, Any], job_id: str, job: dict[str, Any] | None
-    ) -> None:
+    def _put(self, *, node_id: str, request_id: int, b: dict[str, Any], job_id: str, job: Job | None) -> None:
         if job is not None:
-            self.replica.barrier(then=("reply", node_id, request_id, 200 if job["q"] == b["q"] else 409, {}))
+            self.replica.barrier(then=("reply", node_id, request_id, 200 if job.queue == b["q"] else 409, {}))
             return
         if "cv" in b and self._unrouted(b=b):
             self._refuse_route(node_id=node_id, request_id=request_id, b=b)
             return
         row = {**b["j"], "q": b["q"], "at": int(self.environment.wall_now * 1000)}
-        why = self._refusal(job=row)
+        why = self._refusal(job=decode(row, into=Job))
         if why:
             self.environment.reply(node_id=node_id, request_id=request_id, status=429, document={"error": why})
             return
@@ -77,16 +76,16 @@
             node_id=node_id, request_id=request_id, status=404 if nowhere else 503, document={"error": "no such queue"}
         )
 
-    def _refusal(self, *, job: dict[str, Any]) -> str:
+    def _refusal(self, *, job: Job) -> str:
         """Why a job can't be taken: too many in hand, or what waits before it would take so long that it could earn
         nothing any more.
         """
         if self.live >= desk.LIVE_MOST:
             return "too many jobs in hand"
-        if job["times"] or any(s["last"] for s in job["steps"]):
+        if job.repeat_count or any(s.is_long_running for s in job.steps):
             return ""
         wait = self.expected(service=self.service(job=job), rank=self.rank(job=job))
-        if wait + sum(s["est"] for s in job["steps"]) > LATE * self.aim(job=job):
+        if wait + sum(s.estimate_ms for s in job.steps) > LATE * self.aim(job=job):
             return "would start too late"
         return ""
 
--- a/yarrowloom/scheduling/binding.py
+++ b/yarrowloom/scheduling/binding.py
@@ -3,7 +3,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..jobs.state_machine import ENDED, RUN, WAIT, task_name
+from ..jobs.model import TaskState
+from ..jobs.state_machine import task_name
 from ..transport.envelope import Kind
 from .capacity import Size
 from .job_queue import Desk
@@ -125,13 +126,13 @@
 
     def _there(self, *, group: Group) -> dict[str, int]:
         """Members that run or are on their way, by minion."""
-        unit = self.jobs.jobs[group.job_id]["u"][group.key]
+        unit = self.jobs.jobs[group.job_id].units[group.key]
         out: dict[str, int] = {}
         for minion_id in group.out.values():
             out[minion_id] = out.get(minion_id, 0) + 1
-        for i, st in enumerate(unit["s"]):
-            if st == RUN:
-                out[unit["m"][i]] = out.get(unit["m"][i], 0) + 1
+        for i, st in enumerate(unit.task_states):
+            if st is TaskState.RUNNING:
+                out[unit.minion_ids[i]] = out.get(unit.minion_ids[i], 0) + 1
         return out
 
     def grant(self, *, node_id: str, b: dict[str, Any]) -> None:
@@ -229,16 +230,16 @@
         """Record starts; the orders follow once durable."""
         job_id, key = group.job_id, group.key
         job = self.jobs.jobs[job_id]
-        unit = job["u"][key]
-        top = max(unit["r"]) if group.gang else 0
+        unit = job.units[key]
+        top = max(unit.run_ids) if group.gang else 0
         x: list[tuple[int, int, str]] = []
         orders: list[Any] = []
         for i, held in batch:
             group.out.pop(i, None)
-            if unit["s"][i] != WAIT:
+            if unit.task_states[i] is not TaskState.WAITING:
                 self.release([held])
                 continue
-            run = top + 1 if group.gang else unit["r"][i] + 1
+            run = top + 1 if group.gang else unit.run_ids[i] + 1
             x.append((i, run, held.minion_id))
             self.held[task_name(job_id=job_id, unit=key, idx=i)] = held
             orders.append([job_id, key, i, run, held])
@@ -248,9 +249,9 @@
             event="start",
             id=job_id,
             unit=key,
-            queue=job["q"],
+            queue=job.queue,
             n=len(x),
-            of=len(unit["s"]),
+            of=len(unit.task_states),
             est=group.est,
             wait=round(self.environment.now - group.since, 2),
             near=group.near,
@@ -274,12 +275,12 @@
         late = []
         for job_id, key, i, run, held in rows:
             job, spot = self.jobs.jobs.get(job_id), self.room.spots.get(held.minion_id)
-            if job is None or "u" not in job or spot is None or spot.seq != held.seq:
+            if job is None or job.is_trimmed or spot is None or spot.seq != held.seq:
                 continue
-            unit, step = job["u"][key], job["steps"][int(key.split(".")[1])]
-            if unit["s"][i] != RUN or unit["r"][i] != run:
+            unit, step = job.units[key], job.step_of(unit_key=key)
+            if not unit.is_running(index=i, run_id=run):
                 continue
-            if job["st"] in ENDED:
+            if job.has_ended:
                 late.append([held.minion_id, spot.seq, task_name(job_id=job_id, unit=key, idx=i), run])
                 continue
             by.setdefault(spot.agent, []).append(
@@ -289,11 +290,11 @@
                     held.lease_id,
                     task_name(job_id=job_id, unit=key, idx=i),
                     run,
-                    unit["v"][0 if step["gang"] else i],
-                    -1 if step["last"] else step["est"],
+                    unit.saved_progress[0 if step.is_gang else i],
+                    -1 if step.is_long_running else step.estimate_ms,
                 ]
             )
-            specs.setdefault(spot.agent, {})[job_id] = job["spec"]
+            specs.setdefault(spot.agent, {})[job_id] = job.spec
         for node_id, part in by.items():
             self.environment.send(
                 node_id=node_id,
--- a/yarrowloom/scheduling/job_queue.py
+++ b/yarrowloom/scheduling/job_queue.py
@@ -5,7 +5,10 @@
 from collections import deque
 from typing import Any
 
-from ..jobs.state_machine import ENDED, RUN, WAIT, Jobs, split_name, task_name
+from msgspec import UNSET
+
+from ..jobs.model import Job, TaskState
+from ..jobs.state_machine import Jobs, split_name, task_name
 from ..replication.replica import Replica
 from ..transport.envelope import Kind
 from .capacity import Room, Size, Spot
@@ -23,7 +26,7 @@
 
 class Desk:
     """Invariants: a start is durable before its order leaves; a unit with a task to start has a group in `backlog`;
-    every task that is RUN is held by the spot of its minion or awaits that minion's next attachment.
+    every task that is RUNNING is held by the spot of its minion or awaits that minion's next attachment.
     """
 
     def __init__(
@@ -57,52 +60,55 @@
         for job_id, job in jobs.jobs.items():
             self._adopt(job_id=job_id, job=job)
 
-    def _adopt(self, *, job_id: str, job: dict[str, Any]) -> None:
-        if job["st"] in ENDED:
+    def _adopt(self, *, job_id: str, job: Job) -> None:
+        if job.has_ended:
             self.over.append((self.environment.now, job_id))
         else:
             self.live += 1
-            if job["times"] and job["k"] < job["times"]:
+            if job.repeat_count and job.next_run < job.repeat_count:
                 self._timed(job_id=job_id)
-        for key, unit in job.get("u", {}).items():
-            if job["st"] not in ENDED and unit["left"] and WAIT in unit["s"] and self._turn_has_come(job=job, key=key):
+        for key, unit in job.units.items():
+            waits = not job.has_ended and unit.unfinished_tasks and TaskState.WAITING in unit.task_states
+            if waits and self._turn_has_come(job=job, key=key):
                 self.enter(job_id=job_id, key=key)
-            for i, st in enumerate(unit["s"]):
-                if st == RUN:
+            for i, st in enumerate(unit.task_states):
+                if st is TaskState.RUNNING:
                     self._began(job_id=job_id, key=key, i=i)
 
     def _timed(self, *, job_id: str) -> None:
         job = self.jobs.jobs[job_id]
-        heapq.heappush(self.timed, (job["first"] + job["period"] * job["k"], job_id))
+        heapq.heappush(self.timed, (job.first_run_ms + job.period_ms * job.next_run, job_id))
 
     @staticmethod
-    def _turn_has_come(*, job: dict[str, Any], key: str) -> bool:
+    def _turn_has_come(*, job: Job, key: str) -> bool:
         k, s = key.split(".")
-        step = job["steps"][int(s)]
-        if any(job["u"][f"{k}.{d}"]["left"] for d in step["deps"]):
+        step = job.steps[int(s)]
+        if any(job.units[f"{k}.{d}"].unfinished_tasks for d in step.depends_on):
             return False
-        return not (step["gang"] and RUN in job["u"][key]["s"])
+        return not (step.is_gang and TaskState.RUNNING in job.units[key].task_states)
 
-    def tries(self, *, job: dict[str, Any]) -> int:
+    def tries(self, *, job: Job) -> int:
         """The queue's limit on failed runs."""
-        route = self.environment.route(name=job["q"])
-        return int(route.get("max-tries", 1)) if route is not None else int(job["mt"])
+        route = self.environment.route(name=job.queue)
+        if route is not None:
+            return int(route.get("max-tries", 1))
+        return job.max_attempts if job.max_attempts is not UNSET else 1
 
-    def service(self, *, job: dict[str, Any]) -> str:
+    def service(self, *, job: Job) -> str:
         """Where the queue's tasks run now."""
-        route = self.environment.route(name=job["q"])
-        return str(route["backend"]) if route is not None else str(job["svc"])
+        route = self.environment.route(name=job.queue)
+        return str(route["backend"]) if route is not None else job.service
 
-    def rank(self, *, job: dict[str, Any]) -> int:
+    def rank(self, *, job: Job) -> int:
         """The queue's rank; 0 goes first."""
-        return int((self.environment.route(name=job["q"]) or {}).get("rank", 9))
+        return int((self.environment.route(name=job.queue) or {}).get("rank", 9))
 
     # -- groups
 
-    def aim(self, *, job: dict[str, Any]) -> float:
+    def aim(self, *, job: Job) -> float:
         """Milliseconds within which a job earns all its worth."""
-        route = self.environment.route(name=job["q"]) or {}
-        chain: int = sum(s["est"] for s in job["steps"])
+        route = self.environment.route(name=job.queue) or {}
+        chain = sum(s.estimate_ms for s in job.steps)
         return max(float(route.get("target-ms", 0)) + float(route.get("stretch", 1)) * chain, 500.0)
 
     def prio(self, *, job_id: str, key: str, seen: float) -> tuple[Prio, float]:
@@ -111,9 +117,9 @@
         """
         job = self.jobs.jobs[job_id]
         k, at = key.split(".")
-        base = job["first"] + job["period"] * int(k) if job["times"] else job["at"]
+        base = job.first_run_ms + job.period_ms * int(k) if job.repeat_count else job.accepted_at_ms
         aim = self.aim(job=job)
-        rest = sum(s["est"] for s in job["steps"][int(at) :])
+        rest = sum(s.estimate_ms for s in job.steps[int(at) :])
         late_at = (base + LATE * aim) / 1000
         return (self.environment.wall_now > late_at, self.rank(job=job), base + aim - rest, seen, job_id, key), late_at
 
@@ -121,26 +127,26 @@
         """A group has a member to start: both are known now."""
         group = self.backlog.groups.get((job_id, key))
         now, job = self.environment.now, self.jobs.jobs[job_id]
-        if job["st"] in ENDED or "u" not in job:
+        if job.has_ended:
             return
         if group is None:
-            step = job["steps"][int(key.split(".")[1])]
+            step = job.step_of(unit_key=key)
             prio, late_at = self.prio(job_id=job_id, key=key, seen=now)
-            self.ranking.setdefault(job["q"], self._ranking(queue=job["q"]))
+            self.ranking.setdefault(job.queue, self._ranking(queue=job.queue))
             group = Group(
                 job_id=job_id,
                 key=key,
                 service=self.service(job=job),
-                size=Size(step["cpu"], step["mem"], step["gpu"]),
+                size=Size(step.cpu_millicores, step.memory_mb, step.gpus),
                 prio=prio,
                 since=now,
                 seen=now,
-                req=step["req"],
-                near=step["near"],
-                gang=step["gang"],
-                tight=step["tight"],
-                apart=step["apart"],
-                est=step["est"],
+                req=step.required_label,
+                near=step.preferred_label,
+                gang=step.is_gang,
+                tight=step.prefers_same_rack,
+                apart=step.max_per_minion,
+                est=step.estimate_ms,
                 late_at=late_at,
             )
             shelf = self.room.shelves.get(group.service)
@@ -148,7 +154,7 @@
                 shelf is not None
                 and shelf.count > 0
                 and not self.room.could(
-                    service=group.service, size=group.size, req=group.req, n=step["n"] if group.gang else 1
+                    service=group.service, size=group.size, req=group.req, n=step.task_count if group.gang else 1
                 )
             )
             self.backlog.add(group=group)
@@ -159,8 +165,8 @@
 
     def weigh(self, *, group: Group) -> None:
         """Count what of a group waits."""
-        unit = self.jobs.jobs[group.job_id]["u"][group.key]
-        n = unit["s"].count(WAIT) - len(group.out)
+        unit = self.jobs.jobs[group.job_id].units[group.key]
+        n = unit.task_states.count(TaskState.WAITING) - len(group.out)
         self.backlog.weigh(group=group, n=0 if group.never else n)
 
     def leave(self, *, job_id: str) -> None:
@@ -181,7 +187,7 @@
         if not changed:
             return
         for (job_id, key), group in list(self.backlog.groups.items()):
-            if self.jobs.jobs[job_id]["q"] not in changed:
+            if self.jobs.jobs[job_id].queue not in changed:
                 continue
             prio, group.late_at = self.prio(job_id=job_id, key=key, seen=group.seen)
             self.backlog.rekey(group=group, prio=prio, service=self.service(job=self.jobs.jobs[job_id]))
@@ -197,7 +203,7 @@
                 self.enter(job_id=effect[1], key=effect[2])
             elif kind == "stop":
                 stops.append(effect[1:])
-                if self.jobs.jobs[effect[2].split(".")[0]]["st"] in ENDED:
+                if self.jobs.jobs[effect[2].split(".")[0]].has_ended:
                     self.halting[effect[2]] = (effect[1], effect[3], self.environment.now)
             elif kind == "over":
                 self.over.append((self.environment.now, effect[1]))
@@ -206,9 +212,9 @@
                 self.environment.trace(
                     event="job-end",
                     id=effect[1],
-                    queue=job["q"],
-                    state=job["st"],
-                    ms=int(self.environment.wall_now * 1000) - job["at"],
+                    queue=job.queue,
+                    state=job.state.value,
+                    ms=int(self.environment.wall_now * 1000) - job.accepted_at_ms,
                 )
                 self.leave(job_id=effect[1])
             elif kind == "timed":
@@ -264,14 +270,13 @@
         rows, ended = [], []
         for job_id, key, i in sorted(self.jobs.on.get(spot.minion_id, ())):
             job = self.jobs.jobs[job_id]
-            step, unit = job["steps"][int(key.split(".")[1])], job["u"][key]
+            step, unit = job.step_of(unit_key=key), job.units[key]
             task = task_name(job_id=job_id, unit=key, idx=i)
-            rows.append(
-                [task, unit["r"][i], step["cpu"], step["mem"], step["gpu"], -1 if step["last"] else step["est"]]
-            )
+            lasts_ms = -1 if step.is_long_running else step.estimate_ms
+            rows.append([task, unit.run_ids[i], step.cpu_millicores, step.memory_mb, step.gpus, lasts_ms])
             self.held.pop(task, None)
-            if job["st"] in ENDED:
-                ended.append([spot.minion_id, task, unit["r"][i]])
+            if job.has_ended:
+                ended.append([spot.minion_id, task, unit.run_ids[i]])
         self.environment.send(
             node_id=spot.agent,
             kind=Kind.ATTACH_MINION,
@@ -307,10 +312,10 @@
                 self.release([held])
             job_id, key, i = parts
             job = self.jobs.jobs.get(job_id)
-            if job is None or "u" not in job or job["u"].get(key, {}).get("m", {}) == {}:
+            if job is None or key not in job.units:
                 continue
-            unit = job["u"][key]
-            if unit["s"][i] == RUN and unit["r"][i] == run and unit["m"][i] == minion_id:
+            unit = job.units[key]
+            if unit.is_running(index=i, run_id=run) and unit.minion_ids[i] == minion_id:
                 self._gone(task=task, run=run)
                 self.effects(
                     self.replica.commit(
@@ -324,7 +329,7 @@
             parts = split_name(task=task)
             job = self.jobs.jobs.get(parts[0]) if parts is not None else None
             held = self.held.pop(task, None)
-            if parts is not None and job is not None and "u" in job:
+            if parts is not None and job is not None and not job.is_trimmed:
                 self._judge(minion_id=b["m"], job=job, parts=parts, run=run, how=how)
                 event = {
                     "t": "end",
@@ -345,12 +350,12 @@
         self.replica.barrier(then=("endsok", self.group_id, node_id, b["m"], b["f"], rows))
         self.pump()
 
-    def _judge(self, *, minion_id: str, job: dict[str, Any], parts: tuple[str, str, int], run: int, how: str) -> None:
+    def _judge(self, *, minion_id: str, job: Job, parts: tuple[str, str, int], run: int, how: str) -> None:
         """What an end tells of its minion."""
         if how == "alone":
             self.environment.note(event="gang-alone", task=".".join(map(str, parts)), run=run)
-        unit = job["u"].get(parts[1])
-        if unit is None or parts[2] >= len(unit["s"]) or unit["r"][parts[2]] != run or unit["s"][parts[2]] != RUN:
+        unit = job.units.get(parts[1])
+        if unit is None or not unit.is_running(index=parts[2], run_id=run):
             return
         if how == "done":
             self.room.worked(minion_id=minion_id)
@@ -358,7 +363,7 @@
             group.sore.add(minion_id)
         if (
             how == "failed"
-            and not any(unit["f"])
+            and not any(unit.failures)
             and self.room.failed(minion_id=minion_id, job_id=parts[0], now=self.environment.now)
         ):
             self.environment.note(event="minion-shy", minion=minion_id, streak=self.room.spots[minion_id].streak)
@@ -373,7 +378,7 @@
             for job_id, key, i in sorted(self.jobs.on.get(minion_id, ())):
                 task = task_name(job_id=job_id, unit=key, idx=i)
                 self.held.pop(task, None)
-                self._gone(task=task, run=self.jobs.jobs[job_id]["u"][key]["r"][i])
+                self._gone(task=task, run=self.jobs.jobs[job_id].units[key].run_ids[i])
             if self.jobs.on.get(minion_id):  # a repeat finds nothing left
                 self.effects(self.replica.commit(event={"t": "lost", "m": minion_id, "x": None, "v": b["v"]}))
         self.replica.barrier(
@@ -397,19 +402,19 @@
     def _began(self, *, job_id: str, key: str, i: int) -> None:
         """A run is in the record."""
         job = self.jobs.jobs[job_id]
-        step, unit = job["steps"][int(key.split(".")[1])], job["u"][key]
-        if step["ck"] and not step["gang"] and job["st"] not in ENDED:
+        step, unit = job.step_of(unit_key=key), job.units[key]
+        if step.takes_checkpoints and not step.is_gang and not job.has_ended:
             self.preemptor.started(
                 service=self.service(job=job),
                 rank=self.rank(job=job),
                 victim=Victim(
                     task=task_name(job_id=job_id, unit=key, idx=i),
-                    run=unit["r"][i],
-                    minion_id=unit["m"][i],
-                    size=Size(step["cpu"], step["mem"], step["gpu"]),
+                    run=unit.run_ids[i],
+                    minion_id=unit.minion_ids[i],
+                    size=Size(step.cpu_millicores, step.memory_mb, step.gpus),
                     horizon=math.inf
-                    if step["last"]
-                    else self.environment.now + unit["r"][i] * max(CRAWL_X * step["est"] / 1000, CRAWL_S),
+                    if step.is_long_running
+                    else self.environment.now + unit.run_ids[i] * max(CRAWL_X * step.estimate_ms / 1000, CRAWL_S),
                 ),
             )
 
--- a/yarrowloom/scheduling/scheduler.py
+++ b/yarrowloom/scheduling/scheduler.py
@@ -5,7 +5,8 @@
 from typing import Any
 
 from ..common.defaults import Defaults
-from ..jobs.state_machine import ENDED, RUN, WAIT, State, split_name
+from ..jobs.model import JobState, TaskState, Unit
+from ..jobs.state_machine import split_name
 from ..prediction import kind_key
 from . import scheduling_cycle as cycle
 from .admission import Admission
@@ -98,9 +99,9 @@
     def _turn(self, *, group: Group, walk: Walk) -> None:
         """A group's cycle, and what follows from it."""
         job = self.jobs.jobs[group.job_id]
-        unit = job["u"][group.key]
-        members = [i for i, st in enumerate(unit["s"]) if st == WAIT and i not in group.out]
-        if not members or (group.gang and RUN in unit["s"]):
+        unit = job.units[group.key]
+        members = [i for i, st in enumerate(unit.task_states) if st is TaskState.WAITING and i not in group.out]
+        if not members or (group.gang and TaskState.RUNNING in unit.task_states):
             self.backlog.bind(group=group)
             return
         if self.environment.wall_now > group.late_at and not group.prio[0]:
@@ -128,7 +129,7 @@
             return
         self._fail(group=group, decision=decision, waited=waited, patient=patient, n=len(members), walk=walk)
 
-    def _cycle(self, *, group: Group, members: list[int], unit: dict[str, Any], walk: Walk, strict: bool) -> Decision:
+    def _cycle(self, *, group: Group, members: list[int], unit: Unit, walk: Walk, strict: bool) -> Decision:
         self.cycles += 1
         shun = tuple(sorted(req for req, top in walk.top.items() if req and top < group.rank))
         off = self.nominator.off(group=group)
@@ -154,8 +155,10 @@
         )
         if self.warmer.kept and not group.gang:
             job = self.jobs.jobs[group.job_id]
-            step = job["steps"][int(group.key.split(".")[1])]
-            ask.upper_s = self.jobs.past.times(q=job["q"], step=step).p95 / 1000 if not step["last"] else math.inf
+            step = job.step_of(unit_key=group.key)
+            ask.upper_s = (
+                self.jobs.past.times(q=job.queue, step=step).p95 / 1000 if not step.is_long_running else math.inf
+            )
         elif self.warmer.kept:
             ask.upper_s = math.inf
         decision = cycle.run(room=self.room, ask=ask)
@@ -246,14 +249,14 @@
         while self.timed and self.timed[0][0] <= wall_now:
             _, job_id = heapq.heappop(self.timed)
             job = self.jobs.jobs.get(job_id)
-            if job is None or job["st"] in ENDED or job["k"] >= job["times"]:
+            if job is None or job.has_ended or job.next_run >= job.repeat_count:
                 continue
-            if len(job["open"]) >= 64:
+            if len(job.open_runs) >= 64:
                 heapq.heappush(self.timed, (wall_now + 200.0, job_id))
                 continue
-            if wall_now >= job["first"] + job["k"] * job["period"]:
-                self.effects(self.replica.commit(event={"t": "due", "id": job_id, "k": job["k"]}))
-            if job["k"] < job["times"]:
+            if wall_now >= job.first_run_ms + job.next_run * job.period_ms:
+                self.effects(self.replica.commit(event={"t": "due", "id": job_id, "k": job.next_run}))
+            if job.next_run < job.repeat_count:
                 self._timed(job_id=job_id)
         if now - self.swept > SWEEP_S:
             self.swept = now
@@ -272,7 +275,8 @@
         ids = []
         while self.over and now - self.over[0][0] > self.status_s * 1.25:
             at, job_id = self.over.popleft()
-            if "u" in self.jobs.jobs.get(job_id, {}):
+            job = self.jobs.jobs.get(job_id)
+            if job is not None and not job.is_trimmed:
                 self.over.append((now, job_id))
             else:
                 ids.append(job_id)
@@ -294,12 +298,12 @@
         """Record starts; a job's first ones use up its warm room."""
         if self.warmer.on and group.key.startswith("0."):
             job = self.jobs.jobs[group.job_id]
-            if job["st"] == State.PENDING:
+            if job.state is JobState.PENDING:
                 self.warmer.started(
-                    queue=job["q"],
-                    kind=kind_key(q=job["q"], steps=job["steps"]),
+                    queue=job.queue,
+                    kind=kind_key(q=job.queue, steps=job.steps),
                     now=self.environment.now,
-                    wait_ms=self.environment.wall_now * 1000 - job["at"],
+                    wait_ms=self.environment.wall_now * 1000 - job.accepted_at_ms,
                 )
         super().start(group=group, batch=batch)
 
--- a/yarrowloom/testbed/state_cost.py
+++ b/yarrowloom/testbed/state_cost.py
@@ -10,7 +10,8 @@
 import orjson
 
 from ..cluster_state.config import Table
-from ..jobs import Jobs, parse
+from ..jobs.state_machine import Jobs
+from ..jobs.submission import parse
 from ..transport.envelope import dump
 from .callers import config
 from .work import write
@@ -43,10 +44,8 @@
     rng = random.Random(seed)
     stages = [{"task-count": tasks, "cpus": 500, "mem-mb": 64, "estimate-ms": 900}]
     short = parse(body=orjson.dumps({"task-spec": write(stages=stages, ms=[900]), "stages": stages}))
-    rows = [
-        (f"{rng.getrandbits(64):016x}", orjson.dumps({**short, "svc": "hollow", "mt": 3, "q": "usual", "at": AT}))
-        for _ in range(count)
-    ]
+    row = {**short.document(), "svc": "hollow", "mt": 3, "q": "usual", "at": AT}
+    rows = [(f"{rng.getrandbits(64):016x}", orjson.dumps(row)) for _ in range(count)]
     jobs = Jobs()
 
     def put() -> Jobs:
