--- a/tests/cluster_state/test_config_delta.py
+++ b/tests/cluster_state/test_config_delta.py
@@ -5,11 +5,20 @@
 
 import orjson
 import pytest
+from msgspec import UNSET
 
 from yarrowloom.cluster_state.config import Table
-from yarrowloom.cluster_state.config_delta import History, diff, digest, merge, small
+from yarrowloom.cluster_state.config_delta import (
+    ConfigDelta,
+    ConfigHistory,
+    apply_delta,
+    config_digest,
+    diff,
+    is_small,
+)
 from yarrowloom.cluster_state.registry import Registry
 from yarrowloom.common.errors import StampError, StartupError
+from yarrowloom.common.records import decode
 from yarrowloom.common.settings import check
 
 Doc = dict[str, Any]
@@ -72,61 +81,61 @@
 def test_changes_give_the_whole_document(seed: int) -> None:
     rng = random.Random(seed)
     document = whole(version=1, routes=rng.randint(0, 12))
-    past, docs = History(), {1: document}
+    past, docs = ConfigHistory(), {1: document}
     past.add(document=document)
     for _ in range(80):
         document = orjson.loads(orjson.dumps(changed(rng=rng, document=document)))
         docs[document["config-version"]] = document
         past.add(document=document)
         config_version = rng.choice(list(docs))
-        delta = past.since(config_version=config_version)
+        delta = past.delta_since(config_version=config_version)
         if delta is None:
             continue
-        wire = orjson.loads(orjson.dumps(delta))
-        assert wire["base"] == config_version
-        assert wire["to"] == document["config-version"]
-        assert text(merge(document=docs[config_version], delta=wire)) == text(document)
-        other = History()
+        wire = decode(orjson.loads(delta.encoded()), into=ConfigDelta)
+        assert wire.base_version == config_version
+        assert wire.new_version == document["config-version"]
+        assert text(apply_delta(document=docs[config_version], delta=wire)) == text(document)
+        other = ConfigHistory()
         other.add(document=docs[config_version])
-        got = other.taken(delta=wire)
+        got = other.apply_delta(delta=wire)
         assert got is not None
         assert text(got) == text(document)
-    assert len(past.docs) == History.STAMPS
-    assert past.since(config_version=1) is None
+    assert len(past.documents) == ConfigHistory.MAX_VERSIONS
+    assert past.delta_since(config_version=1) is None
 
 
 def test_a_change_that_does_not_fit_is_seen() -> None:
     old, new = whole(version=1, routes=5), whole(version=2, routes=6)
     delta = diff(old=old, new=new)
-    past = History()
+    past = ConfigHistory()
     past.add(document={**old, "route-table": [route(7), *old["route-table"][1:]]})
-    assert past.taken(delta=delta) is None
-    past = History()
+    assert past.apply_delta(delta=delta) is None
+    past = ConfigHistory()
     past.add(document=whole(version=9, routes=5))
-    assert past.taken(delta=delta) is None
-    assert digest(document=new) == delta["sum"]
+    assert past.apply_delta(delta=delta) is None
+    assert config_digest(document=new) == delta.new_digest
 
 
 def test_a_change_of_one_route_of_many_is_short_and_rows_are_shared() -> None:
-    past = History()
+    past = ConfigHistory()
     old = past.add(document=whole(version=1, routes=510))
     rows = [*old["route-table"][:200], route(9000), *old["route-table"][201:]]
     fresh = orjson.loads(orjson.dumps({**old, "config-version": 3, "route-table": rows}))
     new = past.add(document=fresh)
-    delta = past.since(config_version=1)
+    delta = past.delta_since(config_version=1)
     assert delta is not None
-    assert len(orjson.dumps(delta)) < 600
-    assert past.bytes > 70_000
+    assert len(delta.encoded()) < 600
+    assert past.newest_bytes > 70_000
     assert sum(a is b for a, b in zip(old["route-table"], new["route-table"], strict=True)) == 509
-    assert past.since(config_version=1) is delta
+    assert past.delta_since(config_version=1) is delta
 
 
 def test_history_is_bounded_by_rows_that_are_not_shared() -> None:
-    past = History()
+    past = ConfigHistory()
     for i in range(40):
         past.add(document={**whole(version=i + 1, routes=0), "route-table": [route(n, rank=i) for n in range(510)]})
-    assert len(past.docs) <= History.ROWS // 510 + 1
-    assert past.since(config_version=40) is not None
+    assert len(past.documents) <= ConfigHistory.MAX_UNSHARED_ROWS // 510 + 1
+    assert past.delta_since(config_version=40) is not None
 
 
 def scan(*, document: Doc, host: str, path: str) -> Doc | None:
@@ -185,18 +194,18 @@
                     "removals": {"route-table": [f"r{rng.randrange(9)}"]},
                 }
             )
-        event = registry.judge(method=method, base=str(base), body=body)
+        event = registry.evaluate_config_request(method=method, if_match=str(base), body=body)
         assert event is not None
-        kinds.add("d" in event)
-        registry.apply(event)
-        assert registry.judge(method=method, base=str(base), body=body) is None
+        kinds.add(event.delta is not UNSET)
+        registry.apply_event(event)
+        assert registry.evaluate_config_request(method=method, if_match=str(base), body=body) is None
         with pytest.raises(StampError):
-            registry.judge(method=method, base=str(base), body=body + b" ")
+            registry.evaluate_config_request(method=method, if_match=str(base), body=body + b" ")
         assert registry.config is not None
         if rng.random() < 0.3:
-            twin.apply(orjson.loads(orjson.dumps({"t": "conf", "doc": registry.config, "h": event["h"]})))
+            twin.apply(orjson.loads(orjson.dumps({"t": "conf", "doc": registry.config, "h": event.request_digest})))
         else:
-            twin.apply(orjson.loads(orjson.dumps(event)))
+            twin.apply(orjson.loads(event.encoded()))
         assert text(twin.dump()) == text(registry.dump())
         if method == "PUT":
             assert text(registry.config) == text(document)
@@ -206,20 +215,24 @@
 
 def test_one_changed_route_of_510_is_logged_as_such() -> None:
     registry = Registry()
-    first = registry.judge(method="PUT", base="0", body=orjson.dumps(whole(version=1, routes=510)))
+    first = registry.evaluate_config_request(
+        method="PUT", if_match="0", body=orjson.dumps(whole(version=1, routes=510))
+    )
     assert first is not None
-    assert "doc" in first
-    registry.apply(first)
+    assert first.config is not UNSET
+    registry.apply_event(first)
     for method, body in (
         ("PATCH", {"config-version": 3, "upserts": {"route-table": [route(5, rank=0)]}}),
         ("PUT", {**whole(version=5, routes=511)}),
     ):
-        event = registry.judge(method=method, base=str(registry.config_version), body=orjson.dumps(body))
+        event = registry.evaluate_config_request(
+            method=method, if_match=str(registry.config_version), body=orjson.dumps(body)
+        )
         assert event is not None
-        assert len(orjson.dumps(event)) < 800
-        registry.apply(event)
+        assert len(event.encoded()) < 800
+        registry.apply_event(event)
     assert registry.config_version == 5
-    assert small(
+    assert is_small(
         delta=diff(old=whole(version=1, routes=4), new=whole(version=2, routes=5)), document=whole(version=2, routes=5)
     )
 
--- a/tests/cluster_state/test_operator_requests.py
+++ b/tests/cluster_state/test_operator_requests.py
@@ -6,7 +6,7 @@
 import orjson
 import pytest
 
-from yarrowloom.cluster_state.operator_requests import CHANGES_MOST, ZONES_MOST
+from yarrowloom.cluster_state.operator_requests import MAX_ACCEPTED_CHANGES, MAX_ZONES
 from yarrowloom.cluster_state.registry import Registry
 from yarrowloom.common.errors import InvalidError, StampError, UnclearError, YarrowError
 from yarrowloom.simulator.minions import config
@@ -21,13 +21,13 @@
 def order(registry: Registry, *, base: object, body: bytes, method: str = "PUT") -> str:
     """How an order ends: `taken`, `again`, or the error's code."""
     try:
-        event = registry.judge(method=method, base=None if base is None else str(base), body=body)
+        event = registry.evaluate_config_request(method=method, if_match=None if base is None else str(base), body=body)
     except YarrowError as err:
         assert err.status != 400 or err.findings
         return err.code
     if event is None:
         return "again"
-    registry.apply(orjson.loads(orjson.dumps(event)))
+    registry.apply(orjson.loads(event.encoded()))
     return "taken"
 
 
@@ -45,7 +45,7 @@
     return registry
 
 
-@pytest.mark.parametrize("changes", [2, 200, 300, 700, CHANGES_MOST + 1])
+@pytest.mark.parametrize("changes", [2, 200, 300, 700, MAX_ACCEPTED_CHANGES + 1])
 def test_a_repeat_is_known_after_hundreds_of_other_changes(changes: int) -> None:
     registry = new_registry(changes=changes)
     assert order(registry, base=1, body=patch(version=2), method="PATCH") == "again"
@@ -53,7 +53,7 @@
 
 
 def test_a_repeat_that_is_not_known_any_more_is_never_refused() -> None:
-    registry = new_registry(changes=CHANGES_MOST + 40)
+    registry = new_registry(changes=MAX_ACCEPTED_CHANGES + 40)
     for version in range(2, registry.config_version + 1):
         how = order(registry, base=version - 1, body=patch(version=version), method="PATCH")
         assert how == ("again" if version > 40 else "unclear")
@@ -66,12 +66,12 @@
 
 
 def test_what_is_known_of_orders_survives_a_snapshot() -> None:
-    registry, twin = new_registry(changes=CHANGES_MOST + 2), Registry()
+    registry, twin = new_registry(changes=MAX_ACCEPTED_CHANGES + 2), Registry()
     twin.load(orjson.loads(orjson.dumps(registry.dump())))
     assert twin.dump() == registry.dump()
     assert order(twin, base=1, body=patch(version=2), method="PATCH") == "unclear"
     assert order(twin, base=2, body=patch(version=3), method="PATCH") == "again"
-    assert len(orjson.dumps(registry.changes.dump())) < 46_000
+    assert len(orjson.dumps(registry.accepted_changes.snapshot().document())) < 46_000
 
 
 def test_a_state_without_these_memories_is_read_and_makes_no_claims() -> None:
@@ -122,7 +122,7 @@
     }
 
 
-@pytest.mark.parametrize("changes", [3, CHANGES_MOST + 9])
+@pytest.mark.parametrize("changes", [3, MAX_ACCEPTED_CHANGES + 9])
 def test_bad_orders_are_refused_at_once(changes: int) -> None:
     registry = new_registry(changes=changes)
     assert registry.config is not None
@@ -197,7 +197,7 @@
     rest = "" if method == "PATCH" else ', "route-table": [], "service-table": []'
     body = f'{{"config-version": {version}{rest}}}'.encode()
     with pytest.raises(InvalidError) as err:
-        registry.judge(method=method, base="3", body=body)
+        registry.evaluate_config_request(method=method, if_match="3", body=body)
     assert [f.place for f in err.value.findings][0] in ("config-version", "(body)")
 
 
@@ -243,11 +243,11 @@
 
 def evacuate(registry: Registry, *, zone: str, on: bool, known: int) -> str:
     try:
-        event = registry.judge_evacuation(zone=zone, on=on, known=known)
+        event = registry.evaluate_evacuation(zone=zone, is_evacuated=on, known_version=known)
     except UnclearError as err:
         assert err.status == 503
         return "unclear"
-    registry.apply(event)
+    registry.apply_event(event)
     return "taken"
 
 
@@ -278,14 +278,14 @@
 
 def test_what_is_known_of_zones_is_bounded_and_survives_a_snapshot() -> None:
     registry = Registry()
-    for i in range(ZONES_MOST + 10):
+    for i in range(MAX_ZONES + 10):
         assert evacuate(registry, zone=f"z{i}", on=False, known=registry.registry_version) == "taken"
     assert evacuate(registry, zone="z0", on=True, known=0) == "unclear"
     assert evacuate(registry, zone="new", on=True, known=0) == "unclear"
     twin = Registry()
     twin.load(orjson.loads(orjson.dumps(registry.dump())))
     assert twin.dump() == registry.dump()
-    assert len(orjson.dumps(registry.zones.dump())) < 10_000
+    assert len(orjson.dumps(registry.zone_versions.snapshot().document())) < 10_000
     assert evacuate(twin, zone="z1", on=True, known=3) == "unclear"
     assert evacuate(twin, zone="z1", on=True, known=twin.registry_version) == "taken"
 
--- a/tests/mutants/test_operator_request_mutants.py
+++ b/tests/mutants/test_operator_request_mutants.py
@@ -20,6 +20,7 @@
 from tests.support.two_operators import OrdersRun
 from yarrowloom.cluster_state.operator_requests import AcceptedChanges
 from yarrowloom.cluster_state.registry import Registry
+from yarrowloom.cluster_state.registry_events import ZoneEvacuationChanged
 from yarrowloom.common.errors import StampError, YarrowError
 from yarrowloom.node import http_routes as control
 from yarrowloom.node.core import CoreNode
@@ -30,13 +31,13 @@
 
 
 def no_deduplication(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(AcceptedChanges, "accepted", lambda self, version, digest: False)
+    patch.setattr(AcceptedChanges, "was_accepted", lambda self, version, digest: False)
 
 
 def forgets_at_once(patch: pytest.MonkeyPatch) -> None:
     """As it was: only the last orders are known, and what isn't known is refused."""
-    patch.setattr("yarrowloom.cluster_state.operator_requests.CHANGES_MOST", 8)
-    patch.setattr(AcceptedChanges, "unknown", lambda self, version: False)
+    patch.setattr("yarrowloom.cluster_state.operator_requests.MAX_ACCEPTED_CHANGES", 8)
+    patch.setattr(AcceptedChanges, "may_be_forgotten", lambda self, version: False)
 
 
 def refused_before_it_is_durable(patch: pytest.MonkeyPatch) -> None:
@@ -46,7 +47,7 @@
     def serve(self: CoreNode, *, node_id: str, request_id: int, op: str, b: dict[str, Any]) -> None:
         try:
             if op == "conf":
-                self.registry.judge(method=b["m"], base=b["base"], body=b["body"].encode())
+                self.registry.evaluate_config_request(method=b["m"], if_match=b["base"], body=b["body"].encode())
         except YarrowError as err:
             self.reply(node_id=node_id, request_id=request_id, status=err.status, document={})
             return
@@ -75,28 +76,28 @@
 
 def any_base_is_current(patch: pytest.MonkeyPatch) -> None:
     """Both of a race are taken, if their numbers rise."""
-    whole = Registry.judge
+    whole = Registry.evaluate_config_request
 
-    def judge(self: Registry, *, method: str, base: str | None, body: bytes) -> Any:
-        current = str(self.config_version) if (base or "").strip('"').isdigit() else base
-        return whole(self, method=method, base=current, body=body)
+    def evaluate(self: Registry, *, method: str, if_match: str | None, body: bytes) -> Any:
+        current = str(self.config_version) if (if_match or "").strip('"').isdigit() else if_match
+        return whole(self, method=method, if_match=current, body=body)
 
-    patch.setattr(Registry, "judge", judge)
+    patch.setattr(Registry, "evaluate_config_request", evaluate)
 
 
 def losers_are_confirmed(patch: pytest.MonkeyPatch) -> None:
     """Both of a race are confirmed under one number, only one is taken."""
-    whole = Registry.judge
+    whole = Registry.evaluate_config_request
 
-    def judge(self: Registry, *, method: str, base: str | None, body: bytes) -> Any:
+    def evaluate(self: Registry, *, method: str, if_match: str | None, body: bytes) -> Any:
         try:
-            return whole(self, method=method, base=base, body=body)
+            return whole(self, method=method, if_match=if_match, body=body)
         except StampError:
             if orjson.loads(body)["config-version"] == self.config_version:
                 return None
             raise
 
-    patch.setattr(Registry, "judge", judge)
+    patch.setattr(Registry, "evaluate_config_request", evaluate)
 
 
 def any_body_is_good(patch: pytest.MonkeyPatch) -> None:
@@ -104,7 +105,10 @@
 
 
 def no_fence_for_evacuations(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Registry, "judge_evacuation", lambda self, zone, on, known: {"t": "evac", "site": zone, "on": on})
+    def evaluate(self: Registry, *, zone: str, is_evacuated: bool, known_version: int) -> ZoneEvacuationChanged:
+        return ZoneEvacuationChanged(zone=zone, is_evacuated=is_evacuated)
+
+    patch.setattr(Registry, "evaluate_evacuation", evaluate)
 
 
 def evacuations_forgotten(patch: pytest.MonkeyPatch) -> None:
--- a/tests/node/test_busy_process.py
+++ b/tests/node/test_busy_process.py
@@ -46,7 +46,7 @@
     for ip in sim.core_ips:
         sim.freeze(ip=ip, seconds=2.5)
     sim.run(seconds=6.0)
-    owners = {row["o"] for row in sim.core(sim.serving(group_id=0)[0]).registry.minions.values()}
+    owners = {row.owner for row in sim.core(sim.serving(group_id=0)[0]).registry.minions.values()}
     assert epochs(sim) == before
     assert len(owners) == 3
     assert all(caller.state(job_id=j) == (200, "complete") for j in job_ids)
--- a/tests/node/test_call_repeats.py
+++ b/tests/node/test_call_repeats.py
@@ -114,13 +114,13 @@
     """`gone` is sent again for half a minute."""
     registry = Registry()
     registry.apply({"t": "own", "ms": [["i-0", "a#0", {"site": "z", "svc": "s", "labels": []}]]})
-    first = registry.minions["i-0"]["f"]
+    first = registry.minions["i-0"].fence
     for _ in range(2):
         registry.apply({"t": "gone", "m": "i-0", "f": first})
     assert registry.minions == {}
     registry.apply({"t": "own", "ms": [["i-0", "b#0", {"site": "z", "svc": "s", "labels": []}]]})
     registry.apply({"t": "gone", "m": "i-0", "f": first})
-    assert registry.minions["i-0"]["o"] == "b#0"
+    assert registry.minions["i-0"].owner == "b#0"
 
 
 def test_a_beat_that_comes_again_or_late_changes_nothing() -> None:
@@ -151,6 +151,6 @@
         for request_id in (20, 20, 21)
     ]
     assert all(rows == owners[0] and rows[0][0] == 200 for rows in owners)
-    fence = primary.registry.minions["i-new"]["f"]
+    fence = primary.registry.minions["i-new"].fence
     assert answers(sim, primary, m={"rid": 22, "to": primary.node_id, "g": 0, "op": "who", "b": b}) == owners[0]
-    assert primary.registry.minions["i-new"]["f"] == fence
+    assert primary.registry.minions["i-new"].fence == fence
--- a/tests/node/test_config_dissemination_tree.py
+++ b/tests/node/test_config_dissemination_tree.py
@@ -72,7 +72,7 @@
 def test_an_edge_whose_change_does_not_fit_asks_for_the_whole() -> None:
     sim = ready(seed=5)
     node = sim.edges()[7]
-    node.past.docs[3]["route-table"] = node.past.docs[3]["route-table"][1:]
+    node.past.documents[3]["route-table"] = node.past.documents[3]["route-table"][1:]
     since = sim.now
     put(sim, method="PATCH", document=patched(version=5), base=3)
     assert sim.until(cond=lambda: sim.stamps() == {5}, limit=2.5)
--- a/tests/node/test_controller.py
+++ b/tests/node/test_controller.py
@@ -7,8 +7,10 @@
 
 import yarrowloom.node.controller as chief
 from yarrowloom.agent.minion import Phase, Run
-from yarrowloom.cluster_state.minion_ownership import Owners, Picker, Place, place, total
+from yarrowloom.cluster_state.minion_ownership import MinionMove, MinionOwnership, OwnerSelector, ownership_digest
 from yarrowloom.cluster_state.registry import Registry
+from yarrowloom.cluster_state.registry_events import MinionsAssigned, RegistryEvent
+from yarrowloom.cluster_state.registry_rows import MinionRow, PlacementDomain
 from yarrowloom.node.core_environment import CoreEnvironment
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.minion_population import attached, back, herd, loads, serves
@@ -22,20 +24,20 @@
     out: list[tuple[float, int]] = []
     old = CoreEnvironment.commit0
 
-    def commit0(self: CoreEnvironment, *, event: dict[str, Any], **kw: Any) -> None:
-        if event["t"] == "own":
-            out.append((sim.now, len(event["ms"])))
+    def commit0(self: CoreEnvironment, *, event: RegistryEvent, **kw: Any) -> None:
+        if isinstance(event, MinionsAssigned):
+            out.append((sim.now, len(event.assignments)))
         old(self, event=event, **kw)
 
     monkeypatch.setattr(CoreEnvironment, "commit0", commit0)
     return out
 
 
-def racks(*, sim: Sim) -> dict[Place, set[str]]:
+def racks(*, sim: Sim) -> dict[PlacementDomain, set[str]]:
     registry = sim.core(sim.serving(group_id=0)[0]).registry
-    out: dict[Place, set[str]] = {}
+    out: dict[PlacementDomain, set[str]] = {}
     for row in registry.minions.values():
-        out.setdefault(place(row=row), set()).add(row["o"])
+        out.setdefault(row.placement_domain, set()).add(row.owner)
     return out
 
 
@@ -62,35 +64,37 @@
             registry.apply({"t": "gone", "m": minion_ids[0], "f": rng.choice([0, registry.fence])})
         if rng.random() < 0.05:
             registry.load(registry.dump())
-        fresh = Owners(rows=registry.minions)
-        assert (fresh.by, fresh.sums, fresh.spots) == (registry.owners.by, registry.owners.sums, registry.owners.spots)
+        fresh = MinionOwnership(rows=registry.minions)
+        assert vars(fresh) == vars(registry.ownership)
+        assert set(vars(fresh)) == {"minions_by_node", "checksums", "minions_by_domain"}
         for node_id in "xyz":
-            rows = [(m, r["f"]) for m, r in registry.minions.items() if r["o"] == node_id]
-            assert registry.owners.digest(node_id=node_id) == total(rows=rows)
+            fences = [(m, row.fence) for m, row in registry.minions.items() if row.owner == node_id]
+            assert registry.ownership.digest(node_id=node_id) == ownership_digest(fences=fences)
 
 
 def test_picks_keep_racks_together_and_spread_them() -> None:
-    pick = Picker(owners=Owners(rows={}), zones={"a": "z0", "b": "z0", "c": "z1"})
-    got = [pick.pick(spot=Place("z0", f"r{i // 12}")) for i in range(48)]
+    selector = OwnerSelector(ownership=MinionOwnership(rows={}), zones={"a": "z0", "b": "z0", "c": "z1"})
+    got = [selector.select_owner(domain=PlacementDomain("z0", f"r{i // 12}")) for i in range(48)]
     assert [got.count(u) for u in "abc"] == [24, 24, 0]
     assert all(len(set(got[i : i + 12])) == 1 for i in (0, 12, 24, 36))
-    assert {pick.pick(spot=Place("z9", f"q{i}")) for i in range(60)} == {"a", "b", "c"}
+    assert {selector.select_owner(domain=PlacementDomain("z9", f"q{i}")) for i in range(60)} == {"a", "b", "c"}
 
 
 def test_small_differences_move_nobody() -> None:
-    def rows(**n: int) -> dict[str, Any]:
-        return {
-            f"{u}{i}": {"o": u, "f": 1, "site": "z0", "labels": ["k", f"{u}{i // 3}"]}
+    def owned(**n: int) -> MinionOwnership:
+        rows = {
+            f"{u}{i}": MinionRow(owner=u, fence=1, zone="z0", labels=["k", f"{u}{i // 3}"])
             for u, k in n.items()
             for i in range(k)
         }
+        return MinionOwnership(rows=rows)
 
     zones = {"a": "z0", "b": "z0"}
     for a, b, some in ((7, 0, False), (40, 31, False), (9, 0, True), (60, 44, True)):
-        got = Picker(owners=Owners(rows=rows(a=a, b=b)), zones=zones).uneven(most=16)
+        got = OwnerSelector(ownership=owned(a=a, b=b), zones=zones).rebalancing_moves(max_moves=16)
         assert bool(got) is some
         assert all(minion_id[0] == "a" and to == "b" for minion_id, to in got)
-    assert Picker(owners=Owners(rows=rows(a=60, b=44)), zones={"a": "z0"}).uneven(most=16) == []
+    assert OwnerSelector(ownership=owned(a=60, b=44), zones={"a": "z0"}).rebalancing_moves(max_moves=16) == []
 
 
 def test_a_storm_of_new_minions_makes_few_commits(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -201,7 +205,7 @@
     monkeypatch.setattr(chief, "BATCH", 10)
     ip = next(u for u in sim.core_ips if u not in sim.serving(group_id=0) and u not in sim.serving(group_id=1))
     minion_ids = set(sim.core(ip).agent.minions)
-    before = {m: sim.core(sim.serving(group_id=0)[0]).registry.minions[m]["f"] for m in minion_ids}
+    before = {m: sim.core(sim.serving(group_id=0)[0]).registry.minions[m].fence for m in minion_ids}
     sim.kill(ip=ip)
     sim.boot(ip=ip)
     assert sim.until(cond=lambda: len(attached(sim=sim)) == 120, limit=6.0)
@@ -209,7 +213,7 @@
     held = sim.core(ip).agent.minions
     assert set(held) == minion_ids
     assert len(minion_ids) > 20
-    assert all(held[m].fence == registry.minions[m]["f"] > before[m] for m in minion_ids)
+    assert all(held[m].fence == registry.minions[m].fence > before[m] for m in minion_ids)
     assert oracle.broken == []
 
 
@@ -241,13 +245,15 @@
     monkeypatch.setattr(chief, "FRESH_S", 0.3)
     sim, oracle, caller, fleet = herd(seed=60 + seed, minions=24, cores=5, rack=4)
 
-    def uneven(self: Picker, *, most: int) -> list[tuple[str, str]]:
-        there = sim.rng.choice(list(self.owners.spots.values()))
+    def any_moves(self: OwnerSelector, *, max_moves: int) -> list[MinionMove]:
+        there = sim.rng.choice(list(self.ownership.minions_by_domain.values()))
         was = sim.rng.choice(list(there))
         to = sim.rng.choice(list(self.zones))
-        return [(minion_id, to) for minion_id in list(there[was])[:most]] if to != was and was in self.zones else []
+        if to == was or was not in self.zones:
+            return []
+        return [MinionMove(minion_id, to) for minion_id in list(there[was])[:max_moves]]
 
-    monkeypatch.setattr(Picker, "uneven", uneven)
+    monkeypatch.setattr(OwnerSelector, "rebalancing_moves", any_moves)
     made = watch(sim=sim, monkeypatch=monkeypatch)
     job_ids = []
     for i in range(40):
@@ -264,7 +270,7 @@
                     sim.freeze(ip=ip, seconds=1.0 + 2 * sim.rng.random())
         sim.run(seconds=1.0)
     sim.loss = 0.0
-    monkeypatch.setattr(Picker, "uneven", lambda self, *, most: [])
+    monkeypatch.setattr(OwnerSelector, "rebalancing_moves", lambda self, *, max_moves: [])
     sim.run(seconds=15.0)
     assert oracle.broken == []
     assert sum(n for _, n in made) > 60
--- a/tests/replication/test_stalled_process.py
+++ b/tests/replication/test_stalled_process.py
@@ -178,7 +178,7 @@
     sim, _, _, _ = cluster(seed=seed, cores=7)
     sim.run(seconds=SETTLE_S)
     named = holders(newest(sim, group_id=0))
-    owners = {minion_id: row["o"] for minion_id, row in sim.core(named[0]).registry.minions.items()}
+    owners = {minion_id: row.owner for minion_id, row in sim.core(named[0]).registry.minions.items()}
     rest = [ip for ip in sim.core_ips if ip not in named]
     for a in named:
         for b in rest:
@@ -187,5 +187,5 @@
     sim.heal()
     assert sim.until(cond=lambda: sim.serving(group_id=0) == [named[0]], limit=1.0)
     sim.run(seconds=0.3)
-    now = {minion_id: row["o"] for minion_id, row in sim.core(named[0]).registry.minions.items()}
+    now = {minion_id: row.owner for minion_id, row in sim.core(named[0]).registry.minions.items()}
     assert {m: o for m, o in now.items() if owners[m] != o} == {}
--- a/tests/storage/stored_data.py
+++ b/tests/storage/stored_data.py
@@ -13,7 +13,7 @@
 
 import orjson
 
-from yarrowloom.cluster_state.registry import Registry
+from yarrowloom.cluster_state.registry_events import registry_event_tags
 from yarrowloom.common.defaults import SHIPPED, Defaults
 from yarrowloom.common.log import Log
 from yarrowloom.common.settings import NodeSettings
@@ -104,7 +104,6 @@
 def known_kinds() -> KnownKinds:
     """The kinds that the reducers and the replay of records dispatch on."""
     record_kinds = re.findall(r'kind == "(\w+)"', inspect.getsource(StoredCopy.restore))
-    registry_events = re.findall(r'kind == "(\w+)"', inspect.getsource(Registry.apply))
     job_events = [
         name.removeprefix("_")
         for name, method in vars(Jobs).items()
@@ -114,7 +113,7 @@
     ]
     return KnownKinds(
         records=frozenset({*record_kinds, *NODE_RECORDS}),
-        registry_events=frozenset(registry_events),
+        registry_events=registry_event_tags(),
         job_events=frozenset(job_events),
     )
 
--- a/tests/storage/write_data.py
+++ b/tests/storage/write_data.py
@@ -75,10 +75,11 @@
     registry = Registry()
 
     def order(*, method: str, base: int, document: dict[str, Any]) -> dict[str, Any]:
-        event = registry.judge(method=method, base=str(base), body=orjson.dumps(document))
+        event = registry.evaluate_config_request(method=method, if_match=str(base), body=orjson.dumps(document))
         assert event is not None
-        registry.apply(event)
-        return event
+        registry.apply_event(event)
+        document_of_event: dict[str, Any] = event.document()
+        return document_of_event
 
     yield [order(method="PUT", base=0, document=configuration(version=3))]
     yield [order(method="PUT", base=3, document=configuration(version=4, rank=5))]
@@ -262,7 +263,7 @@
     for events in registry_events():
         disk.log(source=UIDS[0], group=0, events=events)
     replica = disk.node.replicas[1]
-    disk.node.members = dict(disk.node.registry.members)
+    disk.node.members = {u: member.document() for u, member in disk.node.registry.members.items()}
     while not replica.spares:
         disk.node.now += 0.5
         replica.tick()
--- a/tests/support/replication_adapter.py
+++ b/tests/support/replication_adapter.py
@@ -45,7 +45,9 @@
 
 def event(*, number: int, registry: bool) -> dict[str, Any]:
     """The event with a number."""
-    return {"t": "enrol", "uid": f"{number:04}", "info": {}} if registry else {"t": "n", "i": number}
+    if not registry:
+        return {"t": "n", "i": number}
+    return {"t": "enrol", "uid": f"{number:04}", "info": {"site": "z", "name": "n", "ctl": "n:1"}}
 
 
 def numbers_of(*, state: Reducer) -> list[int]:
--- a/tests/transport/test_codec.py
+++ b/tests/transport/test_codec.py
@@ -152,12 +152,12 @@
 
     def put(*, base: str, document: Any, method: str = "PUT") -> str:
         try:
-            event = registry.judge(method=method, base=base, body=orjson.dumps(document))
+            event = registry.evaluate_config_request(method=method, if_match=base, body=orjson.dumps(document))
         except (InvalidError, StampError) as err:
             return err.code
         if event is None:
             return "again"
-        registry.apply(event)
+        registry.apply_event(event)
         return "ok"
 
     assert put(base="x", document=CONF) == "invalid"
@@ -184,13 +184,13 @@
     seen = 0
     for owner in ("a", "b", "a"):
         registry.apply({"t": "own", "ms": [["m", owner, {"site": "z"}]]})
-        assert registry.minions["m"]["f"] > seen
-        seen = registry.minions["m"]["f"]
+        assert registry.minions["m"].fence > seen
+        seen = registry.minions["m"].fence
     registry.apply({"t": "gone", "m": "m", "f": seen - 1})
     assert "m" in registry.minions
     registry.apply({"t": "gone", "m": "m", "f": seen})
     registry.apply({"t": "own", "ms": [["m", "c", {}]]})
-    assert registry.minions["m"]["f"] > seen
+    assert registry.minions["m"].fence > seen
 
 
 @pytest.mark.parametrize("seed", range(100))
--- a/yarrowloom/cluster_state/config_delta.py
+++ b/yarrowloom/cluster_state/config_delta.py
@@ -1,158 +1,205 @@
-"""Changes between two configurations: what news and the journal carry in place of the whole."""
+"""Changes between two configurations: what nodes and the log carry in place of the whole."""
 
 import hashlib
-from typing import Any, TypedDict
+from typing import Any
 
 import orjson
 
-TABLES = ("route-table", "service-table")
-Doc = dict[str, Any]
+from ..common.records import Record
 
+TABLES = ("route-table", "service-table")
+ConfigDocument = dict[str, Any]  # a configuration as published
 
-class Part(TypedDict):
-    """One table's change. `rows`: (place in the new table, row), places rise; `drop`: names that are no more."""
 
-    drop: list[str]
-    rows: list[tuple[int, Doc]]
+class TableDelta(Record, frozen=True, kw_only=True, rename={"removed_names": "drop"}):
+    """One table's change.
 
+    Attributes:
+        removed_names: Names of rows that are no more.
+        rows: Rows that are new or changed, each with its index in the new table; the indexes rise.
+    """
 
-class Delta(TypedDict):
-    """A change from version `base` to version `to`; `sum` is the digest of the whole that must come of it."""
+    removed_names: list[str]
+    rows: list[tuple[int, dict[str, Any]]]
+
+
+class ConfigDelta(
+    Record,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "base_version": "base",
+        "new_version": "to",
+        "new_digest": "sum",
+        "changed_fields": "top",
+        "removed_fields": "gone",
+    },
+):
+    """A change from one version of the configuration to another.
+
+    Attributes:
+        base_version: The version that it applies to.
+        new_version: The version that it makes.
+        new_digest: `config_digest` of the configuration that must come of it.
+        changed_fields: Fields of the configuration beside the tables that are new or changed.
+        removed_fields: Names of fields that are no more.
+        tables: By table, its change; tables that are equal in both are left out.
+    """
 
-    base: int
-    to: int
-    sum: str
-    top: Doc
-    gone: list[str]
-    tables: dict[str, Part]
+    base_version: int
+    new_version: int
+    new_digest: str
+    changed_fields: dict[str, Any]
+    removed_fields: list[str]
+    tables: dict[str, TableDelta]
 
 
-def _raw(val: Any) -> bytes:
-    return orjson.dumps(val, option=orjson.OPT_SORT_KEYS)
+def _canonical_json(value: Any) -> bytes:
+    return orjson.dumps(value, option=orjson.OPT_SORT_KEYS)
 
 
-def same(a: Any, b: Any) -> bool:
-    """Equal as JSON: 1, 1.0 and true differ.
+def equal_as_json(a: Any, b: Any) -> bool:
+    """Whether two values have the same JSON: 1, 1.0 and true differ.
 
-    >>> same({"a": 1, "b": 2}, {"b": 2, "a": 1}), same({"a": 1}, {"a": True})
+    >>> equal_as_json({"a": 1, "b": 2}, {"b": 2, "a": 1}), equal_as_json({"a": 1}, {"a": True})
     (True, False)
     """
-    return a is b or (a == b and _raw(a) == _raw(b))
+    return a is b or (a == b and _canonical_json(a) == _canonical_json(b))
 
 
-def digest(*, document: Doc) -> str:
-    """Names a whole configuration; the order of keys does not count, that of rows does."""
-    return hashlib.blake2b(_raw(document), digest_size=12).hexdigest()
+def config_digest(*, document: ConfigDocument) -> str:
+    """Names a whole configuration; the order of keys doesn't count, that of rows does."""
+    return hashlib.blake2b(_canonical_json(document), digest_size=12).hexdigest()
 
 
-def _part(*, old: list[Doc], new: list[Doc]) -> Part:
-    was = {r["name"]: r for r in old}
-    kept = [r["name"] for r in new if r["name"] in was and same(was[r["name"]], r)]
-    keep = set(kept)
-    if [r["name"] for r in old if r["name"] in keep] != kept:
-        keep = set()  # rows changed places: all of the table is sent
-    names = {r["name"] for r in new}
-    return {
-        "drop": [n for n in was if n not in names],
-        "rows": [(i, r) for i, r in enumerate(new) if r["name"] not in keep],
-    }
+def _table_delta(*, old: list[ConfigDocument], new: list[ConfigDocument]) -> TableDelta:
+    old_rows = {row["name"]: row for row in old}
+    unchanged = [row["name"] for row in new if row["name"] in old_rows and equal_as_json(old_rows[row["name"]], row)]
+    kept = set(unchanged)
+    if [row["name"] for row in old if row["name"] in kept] != unchanged:
+        kept = set()  # rows are in another order: all of the table is sent
+    new_names = {row["name"] for row in new}
+    return TableDelta(
+        removed_names=[name for name in old_rows if name not in new_names],
+        rows=[(index, row) for index, row in enumerate(new) if row["name"] not in kept],
+    )
 
 
-def diff(*, old: Doc, new: Doc) -> Delta:
+def diff(*, old: ConfigDocument, new: ConfigDocument) -> ConfigDelta:
     """The change that makes `new` of `old`; both are valid configurations.
 
     >>> old = {"config-version": 1, "route-table": [{"name": "a"}, {"name": "b"}], "service-table": []}
     >>> new = {"config-version": 4, "route-table": [{"name": "b"}, {"name": "c"}], "service-table": []}
-    >>> diff(old=old, new=new)["tables"]
-    {'route-table': {'drop': ['a'], 'rows': [(1, {'name': 'c'})]}}
-    >>> merge(document=old, delta=diff(old=old, new=new)) == new
+    >>> diff(old=old, new=new).tables
+    {'route-table': TableDelta(removed_names=['a'], rows=[(1, {'name': 'c'})])}
+    >>> apply_delta(document=old, delta=diff(old=old, new=new)) == new
     True
     """
-    tables: dict[str, Part] = {}
-    for key in TABLES:
-        part = _part(old=old[key], new=new[key])
-        if part["drop"] or part["rows"]:
-            tables[key] = part
-    rest = [k for k in new if k not in TABLES]
-    return {
-        "base": old["config-version"],
-        "to": new["config-version"],
-        "sum": digest(document=new),
-        "top": {k: new[k] for k in rest if k not in old or not same(old[k], new[k])},
-        "gone": [k for k in old if k not in new],
-        "tables": tables,
-    }
-
-
-def merge(*, document: Doc, delta: Delta) -> Doc:
-    """The configuration that a change makes of `doc`; rows that stay are shared with it. The digest is unchecked."""
-    out = {k: v for k, v in document.items() if k not in delta["gone"]}
-    out.update(delta["top"])
-    for key, part in delta["tables"].items():
-        away = {*part["drop"], *(r["name"] for _, r in part["rows"])}
-        rows = [r for r in out[key] if r["name"] not in away]
-        for i, row in part["rows"]:
-            rows.insert(i, row)
-        out[key] = rows
-    return out
-
-
-def small(*, delta: Delta, document: Doc) -> bool:
-    """Whether a change carries less than half of the rows of the whole."""
-    return 2 * sum(len(p["rows"]) for p in delta["tables"].values()) <= sum(len(document[k]) for k in TABLES)
-
-
-class History:
-    """The last configurations of a node, for changes from versions that others still have.
-
-    Invariants: versions rise; at most `STAMPS` of them and, beside the newest, at most `ROWS` rows not shared with
-    the version after (memory: about 1 KB a row); the newest is always there.
+    tables: dict[str, TableDelta] = {}
+    for table in TABLES:
+        table_delta = _table_delta(old=old[table], new=new[table])
+        if table_delta.removed_names or table_delta.rows:
+            tables[table] = table_delta
+    changed = [key for key in new if key not in TABLES and (key not in old or not equal_as_json(old[key], new[key]))]
+    return ConfigDelta(
+        base_version=old["config-version"],
+        new_version=new["config-version"],
+        new_digest=config_digest(document=new),
+        changed_fields={key: new[key] for key in changed},
+        removed_fields=[key for key in old if key not in new],
+        tables=tables,
+    )
+
+
+def apply_delta(*, document: ConfigDocument, delta: ConfigDelta) -> ConfigDocument:
+    """The configuration that a change makes of `document`, which stays as it is; unchanged rows are shared with it.
+
+    The digest isn't checked here.
+    """
+    result = {key: value for key, value in document.items() if key not in delta.removed_fields}
+    result.update(delta.changed_fields)
+    for table, table_delta in delta.tables.items():
+        replaced = {*table_delta.removed_names, *(row["name"] for _, row in table_delta.rows)}
+        rows = [row for row in result[table] if row["name"] not in replaced]
+        for index, row in table_delta.rows:
+            rows.insert(index, row)
+        result[table] = rows
+    return result
+
+
+def is_small(*, delta: ConfigDelta, document: ConfigDocument) -> bool:
+    """Whether a change carries at most half of the rows of the whole configuration."""
+    changed_rows = sum(len(table_delta.rows) for table_delta in delta.tables.values())
+    return 2 * changed_rows <= sum(len(document[table]) for table in TABLES)
+
+
+class ConfigHistory:
+    """The last configurations of a node, to make changes from the versions that other nodes still have.
+
+    Attributes:
+        documents: By version, the configurations; versions rise, and the newest is always there. Invariant: at most
+            `MAX_VERSIONS`, and beside the newest at most `MAX_UNSHARED_ROWS` rows that the version after does not
+            share (about 1 KB of memory a row).
+        newest_bytes: Length of the newest configuration as JSON.
     """
 
-    STAMPS = 64
-    ROWS = 4096
+    MAX_VERSIONS = 64
+    MAX_UNSHARED_ROWS = 4096
 
     def __init__(self) -> None:
-        self.docs: dict[int, Doc] = {}
-        self._own: dict[int, int] = {}  # by version: rows that its successor replaced or dropped
-        self._made: dict[int, Delta | None] = {}
-        self.bytes = 0  # of the newest as JSON
+        self.documents: dict[int, ConfigDocument] = {}
+        self.newest_bytes = 0
+        self._unshared_rows: dict[int, int] = {}  # by version: rows that its successor replaced or removed
+        self._deltas: dict[int, ConfigDelta | None] = {}  # by base version: what `delta_since` gave
 
-    def add(self, *, document: Doc) -> Doc:
+    def add(self, *, document: ConfigDocument) -> ConfigDocument:
         """Keep a newer configuration; returns it with equal rows shared with the one before."""
-        if self.docs:
-            last, old = next(reversed(self.docs.items()))
-            document = dict(document)
-            for key in TABLES:
-                was = {r["name"]: r for r in old[key]}
-                document[key] = [
-                    was[r["name"]] if r["name"] in was and same(was[r["name"]], r) else r for r in document[key]
-                ]
-                held = {id(r) for r in document[key]}
-                self._own[last] = self._own.get(last, 0) + sum(id(r) not in held for r in old[key])
-        self.docs[document["config-version"]] = document
-        while len(self.docs) > self.STAMPS or (len(self.docs) > 1 and sum(self._own.values()) > self.ROWS):
-            first = next(iter(self.docs))
-            del self.docs[first]
-            self._own.pop(first, None)
-        self._made.clear()
-        self.bytes = len(orjson.dumps(document))
+        if self.documents:
+            document = self._share_rows(document=document)
+        self.documents[document["config-version"]] = document
+        while len(self.documents) > self.MAX_VERSIONS or (
+            len(self.documents) > 1 and sum(self._unshared_rows.values()) > self.MAX_UNSHARED_ROWS
+        ):
+            oldest = next(iter(self.documents))
+            del self.documents[oldest]
+            self._unshared_rows.pop(oldest, None)
+        self._deltas.clear()
+        self.newest_bytes = len(orjson.dumps(document))
         return document
 
-    def since(self, *, config_version: int) -> Delta | None:
-        """The change from a version to the newest; None: not known any more, or not small."""
-        if config_version not in self.docs:
+    def _share_rows(self, *, document: ConfigDocument) -> ConfigDocument:
+        """A copy of `document` whose rows are those of the newest version where they are equal."""
+        newest_version, newest = next(reversed(self.documents.items()))
+        shared = dict(document)
+        for table in TABLES:
+            known = {row["name"]: row for row in newest[table]}
+            shared[table] = [
+                known[row["name"]] if row["name"] in known and equal_as_json(known[row["name"]], row) else row
+                for row in document[table]
+            ]
+            row_ids = {id(row) for row in shared[table]}
+            unshared = sum(id(row) not in row_ids for row in newest[table])
+            self._unshared_rows[newest_version] = self._unshared_rows.get(newest_version, 0) + unshared
+        return shared
+
+    def delta_since(self, *, config_version: int) -> ConfigDelta | None:
+        """The change from a version to the newest; None: the version isn't held any more, or the change isn't small."""
+        if config_version not in self.documents:
             return None
-        if config_version not in self._made:
-            new = next(reversed(self.docs.values()))
-            made = diff(old=self.docs[config_version], new=new)
-            self._made[config_version] = made if small(delta=made, document=new) else None
-        return self._made[config_version]
-
-    def taken(self, *, delta: Delta) -> Doc | None:
-        """The configuration that a change makes of a version held here; None: none is held, or the digest differs."""
-        base = self.docs.get(delta["base"])
+        if config_version not in self._deltas:
+            newest = next(reversed(self.documents.values()))
+            delta = diff(old=self.documents[config_version], new=newest)
+            self._deltas[config_version] = delta if is_small(delta=delta, document=newest) else None
+        return self._deltas[config_version]
+
+    def apply_delta(self, *, delta: ConfigDelta) -> ConfigDocument | None:
+        """The configuration that a change makes of a version held here.
+
+        Returns:
+            None if that version isn't held, or the digest of the result isn't the expected one.
+        """
+        base = self.documents.get(delta.base_version)
         if base is None:
             return None
-        document = merge(document=base, delta=delta)
-        return document if digest(document=document) == delta["sum"] else None
+        document = apply_delta(document=base, delta=delta)
+        return document if config_digest(document=document) == delta.new_digest else None
--- a/yarrowloom/cluster_state/operator_requests.py
+++ b/yarrowloom/cluster_state/operator_requests.py
@@ -1,95 +1,149 @@
-"""What the registry remembers of operators' orders, so that a repeat is told from a new order.
+"""What the registry remembers of accepted operator requests, to recognise a repeat of one.
 
-Both memories are bounded. What has been dropped from one is not taken for "never seen": a number says up to where
-the memory no longer knows, and an order that falls below it gets no clear answer.
+Both memories are bounded. What was dropped from one is not taken for "never seen": a number says up to where the
+memory no longer knows, and a request that falls below it gets no clear answer.
 """
 
+import hashlib
+import re
 from collections import OrderedDict
 from typing import Any
 
-CHANGES_MOST = 1024  # accepted configuration changes: 45 KB at most in a snapshot, 220 KB in memory
-ZONES_MOST = 256  # zones whose last order is remembered: 10 KB at most in a snapshot
+from ..common.errors import Finding, InvalidError
+from ..common.records import Record
+
+MAX_ACCEPTED_CHANGES = 1024  # configuration changes: at most 45 KB in a snapshot, 220 KB in memory
+MAX_ZONES = 256  # zones whose last request is remembered: at most 10 KB in a snapshot
+_IF_MATCH = re.compile(r'\s*("?)([0-9]{1,40})\1\s*')
+
+
+def request_digest(*, base_version: int, method: str, body: bytes) -> str:
+    """Names one request, so that its repeat is recognised."""
+    return hashlib.sha256(b"%d/" % base_version + method.encode() + body).hexdigest()[:32]
+
+
+def parse_base_version(*, if_match: str | None) -> int:
+    """The version of the configuration that a request builds on, from its If-Match header.
+
+    Raises:
+        InvalidError: The header is missing or not a whole number.
+
+    >>> parse_base_version(if_match="7"), parse_base_version(if_match=' "7" ')
+    (7, 7)
+    """
+    match = _IF_MATCH.fullmatch(if_match or "")
+    if match is None:
+        raise InvalidError(
+            text="If-Match is not a version", findings=[Finding(place="If-Match", text="missing or not a whole number")]
+        )
+    return int(match.group(2))
+
+
+def requested_version(*, document: Any) -> int:
+    """The version that a request wants to make; 0 if it names none that could be accepted."""
+    version = document.get("config-version") if isinstance(document, dict) else None
+    return version if isinstance(version, int) and not isinstance(version, bool) else 0
+
+
+class AcceptedChangesSnapshot(
+    Record, frozen=True, kw_only=True, rename={"forgotten_up_to": "forgotten", "digests": "taken"}
+):
+    """The stored form of `AcceptedChanges`; `digests` are (version, digest), versions rising."""
+
+    forgotten_up_to: int
+    digests: list[tuple[int, str]]
 
 
 class AcceptedChanges:
-    """The last accepted configuration changes: version -> digest of the order that made it.
+    """The last accepted configuration changes: by version, the digest of the request that made it.
 
-    Invariants: versions rise; every accepted change with a version above `forgotten` is held; `add` costs O(1).
+    Attributes:
+        forgotten_up_to: Invariant: every accepted change with a version above this is held. Versions rise.
     """
 
     def __init__(self) -> None:
-        self.forgotten = 0
+        self.forgotten_up_to = 0
         self._digests: OrderedDict[int, str] = OrderedDict()
 
     def add(self, *, version: int, digest: str) -> None:
-        """Remember an accepted change; the oldest makes room.
+        """Remember an accepted change, in place of the oldest if there are too many.
 
         >>> changes = AcceptedChanges()
-        >>> for version in range(1, CHANGES_MOST + 3):
+        >>> for version in range(1, MAX_ACCEPTED_CHANGES + 3):
         ...     changes.add(version=version, digest=f"d{version}")
-        >>> changes.forgotten, changes.accepted(version=2, digest="d2"), changes.accepted(version=3, digest="d3")
-        (2, False, True)
+        >>> changes.forgotten_up_to, [changes.was_accepted(version=v, digest=f"d{v}") for v in (2, 3)]
+        (2, [False, True])
         """
         self._digests[version] = digest
-        while len(self._digests) > CHANGES_MOST:
-            self.forgotten, _ = self._digests.popitem(last=False)
+        while len(self._digests) > MAX_ACCEPTED_CHANGES:
+            self.forgotten_up_to, _ = self._digests.popitem(last=False)
 
-    def accepted(self, *, version: int, digest: str) -> bool:
-        """Whether this very order made this version."""
+    def was_accepted(self, *, version: int, digest: str) -> bool:
+        """Whether this very request is known to have made this version."""
         return self._digests.get(version) == digest
 
-    def unknown(self, *, version: int) -> bool:
-        """Whether an order for this version may have been accepted and forgotten since."""
-        return version <= self.forgotten
+    def may_be_forgotten(self, *, version: int) -> bool:
+        """Whether a request for this version may have been accepted and forgotten since."""
+        return version <= self.forgotten_up_to
 
-    def dump(self) -> dict[str, Any]:
-        """All of it as plain data."""
-        return {"forgotten": self.forgotten, "taken": list(self._digests.items())}
+    def snapshot(self) -> AcceptedChangesSnapshot:
+        """All of it."""
+        return AcceptedChangesSnapshot(forgotten_up_to=self.forgotten_up_to, digests=list(self._digests.items()))
 
     @classmethod
-    def load(cls, *, document: dict[str, Any]) -> "AcceptedChanges":
-        """The inverse of `dump`."""
+    def from_snapshot(cls, *, snapshot: AcceptedChangesSnapshot) -> "AcceptedChanges":
+        """The inverse of `snapshot`."""
         changes = cls()
-        changes.forgotten = document["forgotten"]
-        changes._digests.update((version, digest) for version, digest in document["taken"])
+        changes.forgotten_up_to = snapshot.forgotten_up_to
+        changes._digests.update(snapshot.digests)
         return changes
 
 
+class ZoneVersionsSnapshot(
+    Record, frozen=True, kw_only=True, rename={"forgotten_up_to": "forgotten", "versions": "zones"}
+):
+    """The stored form of `ZoneVersions`; `versions` are (zone, registry version), the last request's last."""
+
+    forgotten_up_to: int
+    versions: list[tuple[str, int]]
+
+
 class ZoneVersions:
-    """By zone, the registry's version at the last evacuation order that was taken.
+    """By zone, the registry's version after the last accepted evacuation request.
 
-    Invariants: the versions held are above `forgotten`, the newest of those dropped; `add` costs O(1).
+    Attributes:
+        forgotten_up_to: The newest version that was dropped, -1 if none was. Invariant: those held are above it.
     """
 
     def __init__(self) -> None:
-        self.forgotten = -1
+        self.forgotten_up_to = -1
         self._versions: OrderedDict[str, int] = OrderedDict()
 
     def add(self, *, zone: str, version: int) -> None:
-        """An order for a zone made this version."""
+        """Remember that a request for a zone made this version, in place of the oldest if there are too many."""
         self._versions[zone] = version
         self._versions.move_to_end(zone)
-        while len(self._versions) > ZONES_MOST:
-            _, self.forgotten = self._versions.popitem(last=False)
+        while len(self._versions) > MAX_ZONES:
+            _, self.forgotten_up_to = self._versions.popitem(last=False)
 
-    def last(self, *, zone: str) -> int:
-        """The version of the zone's last order, or one that is certainly not older.
+    def last_version(self, *, zone: str) -> int:
+        """The version of the zone's last request, or one that is certainly not older.
 
         >>> zones = ZoneVersions()
         >>> zones.add(zone="a", version=7)
-        >>> zones.last(zone="a"), zones.last(zone="b")
+        >>> zones.last_version(zone="a"), zones.last_version(zone="b")
         (7, -1)
         """
-        return self._versions.get(zone, self.forgotten)
+        return self._versions.get(zone, self.forgotten_up_to)
 
-    def dump(self) -> dict[str, Any]:
-        """All of it as plain data."""
-        return {"forgotten": self.forgotten, "zones": list(self._versions.items())}
+    def snapshot(self) -> ZoneVersionsSnapshot:
+        """All of it."""
+        return ZoneVersionsSnapshot(forgotten_up_to=self.forgotten_up_to, versions=list(self._versions.items()))
 
     @classmethod
-    def load(cls, *, document: dict[str, Any]) -> "ZoneVersions":
-        """The inverse of `dump`."""
+    def from_snapshot(cls, *, snapshot: ZoneVersionsSnapshot) -> "ZoneVersions":
+        """The inverse of `snapshot`."""
         zones = cls()
-        zones.forgotten = document["forgotten"]
-        zones._versions.update((zone, version) for zone, version in document["zones"])
+        zones.forgotten_up_to = snapshot.forgotten_up_to
+        zones._versions.update(snapshot.versions)
         return zones
--- a/yarrowloom/cluster_state/registry.py
+++ b/yarrowloom/cluster_state/registry.py
@@ -1,59 +1,89 @@
-"""The state of group 0, changed by one reducer: configuration, evacuations, core members, minions and fences."""
+"""The state of group 0, changed by its events alone: configuration, evacuated zones, core members, minions."""
 
-import hashlib
-import re
-from typing import Any
+from typing import Any, assert_never
 
 import orjson
+from msgspec import UNSET, UnsetType
 
 from ..common.errors import Finding, InvalidError, StampError, UnclearError
-from . import config
-from . import config_delta as delta
-from .minion_ownership import Owners
-from .operator_requests import AcceptedChanges, ZoneVersions
+from ..common.records import Record, decode
+from . import config as config_rules
+from .config_delta import ConfigDocument, apply_delta, diff, is_small
+from .minion_ownership import MinionOwnership
+from .operator_requests import (
+    AcceptedChanges,
+    AcceptedChangesSnapshot,
+    ZoneVersions,
+    ZoneVersionsSnapshot,
+    parse_base_version,
+    request_digest,
+    requested_version,
+)
+from .registry_events import (
+    ConfigAccepted,
+    CoreMemberAdded,
+    CoreMemberRemoved,
+    MinionRemoved,
+    MinionsAssigned,
+    RegistryEvent,
+    ZoneEvacuationChanged,
+    decode_registry_event,
+)
+from .registry_rows import CoreMember, MinionRow
 
-_IF_MATCH = re.compile(r'\s*("?)([0-9]{1,40})\1\s*')
 
+class RegistrySnapshot(
+    Record,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "config": "conf",
+        "accepted_changes": "changes",
+        "evacuated_zones": "evac",
+        "zone_versions": "zones",
+        "registry_version": "mods",
+    },
+):
+    """The stored form of the registry.
 
-def digest(*, base: int, body: bytes) -> str:
-    """Names one order (its base, and its method and body), so that its repeat is known."""
-    return hashlib.sha256(b"%d/" % base + body).hexdigest()[:32]
-
-
-def base_version(*, header: str | None) -> int:
-    """The version that an order builds on, of its If-Match; raises if that isn't one.
-
-    >>> base_version(header="7"), base_version(header=' "7" ')
-    (7, 7)
+    Attributes:
+        accepted_changes: Unset in a snapshot of a release that did not keep it yet.
+        zone_versions: Unset in a snapshot of a release that did not keep it yet.
     """
-    match = _IF_MATCH.fullmatch(header or "")
-    if match is None:
-        raise InvalidError(
-            text="If-Match is not a version", findings=[Finding(place="If-Match", text="missing or not a whole number")]
-        )
-    return int(match.group(2))
-
 
-def _own_version(*, document: Any) -> int:
-    """The version that an order wants to make; 0 if it names none that could be accepted."""
-    version = document.get("config-version") if isinstance(document, dict) else None
-    return version if isinstance(version, int) and not isinstance(version, bool) else 0
+    config: dict[str, Any] | None
+    accepted_changes: AcceptedChangesSnapshot | UnsetType = UNSET
+    evacuated_zones: list[str]
+    zone_versions: ZoneVersionsSnapshot | UnsetType = UNSET
+    members: dict[str, CoreMember]
+    minions: dict[str, MinionRow]
+    fence: int
+    registry_version: int
 
 
 class Registry:
-    """Invariants: the configuration's stamp only rises; `fence` is above every fence given out; a minion has at
-    most one owner; `mods` rises with every change of evacuations or members, and with every evacuation order that
-    is taken; `owners` follows `minions`; `changes` and `zones` know what orders were taken.
+    """The reducer of group 0: its state changes by `apply` and `load` only.
+
+    Attributes:
+        config: The current configuration as published, None before the first. Its version only rises.
+        accepted_changes: The configuration requests that were accepted.
+        zone_versions: The evacuation requests that were accepted.
+        evacuated_zones: Zones closed for new work, sorted.
+        members: By node id, the core members.
+        minions: By minion id, its row; so a minion has at most one owner.
+        ownership: An index over `minions`, which follows them.
+        fence: The highest fencing token given out.
+        registry_version: Rises with each change of members, and with each evacuation request that is accepted.
     """
 
     def __init__(self) -> None:
-        self.config: dict[str, Any] | None = None
-        self.changes = AcceptedChanges()
-        self.zones = ZoneVersions()
+        self.config: ConfigDocument | None = None
+        self.accepted_changes = AcceptedChanges()
+        self.zone_versions = ZoneVersions()
         self.evacuated_zones: list[str] = []
-        self.members: dict[str, dict[str, Any]] = {}
-        self.minions: dict[str, dict[str, Any]] = {}
-        self.owners = Owners(rows=self.minions)
+        self.members: dict[str, CoreMember] = {}
+        self.minions: dict[str, MinionRow] = {}
+        self.ownership = MinionOwnership(rows=self.minions)
         self.fence = 0
         self.registry_version = 0
 
@@ -62,109 +92,173 @@
         """The current configuration's version, 0 before the first."""
         return int(self.config["config-version"]) if self.config else 0
 
+    # -- snapshots
+
     def dump(self) -> Any:
-        """All of it."""
-        return {
-            "conf": self.config,
-            "changes": self.changes.dump(),
-            "evac": self.evacuated_zones,
-            "zones": self.zones.dump(),
-            "members": self.members,
-            "minions": self.minions,
-            "fence": self.fence,
-            "mods": self.registry_version,
-        }
+        """All of it as plain data, the stored form of a `RegistrySnapshot`."""
+        return RegistrySnapshot(
+            config=self.config,
+            accepted_changes=self.accepted_changes.snapshot(),
+            evacuated_zones=self.evacuated_zones,
+            zone_versions=self.zone_versions.snapshot(),
+            members=self.members,
+            minions=self.minions,
+            fence=self.fence,
+            registry_version=self.registry_version,
+        ).document()
 
     def load(self, document: Any) -> None:
-        """Replace all of it."""
-        document = orjson.loads(orjson.dumps(document))
-        self.config = document["conf"]
-        self.evacuated_zones = document["evac"]
-        self.members = document["members"]
-        self.minions = document["minions"]
-        self.fence = document["fence"]
-        self.registry_version = document["mods"]
-        # A state written by an older version doesn't hold the two memories: nothing before it is known.
-        self.changes = AcceptedChanges.load(
-            document=document.get("changes", {"forgotten": self.config_version, "taken": []})
-        )
-        self.zones = ZoneVersions.load(
-            document=document.get("zones", {"forgotten": self.registry_version, "zones": []})
-        )
-        self.owners = Owners(rows=self.minions)
+        """Replace all of it by what `dump` gave.
+
+        Raises:
+            MalformedRecordError: A field is missing or of another type; the state is then as it was.
+        """
+        snapshot = decode(document, into=RegistrySnapshot)
+        self.config = snapshot.config
+        self.evacuated_zones = snapshot.evacuated_zones
+        self.members = snapshot.members
+        self.minions = snapshot.minions
+        self.fence = snapshot.fence
+        self.registry_version = snapshot.registry_version
+        self.accepted_changes = self._accepted_changes_of(snapshot=snapshot)
+        self.zone_versions = self._zone_versions_of(snapshot=snapshot)
+        self.ownership = MinionOwnership(rows=self.minions)
+
+    def _accepted_changes_of(self, *, snapshot: RegistrySnapshot) -> AcceptedChanges:
+        stored = snapshot.accepted_changes
+        if stored is UNSET:  # an earlier release's: nothing is known of requests up to this version
+            stored = AcceptedChangesSnapshot(forgotten_up_to=self.config_version, digests=[])
+        return AcceptedChanges.from_snapshot(snapshot=stored)
+
+    def _zone_versions_of(self, *, snapshot: RegistrySnapshot) -> ZoneVersions:
+        stored = snapshot.zone_versions
+        if stored is UNSET:  # an earlier release's: nothing is known of requests up to this version
+            stored = ZoneVersionsSnapshot(forgotten_up_to=self.registry_version, versions=[])
+        return ZoneVersions.from_snapshot(snapshot=stored)
+
+    # -- events
 
     def apply(self, event: dict[str, Any]) -> None:
-        """Take one event."""
-        kind = event["t"]
-        if kind == "conf":
-            if "d" in event:
-                assert self.config is not None
-                self.config = delta.merge(document=self.config, delta=event["d"])
-            else:
-                self.config = event["doc"]
-            self.changes.add(version=self.config_version, digest=event["h"])
-        elif kind == "evac":
-            self.registry_version += 1
-            self.evacuated_zones = sorted(
-                {*self.evacuated_zones, event["site"]} if event["on"] else set(self.evacuated_zones) - {event["site"]}
+        """Apply an event as the log holds it.
+
+        Raises:
+            MalformedRecordError: It isn't an event of the registry; the state is then as it was.
+        """
+        self.apply_event(decode_registry_event(event))
+
+    def apply_event(self, event: RegistryEvent) -> None:
+        """Apply one event."""
+        match event:
+            case ConfigAccepted():
+                self._accept_config(event)
+            case ZoneEvacuationChanged():
+                self._change_evacuation(event)
+            case CoreMemberAdded():
+                self.registry_version += 1
+                self.members[event.node_id] = event.member
+            case CoreMemberRemoved():
+                self.registry_version += 1
+                self.members.pop(event.node_id, None)
+            case MinionsAssigned():
+                self._assign_minions(event)
+            case MinionRemoved():
+                self._remove_minion(event)
+            case _:
+                assert_never(event)
+
+    def _accept_config(self, event: ConfigAccepted) -> None:
+        if event.delta is not UNSET:
+            assert self.config is not None, "a change to a configuration follows a whole one"
+            self.config = apply_delta(document=self.config, delta=event.delta)
+        elif event.config is not UNSET:
+            self.config = event.config
+        self.accepted_changes.add(version=self.config_version, digest=event.request_digest)
+
+    def _change_evacuation(self, event: ZoneEvacuationChanged) -> None:
+        self.registry_version += 1
+        others = set(self.evacuated_zones) - {event.zone}
+        self.evacuated_zones = sorted({*others, event.zone} if event.is_evacuated else others)
+        self.zone_versions.add(zone=event.zone, version=self.registry_version)
+
+    def _assign_minions(self, event: MinionsAssigned) -> None:
+        for assignment in event.assignments:
+            self.fence += 1
+            previous = self.minions.get(assignment.minion_id)
+            row = MinionRow.assigned(
+                owner=assignment.owner, fence=self.fence, description=assignment.description, previous=previous
             )
-            self.zones.add(zone=event["site"], version=self.registry_version)
-        elif kind == "enrol":
-            self.registry_version += 1
-            self.members[event["uid"]] = event["info"]
-        elif kind == "drop":
-            self.registry_version += 1
-            self.members.pop(event["uid"], None)
-        elif kind == "own":
-            for minion_id, owner, info in event["ms"]:
-                self.fence += 1
-                old = self.minions.get(minion_id)
-                row = self.minions[minion_id] = {**(old or {}), **info, "o": owner, "f": self.fence}
-                self.owners.put(minion_id=minion_id, row=row, old=old)
-        elif kind == "gone":
-            gone = self.minions.get(event["m"])
-            if gone is not None and gone["f"] <= event["f"]:
-                del self.minions[event["m"]]
-                self.owners.drop(minion_id=event["m"], row=gone)
-
-    def judge_evacuation(self, *, zone: str, on: bool, known: int) -> dict[str, Any]:
-        """The event that an evacuation order makes. `known`: the version of the node that took it, at that time.
-
-        An order that would change the zone's state, but was taken by its node before that node knew of the zone's
-        last order, may be a copy that was delayed: it is left without a clear answer. An order that asks for the
-        present state makes an event too, since it must fence what was sent before it.
+            self.minions[assignment.minion_id] = row
+            self.ownership.assign(minion_id=assignment.minion_id, row=row, previous=previous)
+
+    def _remove_minion(self, event: MinionRemoved) -> None:
+        row = self.minions.get(event.minion_id)
+        if row is not None and row.fence <= event.fence:
+            del self.minions[event.minion_id]
+            self.ownership.remove(minion_id=event.minion_id, row=row)
+
+    # -- operator requests; these only read the state, and return the event that is to be committed
+
+    def evaluate_evacuation(self, *, zone: str, is_evacuated: bool, known_version: int) -> ZoneEvacuationChanged:
+        """The event that an evacuation request makes; the state stays as it is.
+
+        A request that asks for the present state makes an event too, since it must fence what was sent before it.
+
+        Args:
+            zone: The zone that the request names.
+            is_evacuated: The state that it asks for.
+            known_version: The registry's version known, at that time, to the node that received the request.
+
+        Raises:
+            UnclearError: The request would change the zone's state, but was received before its node knew of the
+                zone's last request: it may be a copy that was delayed.
         """
-        if (zone in self.evacuated_zones) is not on and known < self.zones.last(zone=zone):
+        changes_state = (zone in self.evacuated_zones) is not is_evacuated
+        if changes_state and known_version < self.zone_versions.last_version(zone=zone):
             raise UnclearError(text=f"another order for {zone} came meanwhile")
-        return {"t": "evac", "site": zone, "on": on}
+        return ZoneEvacuationChanged(zone=zone, is_evacuated=is_evacuated)
+
+    def evaluate_config_request(self, *, method: str, if_match: str | None, body: bytes) -> ConfigAccepted | None:
+        """The event that a PUT or PATCH of the configuration makes; the state stays as it is.
 
-    def judge(self, *, method: str, base: str | None, body: bytes) -> dict[str, Any] | None:
-        """The event that a PUT or PATCH makes; None: accepted before. Raises what is wrong with it.
+        Versions are unique and rise, so a request can only have been accepted under its own version: with the digest
+        that `accepted_changes` holds for that. Below what that memory knows nobody can tell, and neither a
+        confirmation nor a refusal would be right.
 
-        Versions are unique and rise, so an order can only have been accepted under its own version: with the digest
-        that `changes` holds for that. Below what `changes` knows nobody can tell, and neither 200 nor a refusal would
-        be right. The event holds the change (`d`) if that is small, else the whole (`doc`).
+        Returns:
+            None if this very request was accepted before.
+
+        Raises:
+            InvalidError: The request or the configuration that it would make is malformed.
+            StampError: It builds on a version that isn't the current one.
+            UnclearError: Whether it was accepted before isn't known any more.
         """
-        built_on = base_version(header=base)
-        mark = digest(base=built_on, body=method.encode() + body)
+        base_version = parse_base_version(if_match=if_match)
+        digest = request_digest(base_version=base_version, method=method, body=body)
         try:
             document = orjson.loads(body)
         except orjson.JSONDecodeError as err:
             raise InvalidError(text="unreadable", findings=[Finding(place="(body)", text=str(err))]) from err
-        version = _own_version(document=document)
-        if self.changes.accepted(version=version, digest=mark):
+        version = requested_version(document=document)
+        if self.accepted_changes.was_accepted(version=version, digest=digest):
             return None
-        if built_on != self.config_version:
-            if version > built_on and self.changes.unknown(version=version):
-                raise UnclearError(text=f"orders up to version {self.changes.forgotten} aren't known any more")
-            raise StampError(text=f"version {self.config_version} is current")
+        self._check_base_version(base_version=base_version, version=version)
         if method == "PATCH":
             if self.config is None:
                 raise StampError(text="there is no configuration yet")
-            document = config.patch(base=self.config, change=document)
-        return self._change(document=config.check(document=document), mark=mark)
+            document = config_rules.patch(base=self.config, change=document)
+        return self._config_event(document=config_rules.check(document=document), digest=digest)
+
+    def _check_base_version(self, *, base_version: int, version: int) -> None:
+        """Raise if a request that wants to make `version` doesn't build on the current version."""
+        if base_version == self.config_version:
+            return
+        if version > base_version and self.accepted_changes.may_be_forgotten(version=version):
+            raise UnclearError(
+                text=f"orders up to version {self.accepted_changes.forgotten_up_to} aren't known any more"
+            )
+        raise StampError(text=f"version {self.config_version} is current")
 
-    def _change(self, *, document: dict[str, Any], mark: str) -> dict[str, Any]:
+    def _config_event(self, *, document: ConfigDocument, digest: str) -> ConfigAccepted:
         """The event that makes a valid configuration the current one; raises if its version doesn't rise."""
         if document["config-version"] <= self.config_version:
             raise InvalidError(
@@ -172,7 +266,7 @@
                 findings=[Finding(place="config-version", text=f"not above {self.config_version}")],
             )
         if self.config is not None:
-            change = delta.diff(old=self.config, new=document)
-            if delta.small(delta=change, document=document):
-                return {"t": "conf", "d": change, "h": mark}
-        return {"t": "conf", "doc": document, "h": mark}
+            delta = diff(old=self.config, new=document)
+            if is_small(delta=delta, document=document):
+                return ConfigAccepted(delta=delta, request_digest=digest)
+        return ConfigAccepted(config=document, request_digest=digest)
--- a/yarrowloom/node/controller.py
+++ b/yarrowloom/node/controller.py
@@ -2,7 +2,10 @@
 
 from typing import TYPE_CHECKING, Any
 
-from ..cluster_state.minion_ownership import Picker, place
+from ..cluster_state.minion_ownership import OwnerSelector
+from ..cluster_state.registry_events import CoreMemberAdded, CoreMemberRemoved, MinionAssignment, MinionsAssigned
+from ..cluster_state.registry_rows import CoreMember, MinionDescription
+from ..common.records import decode
 from ..replication.epoch import addr_of
 from ..transport.envelope import Kind
 
@@ -33,7 +36,9 @@
     def __init__(self, *, node: "CoreEnvironment", late: str) -> None:
         self.node = node
         now = node.now
-        self.last: dict[str, float] = dict.fromkeys({*node.registry.members, *node.registry.owners.by}, now)
+        self.last: dict[str, float] = dict.fromkeys(
+            {*node.registry.members, *node.registry.ownership.minions_by_node}, now
+        )
         if late in self.last:
             # The primary before this one: its agent acted on that duty's promise alone, which has run out.
             self.last[late] = now - DEAD_S + LATE_S
@@ -87,12 +92,12 @@
             return {}
         self.last[node_id] = node.now
         if self.incarnations.get(node_id) not in (None, b["incarnation"]):
-            self.stale[node_id] = list(node.registry.owners.by.get(node_id, ()))
+            self.stale[node_id] = list(node.registry.ownership.minions_by_node.get(node_id, ()))
             self._renew(node_id=node_id)
         self.incarnations[node_id] = b["incarnation"]
         leave = [minion_id for minion_id, (was, _) in self.shed.items() if was == node_id]
         if "own" not in b:
-            if b["dig"] != node.registry.owners.digest(node_id=node_id):
+            if b["dig"] != node.registry.ownership.digest(node_id=node_id):
                 return {"list": True}
             self.asked.update(leave)
             return {"lease": True, **({"shed": leave} if leave else {})}
@@ -101,12 +106,12 @@
             node_id=node_id,
             minion_ids=[minion_id for minion_id in leave if minion_id in self.asked and minion_id not in have],
         )
-        mine = node.registry.owners.by.get(node_id, {})
+        mine = node.registry.ownership.minions_by_node.get(node_id, {})
         old = {*self.stale.get(node_id, ())}
         give = [
             self._row(minion_id)
             for minion_id in mine
-            if have.get(minion_id, 0) < node.registry.minions[minion_id]["f"]
+            if have.get(minion_id, 0) < node.registry.minions[minion_id].fence
             and minion_id not in old
             and minion_id not in self.shed
         ]
@@ -114,34 +119,38 @@
 
     def _row(self, minion_id: str) -> list[Any]:
         row = self.node.registry.minions[minion_id]
-        return [minion_id, row["f"], row]
+        return [minion_id, row.fence, row.document()]
 
     def _enrol(self, *, b: dict[str, Any]) -> None:
         node, node_id = self.node, b["u"]
         old = [u for u in node.registry.members if addr_of(node_id=u) == addr_of(node_id=node_id)]
         for gone in old:
-            node.commit0(event={"t": "drop", "uid": gone})
-        node.commit0(
-            event={"t": "enrol", "uid": node_id, "info": {k: b[k] for k in ("site", "name", "ctl")}}, news=True
-        )
+            node.commit0(event=CoreMemberRemoved(node_id=gone))
+        member = decode({k: b[k] for k in ("site", "name", "ctl")}, into=CoreMember)
+        node.commit0(event=CoreMemberAdded(node_id=node_id, member=member), news=True)
         node.note(event="core-enrolled", node_id=node_id, replaces=",".join(old))
         self.stirred = max(self.stirred, node.now - CALM_S + FRESH_S)
 
-    def _picker(self) -> Picker:
+    def _owner_selector(self) -> OwnerSelector:
         members = self.node.registry.members
-        live = {u: str(row.get("site", "")) for u, row in members.items() if self.live(node_id=u)}
-        return Picker(owners=self.node.registry.owners, zones=live or {self.node.node_id: self.node.settings.zone})
+        live = {u: member.zone for u, member in members.items() if self.live(node_id=u)}
+        zones = live or {self.node.node_id: self.node.settings.zone}
+        return OwnerSelector(ownership=self.node.registry.ownership, zones=zones)
 
-    def _give(self, *, rows: list[list[Any]]) -> None:
-        """Commit new owners, (minion, owner, what is new of its row); they are told once it is durable."""
-        self.node.commit0(event={"t": "own", "ms": rows}, then=("owned", [row[0] for row in rows]))
+    def _give(self, *, rows: list[MinionAssignment]) -> None:
+        """Commit new owners; they are told once it is durable."""
+        self.node.commit0(event=MinionsAssigned(assignments=rows), then=("owned", [row.minion_id for row in rows]))
 
     def _renew(self, *, node_id: str) -> None:
         """A core's process began anew: its minions get new fences."""
         minion_ids = self.stale.pop(node_id)
         self.stale.update({node_id: minion_ids[BATCH:]} if minion_ids[BATCH:] else {})
-        mine = self.node.registry.owners.by.get(node_id, {})
-        rows: list[list[Any]] = [[minion_id, node_id, {}] for minion_id in minion_ids[:BATCH] if minion_id in mine]
+        mine = self.node.registry.ownership.minions_by_node.get(node_id, {})
+        rows = [
+            MinionAssignment(minion_id=minion_id, owner=node_id)
+            for minion_id in minion_ids[:BATCH]
+            if minion_id in mine
+        ]
         if rows:
             self._give(rows=rows)
         self.stirred = self.node.now
@@ -150,7 +159,7 @@
         """Which agent holds a minion; a new one gets an owner, together with others that come at the time."""
         row = self.node.registry.minions.get(b["m"])
         if row is not None:
-            self.node.replicas[0].barrier(then=("reply", node_id, request_id, 200, {"o": row["o"]}))
+            self.node.replicas[0].barrier(then=("reply", node_id, request_id, 200, {"o": row.owner}))
             return
         self.asks.append((node_id, request_id, b))
         if len(self.asks) >= BATCH or self.node.now - self.admitted >= ADMIT_S:
@@ -159,16 +168,17 @@
     def _admit(self) -> None:
         node, asks = self.node, self.asks
         self.asks, self.admitted = [], node.now
-        pick, rows = self._picker(), dict[str, list[Any]]()
+        selector, rows = self._owner_selector(), dict[str, MinionAssignment]()
         for _, _, b in asks:
             if b["m"] not in node.registry.minions and b["m"] not in rows:
-                info = {k: b[k] for k in ("site", "svc", "labels")}
-                rows[b["m"]] = [b["m"], pick.pick(spot=place(row=info)), info]
+                described = decode({k: b[k] for k in ("site", "svc", "labels")}, into=MinionDescription)
+                owner = selector.select_owner(domain=described.placement_domain)
+                rows[b["m"]] = MinionAssignment(minion_id=b["m"], owner=owner, description=described)
         if rows:
             self._give(rows=list(rows.values()))
         for node_id, request_id, b in asks:
             node.replicas[0].barrier(
-                then=("reply", node_id, request_id, 200, {"o": node.registry.minions[b["m"]]["o"]})
+                then=("reply", node_id, request_id, 200, {"o": node.registry.minions[b["m"]].owner})
             )
 
     def owned(self, *, minion_ids: list[str]) -> None:
@@ -177,21 +187,25 @@
         for minion_id in minion_ids:
             row = self.node.registry.minions.get(minion_id)
             if row is not None:
-                by.setdefault(row["o"], []).append(self._row(minion_id))
+                by.setdefault(row.owner, []).append(self._row(minion_id))
         for node_id, rows in by.items():
             self.node.send(node_id=node_id, kind=Kind.HEARTBEAT_ACK, body={"own": rows})
 
     def _move(self, *, owner: str) -> bool:
         """Give some of a dead agent's minions to live ones; whether there were any."""
         node = self.node
-        minion_ids = list(node.registry.owners.by.get(owner, ()))[:BATCH]
+        minion_ids = list(node.registry.ownership.minions_by_node.get(owner, ()))[:BATCH]
         if not minion_ids:
             return False
-        pick = self._picker()
+        selector = self._owner_selector()
         node.note(event="minions-moved", owner=owner, count=len(minion_ids))
         self._give(
             rows=[
-                [minion_id, pick.pick(spot=place(row=node.registry.minions[minion_id])), {}] for minion_id in minion_ids
+                MinionAssignment(
+                    minion_id=minion_id,
+                    owner=selector.select_owner(domain=node.registry.minions[minion_id].placement_domain),
+                )
+                for minion_id in minion_ids
             ]
         )
         self.stirred = node.now
@@ -200,9 +214,11 @@
     def _let_go(self, *, node_id: str, minion_ids: list[str]) -> None:
         """An agent holds these no longer, as it was asked to."""
         to = {minion_id: self.shed.pop(minion_id)[1] for minion_id in minion_ids}
-        mine = self.node.registry.owners.by.get(node_id, {})
-        rows: list[list[Any]] = [
-            [minion_id, new, {}] for minion_id, new in to.items() if minion_id in mine and self.live(node_id=new)
+        mine = self.node.registry.ownership.minions_by_node.get(node_id, {})
+        rows = [
+            MinionAssignment(minion_id=minion_id, owner=new)
+            for minion_id, new in to.items()
+            if minion_id in mine and self.live(node_id=new)
         ]
         if rows:
             self.node.note(event="minions-evened", owner=node_id, count=len(rows))
@@ -215,12 +231,12 @@
             return
         self.shed.clear()
         self.asked.clear()
-        agents = {*node.registry.members, *node.registry.owners.by}
+        agents = {*node.registry.members, *node.registry.ownership.minions_by_node}
         if now - self.stirred < CALM_S or not all(self.live(node_id=u) for u in agents):
             return
-        rows = self._picker().uneven(most=EASE)
+        rows = self._owner_selector().rebalancing_moves(max_moves=EASE)
         self.eased = now
-        self.shed = {minion_id: (node.registry.minions[minion_id]["o"], new) for minion_id, new in rows}
+        self.shed = {minion_id: (node.registry.minions[minion_id].owner, new) for minion_id, new in rows}
 
     def _resumed(self) -> None:
         """This primary serves. Hearts that came while it did not, without a lease or contact, were not counted: that
@@ -237,7 +253,7 @@
         node = self.node
         if self.asks and node.now - self.admitted >= ADMIT_S:
             self._admit()
-        for node_id in sorted(node.registry.owners.by):
+        for node_id in sorted(node.registry.ownership.minions_by_node):
             if self.dead(node_id=node_id) and self._move(owner=node_id):
                 break
         if self.stale:
@@ -245,5 +261,5 @@
         self._ease()
         for node_id in list(node.registry.members):
             if node_id != node.node_id and node.now - self.last.get(node_id, node.now) > DROP_S:
-                node.commit0(event={"t": "drop", "uid": node_id}, news=True)
+                node.commit0(event=CoreMemberRemoved(node_id=node_id), news=True)
                 node.note(event="core-dropped", node_id=node_id)
--- a/yarrowloom/node/core.py
+++ b/yarrowloom/node/core.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..cluster_state.minion_ownership import total
+from ..cluster_state.minion_ownership import ownership_digest
 from ..common.defaults import Defaults
 from ..common.effects import AnyEffect, Effect, NoEffect
 from ..common.log import Log
@@ -137,7 +137,7 @@
     def heart(self) -> dict[str, Any]:
         """A core's heart tells what its agent owns: a digest, and all of it if the chief asked."""
         own = [(m.minion_id, m.fence) for m in self.agent.minions.values()]
-        body = {**super().heart(), "dig": total(rows=own), "echo": self.echo}
+        body = {**super().heart(), "dig": ownership_digest(fences=own), "echo": self.echo}
         if self.listing:
             body["own"] = own
         return body
--- a/yarrowloom/node/core_environment.py
+++ b/yarrowloom/node/core_environment.py
@@ -6,6 +6,7 @@
 from ..agent import Agent
 from ..agent.agent import DRAIN_MS
 from ..cluster_state.registry import Registry
+from ..cluster_state.registry_events import MinionRemoved, RegistryEvent
 from ..common.defaults import SHIPPED, Defaults
 from ..common.effects import AnyEffect
 from ..common.errors import YarrowError
@@ -194,9 +195,9 @@
 
     # -- group 0
 
-    def commit0(self, *, event: dict[str, Any], then: tuple[Any, ...] | None = None, news: bool = False) -> None:
+    def commit0(self, *, event: RegistryEvent, then: tuple[Any, ...] | None = None, news: bool = False) -> None:
         """Commit to group 0; what changes news goes out once durable."""
-        self.replicas[0].commit(event=event, then=then)
+        self.replicas[0].commit(event=event.document(), then=then)
         if news:
             self.replicas[0].barrier(then=("news", self._registry()))
 
@@ -205,7 +206,7 @@
             "reg": {
                 "mods": self.registry.registry_version,
                 "evac": list(self.registry.evacuated_zones),
-                "members": dict(self.registry.members),
+                "members": {u: member.document() for u, member in self.registry.members.items()},
             }
         }
 
@@ -220,13 +221,15 @@
         assert chief is not None
         if op == "conf":
             try:
-                event = self.registry.judge(method=b["m"], base=b["base"], body=b["body"].encode())
+                event = self.registry.evaluate_config_request(
+                    method=b["m"], if_match=b["base"], body=b["body"].encode()
+                )
             except YarrowError as err:
                 status, document = refusal(err=err)
                 replica.barrier(then=("reply", node_id, request_id, status, document))
                 return
             if event is not None:
-                replica.commit(event=event)
+                replica.commit(event=event.document())
                 replica.barrier(then=("news", {"conf": self.registry.config}))
                 self.note(event="config-accepted", config_version=self.registry.config_version)
             replica.barrier(then=("reply", node_id, request_id, 200, {}))
@@ -236,20 +239,23 @@
             )
         elif op == "evac":
             try:
-                event = self.registry.judge_evacuation(zone=b["site"], on=b["on"], known=b["mods"])
+                evacuation = self.registry.evaluate_evacuation(
+                    zone=b["site"], is_evacuated=b["on"], known_version=b["mods"]
+                )
             except YarrowError as err:
                 status, document = refusal(err=err)
                 replica.barrier(then=("reply", node_id, request_id, status, document))
                 return
-            self.commit0(event=event, news=True)
+            self.commit0(event=evacuation, news=True)
             replica.barrier(then=("reply", node_id, request_id, 200, {}))
         elif op == "who":
             chief.who(node_id=node_id, request_id=request_id, b=b)
         elif op == "gone":
-            replica.commit(event={"t": "gone", "m": b["m"], "f": b["f"]}, then=("reply", node_id, request_id, 200, {}))
+            removed = MinionRemoved(minion_id=b["m"], fence=b["f"])
+            self.commit0(event=removed, then=("reply", node_id, request_id, 200, {}))
         elif op == "leave":
             row = self.registry.minions.get(b["m"])
-            replica.barrier(then=("reply", node_id, request_id, 200, {} if row is None else {"o": row["o"]}))
+            replica.barrier(then=("reply", node_id, request_id, 200, {} if row is None else {"o": row.owner}))
 
     # -- beats
 
--- a/yarrowloom/node/node_base.py
+++ b/yarrowloom/node/node_base.py
@@ -6,7 +6,7 @@
 import orjson
 
 from ..cluster_state.config import Table
-from ..cluster_state.config_delta import Delta, History
+from ..cluster_state.config_delta import ConfigDelta, ConfigHistory
 from ..common.log import Log
 from ..common.records import decode
 from ..common.settings import NodeSettings
@@ -46,7 +46,7 @@
         self.out = Outbox()
         self.config: dict[str, Any] | None = None
         self.table: Table | None = None
-        self.past = History()
+        self.past = ConfigHistory()
         self.torn = False  # a change did not give what it should: the whole is wanted
         self.registry_version = -1
         self.evacuated_zones: set[str] = set()
@@ -120,12 +120,12 @@
             and have["conf"] < self.table.config_version
             and (way.config < self.table.config_version or self.now >= way.conf_till)
         ):
-            delta = self.past.since(config_version=have["conf"])
+            delta = self.past.delta_since(config_version=have["conf"])
             size = 0
             if delta is not None:
-                out["delta"] = delta
+                out["delta"] = delta.document()
             elif have.get("whole", True):
-                out["conf"], size = self.config, self.past.bytes
+                out["conf"], size = self.config, self.past.newest_bytes
             if out:
                 way.config = self.table.config_version
                 way.conf_till = (
@@ -154,7 +154,7 @@
             self._configure(document=config)
             fresh = True
         if "delta" in document:
-            fresh = self._change(delta=document["delta"]) or fresh
+            fresh = self._change(delta=decode(document["delta"], into=ConfigDelta)) or fresh
         registry = document.get("reg")
         if registry is not None and registry["mods"] > self.registry_version:
             self.registry_version, self.evacuated_zones, self.members = (
@@ -176,14 +176,17 @@
         self.note(event="config-applied", config_version=self.table.config_version, routes=len(self.table.routes))
         self.configured()
 
-    def _change(self, *, delta: Delta) -> bool:
-        if self.table is None or self.torn or delta["to"] <= self.table.config_version:
+    def _change(self, *, delta: ConfigDelta) -> bool:
+        if self.table is None or self.torn or delta.new_version <= self.table.config_version:
             return False
-        document = self.past.taken(delta=delta)
+        document = self.past.apply_delta(delta=delta)
         if document is None:
             self.torn, self.hearted = True, -9.0
             self.log.warn(
-                "config-change-unfit", base=delta["base"], to=delta["to"], config_version=self.table.config_version
+                "config-change-unfit",
+                base=delta.base_version,
+                to=delta.new_version,
+                config_version=self.table.config_version,
             )
             return False
         self._configure(document=document)
--- a/yarrowloom/simulator/minion_population.py
+++ b/yarrowloom/simulator/minion_population.py
@@ -59,7 +59,7 @@
     """By machine: how many minions its agent has by group 0's record."""
     registry = sim.core(sim.serving(group_id=0)[0]).registry
     return {
-        ip: sum(registry.owners.load(node_id=u) for u in registry.members if u.split(":")[0] == ip)
+        ip: sum(registry.ownership.minion_count(node_id=u) for u in registry.members if u.split(":")[0] == ip)
         for ip in sim.core_ips
     }
 
