--- a/yarrowloom/transport/envelope.py
+++ b/yarrowloom/transport/envelope.py
@@ -1,6 +1,5 @@
 """What nodes say to each other: one protobuf envelope, length-prefixed, with a JSON body of many messages."""
 
-import enum
 import struct
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -10,89 +9,15 @@
 import orjson
 
 from ..common.records import Record
+from .message_kinds import LANE_NUMBERS
+from .message_kinds import LANES as LANES
+from .message_kinds import Kind as Kind
+from .message_kinds import Lane as Lane
 
 MAX_FRAME = 32 * 1024 * 1024
 _LEN = struct.Struct(">I")
 
 
-class Kind(enum.IntEnum):
-    """Kinds of messages."""
-
-    HEARTBEAT = 1
-    HEARTBEAT_ACK = 2
-    CLUSTER_UPDATE = 3
-    PREPARE = 10
-    PROMISE = 11
-    ACCEPT = 12
-    ACCEPTED = 13
-    INSTALL_EPOCH = 14
-    EPOCH_INSTALLED = 15
-    SNAPSHOT = 16
-    SNAPSHOT_STORED = 17
-    APPEND_BATCH = 18
-    BATCH_APPENDED = 19
-    LEADER_LEASE_REQUEST = 20
-    LEADER_LEASE_GRANTED = 21
-    YIELD = 22
-    CALL = 30
-    REPLY = 31
-    CLAIM_MINIONS = 40
-    ATTACH_MINION = 41
-    ATTACHMENT_VERDICT = 42
-    LEASE_REQUEST = 43
-    LEASE_GRANT = 44
-    LEASE_RETURN = 45
-    TASK_ORDERS = 46
-    STOP_TASKS = 47
-    TASK_ENDS = 48
-    TASK_ENDS_ACK = 49
-    MINION_LOST = 50
-    MINION_LOST_ACK = 51
-    CAPACITY_REPORT = 52
-    ORDERS_REJECTED = 53
-    CAPACITY_REPORT_REQUEST = 54
-
-
-class Lane(enum.IntEnum):
-    """Streams between two nodes, each with a connection and a sequence of its own.
-
-    One stream cannot do: a PING behind 2 MB of checkpoint or a second of orders comes too late, and if it overtook
-    them inside one sequence, what it overtook would count as lost. Splitting is right because no message of one
-    lane relies on one of another: hearts, news and record messages are repeated until answered and checked by
-    epoch and number, so they need no report of a gap; leases, orders, ends and attachments rely on each other only,
-    and a gap among them makes both sides attach anew. A checkpoint is asked for and answered by its tag.
-    """
-
-    URGENT = 1
-    WORK = 2
-    COPY = 3
-
-
-_LANE_NUMBERS = frozenset(int(lane) for lane in Lane)
-_URGENT = frozenset(
-    {
-        Kind.HEARTBEAT,
-        Kind.HEARTBEAT_ACK,
-        Kind.CLUSTER_UPDATE,
-        Kind.PREPARE,
-        Kind.PROMISE,
-        Kind.ACCEPT,
-        Kind.ACCEPTED,
-        Kind.INSTALL_EPOCH,
-        Kind.EPOCH_INSTALLED,
-        Kind.SNAPSHOT_STORED,
-        Kind.APPEND_BATCH,
-        Kind.BATCH_APPENDED,
-        Kind.LEADER_LEASE_REQUEST,
-        Kind.LEADER_LEASE_GRANTED,
-        Kind.YIELD,
-    }
-)
-LANES: dict[Kind, Lane] = {
-    k: Lane.COPY if k is Kind.SNAPSHOT else Lane.URGENT if k in _URGENT else Lane.WORK for k in Kind
-}
-
-
 @dataclass
 class Frame(betterproto.Message):  # type: ignore[misc]
     """Invariant: `seq` rises per sender life (`uid` and `incarnation`), receiver and lane; a receiver drops
@@ -124,7 +49,7 @@
     >>> envelope_fault(lane=9, src="a:1", node_id="a:1#0", incarnation=1, seq=1)
     'lane 9 is unknown'
     """
-    if lane not in _LANE_NUMBERS:
+    if lane not in LANE_NUMBERS:
         return f"lane {lane} is unknown"
     if not src or not node_id.startswith(src + "#"):
         return f"uid {node_id!r} is not one of address {src!r}"
