--- a/tests/integration/test_loopback.py
+++ b/tests/integration/test_loopback.py
@@ -16,7 +16,7 @@
 from yarrowloom.common.log import Log
 from yarrowloom.common.settings import ENV, check
 from yarrowloom.loadgen import Load, report
-from yarrowloom.node.runtime import open_core, open_edge
+from yarrowloom.node.startup import open_core, open_edge
 from yarrowloom.simulator.minions import HOST as HOST_NAME
 from yarrowloom.simulator.minions import config
 
--- a/tests/integration/test_overload.py
+++ b/tests/integration/test_overload.py
@@ -44,7 +44,7 @@
 
     def waiting(self) -> int:
         """Inputs that wait in all processes."""
-        return sum(len(p.turns) for p in self.sim.procs.values() if p.turns is not None)
+        return sum(len(p.input_scheduler) for p in self.sim.procs.values() if p.input_scheduler is not None)
 
     def watch(self, *, seconds: float) -> None:
         """Time goes on; every group must be served all the while."""
--- a/tests/integration/test_published_lines.py
+++ b/tests/integration/test_published_lines.py
@@ -9,12 +9,12 @@
 
 from tests.support.simulated_work import Day, task
 from yarrowloom.common.log import Log
-from yarrowloom.node import runtime
+from yarrowloom.node import draining
 from yarrowloom.node.edge import EdgeNode
 from yarrowloom.node.identity import FIRST
-from yarrowloom.node.runtime import Shell
 from yarrowloom.simulator.cluster import BOUNDS, Sim
 from yarrowloom.simulator.minions import HOST, cluster
+from yarrowloom.transport.http_server import Server
 
 TASK: dict[str, Any] = {"task-count": 1, "cpus": 1000, "mem-mb": 100, "estimate-ms": 500}
 NOWHERE: dict[str, Any] = {**TASK, "requires": "no-such-label"}
@@ -82,12 +82,11 @@
         settings=settings, node_id="10.0.1.1:7001#1", incarnation=FIRST, log=Log(name="test", level="error")
     )
     server = SimpleNamespace(busy=1, closing=False)
-    shell = cast(Shell, SimpleNamespace(node=node, servers=[server]))
-    monkeypatch.setattr(runtime, "time", SimpleNamespace(monotonic=trio.current_time))
+    monkeypatch.setattr(draining, "time", SimpleNamespace(monotonic=trio.current_time))
 
     async def main() -> float:
         begun = trio.current_time()
-        await Shell.drain(shell)
+        await draining.drain_edge(node=node, servers=[cast(Server, server)])
         return trio.current_time() - begun
 
     took = trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/tests/replication/test_handover.py
+++ b/tests/replication/test_handover.py
@@ -3,8 +3,8 @@
 import pytest
 
 from tests.replication.test_quorum_contact import holders, newest
+from yarrowloom.node.draining import CORE_DRAIN_LEAST_S, GRACE_RESERVE_S
 from yarrowloom.node.node_base import JOB_GROUPS
-from yarrowloom.node.runtime import DRAIN_LEAST_S, GRACE_SPARE_S
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.minions import HOST, cluster, config
 
@@ -14,12 +14,12 @@
 
 
 def leave(sim: Sim, *, ip: str) -> float:
-    """SIGTERM as the shell takes it; seconds until the process ended."""
+    """SIGTERM as the runtime takes it; seconds until the process ended."""
     proc, begun = sim.procs[ip], sim.now
     node = sim.core(ip)
     sim.step(ip, proc, node.leave)
-    sim.run(seconds=DRAIN_LEAST_S)
-    while not node.may_end() and sim.now - begun < GRACE_S - GRACE_SPARE_S:
+    sim.run(seconds=CORE_DRAIN_LEAST_S)
+    while not node.may_end() and sim.now - begun < GRACE_S - GRACE_RESERVE_S:
         sim.run(seconds=0.05)
     sim.kill(ip=ip)
     return sim.now - begun
@@ -57,7 +57,7 @@
     sim.kill(ip=backup, power=True)
     sim.wipe(ip=backup)
     sim.run(seconds=after)
-    assert leave(sim, ip=primary) <= GRACE_S - GRACE_SPARE_S
+    assert leave(sim, ip=primary) <= GRACE_S - GRACE_RESERVE_S
     sim.wipe(ip=primary)
     assert sim.until(cond=lambda: served(sim), limit=CATCH_UP_S)
     assert version(sim) == 4
@@ -109,8 +109,8 @@
     left = list(sim.core_ips)[:leavers]
     for ip in left:
         sim.step(ip, sim.procs[ip], sim.core(ip).leave)
-    sim.run(seconds=DRAIN_LEAST_S)
-    while len(left) > (leavers == 3) and sim.now - begun < GRACE_S - GRACE_SPARE_S:
+    sim.run(seconds=CORE_DRAIN_LEAST_S)
+    while len(left) > (leavers == 3) and sim.now - begun < GRACE_S - GRACE_RESERVE_S:
         for ip in [ip for ip in left if sim.core(ip).may_end()]:
             sim.kill(ip=ip)
             left.remove(ip)
--- a/tests/storage/test_storage.py
+++ b/tests/storage/test_storage.py
@@ -10,7 +10,8 @@
 from yarrowloom.common.errors import StoreError
 from yarrowloom.common.log import Log
 from yarrowloom.common.settings import NodeSettings
-from yarrowloom.node.runtime import Shell, open_core
+from yarrowloom.node.runtime import Runtime
+from yarrowloom.node.startup import open_core
 from yarrowloom.simulator.machines.disk import Operation, Outcome, PowerCutError, SimDisk, Trouble
 from yarrowloom.storage import END, Ring, Verdict, file_sizes, until_taken
 from yarrowloom.storage.record_format import HEADER_BYTES
@@ -238,7 +239,7 @@
     )
 
 
-def start_node(*, disk: SimDisk, bootstrap: bool = True) -> Shell:
+def start_node(*, disk: SimDisk, bootstrap: bool = True) -> Runtime:
     return open_core(settings=settings(bootstrap=bootstrap), log=LOG, file_system=disk)
 
 
--- a/tests/storage/test_writer.py
+++ b/tests/storage/test_writer.py
@@ -1,14 +1,15 @@
-"""The node's writer on a disk that refuses or hangs: each batch takes effect once, and the journal holds it once."""
+"""A node's disk writer on a disk that refuses or hangs: each batch takes effect once, and the journal holds it once."""
 
 import errno
 import threading
-from typing import Any
+from dataclasses import dataclass
 
 import pytest
 import trio
 
 from tests.storage.test_storage import lose_all, start_node
-from yarrowloom.node.runtime import Shell
+from yarrowloom.common.effects import Effect
+from yarrowloom.node.disk_writer import DiskWriter, Write
 from yarrowloom.simulator.machines.disk import Operation, Outcome, SimDisk, Trouble
 from yarrowloom.storage import Ring, Verdict
 
@@ -16,34 +17,51 @@
 HANG_MOST_S = 20.0
 
 
+@dataclass(frozen=True, slots=True, kw_only=True)
+class EntryWritten(Effect):
+    """The effect of an entry."""
+
+    number: int
+
+
+def numbers(batch: list[Write]) -> list[int]:
+    return [effect.number for _, effect in batch if isinstance(effect, EntryWritten)]
+
+
 def entry(number: int) -> bytes:
     return b'{"k":"none","entry":%d}' % number
 
 
+def write(number: int) -> Write:
+    return entry(number), EntryWritten(number=number)
+
+
 def written(*, disk: SimDisk) -> list[int]:
     """Entries in the journal, which has to be whole, in order."""
     ring = Ring(folder="/data", file_system=disk)
     records = ring.load()
     assert ring.verdict is Verdict.WHOLE
-    numbers = [int(record.split(b":")[2][:-1]) for record in records if b"entry" in record]
-    return numbers
+    return [int(record.split(b":")[2][:-1]) for record in records if b"entry" in record]
+
+
+def start_writer(*, disk: SimDisk) -> DiskWriter:
+    """The writer of a node that has just started."""
+    writer = start_node(disk=disk).disk_writer
+    assert writer is not None
+    return writer
 
 
-def run_writer(*, shell: Shell, batches: int) -> list[int]:
+def run_writer(*, writer: DiskWriter, batches: int) -> list[int]:
     """Hand in batches of two entries; the numbers whose effects came, in order."""
     done: list[int] = []
-    shell.post = lambda *, fn, **_: done.extend(effect[0] for effect in fn.keywords["effects"])  # type: ignore[method-assign]
+    writer.on_written = lambda _, batch: done.extend(numbers(batch))
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(shell.writer)
+            nursery.start_soon(writer.run)
             with trio.fail_after(20):
                 for batch in range(batches):
-                    effects: list[tuple[bytes, tuple[Any, ...]]] = [
-                        (entry(number), (number,)) for number in (2 * batch, 2 * batch + 1)
-                    ]
-                    shell.disk += effects
-                    shell.dirty.set()
+                    writer.add(writes=[write(number) for number in (2 * batch, 2 * batch + 1)])
                     while len(done) < 2 * batch + 2:
                         await trio.sleep(0.005)
             nursery.cancel_scope.cancel()
@@ -57,9 +75,9 @@
 @pytest.mark.parametrize("times", [1, 3])
 def test_a_refused_batch_is_written_once_and_takes_effect_once(operation: Operation, error: int, times: int) -> None:
     disk = SimDisk()
-    shell = start_node(disk=disk)
+    writer = start_writer(disk=disk)
     disk.troubles = [Trouble(operation=operation, error=error, after=2, times=times, taken_bytes=25)]
-    assert run_writer(shell=shell, batches=BATCHES) == list(range(2 * BATCHES))
+    assert run_writer(writer=writer, batches=BATCHES) == list(range(2 * BATCHES))
     killed = disk.copy()
     killed.kill()
     lose_all(disk=disk)
@@ -71,7 +89,7 @@
 
 
 def test_a_disk_that_hangs_holds_up_effects_and_nothing_else() -> None:
-    """The disk hangs until other tasks have had their turns; were they held up, it would come back first."""
+    """The disk hangs until other tasks have run; were they held up, it would come back first."""
     hangs, may_return = threading.Event(), threading.Event()
 
     def hang(_: float) -> None:
@@ -79,17 +97,16 @@
         may_return.wait(HANG_MOST_S)
 
     disk = SimDisk(wait=hang)
-    shell = start_node(disk=disk)
+    writer = start_writer(disk=disk)
     disk.troubles = [Trouble(operation=Operation.SYNC_DATA, stall_s=HANG_MOST_S)]
-    shell.post = lambda **_: None  # type: ignore[method-assign]
+    writer.on_written = lambda *_: None
     turns = 0
 
     async def main() -> None:
         nonlocal turns
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(shell.writer)
-            shell.disk.append((entry(0), (0,)))
-            shell.dirty.set()
+            nursery.start_soon(writer.run)
+            writer.add(writes=[write(0)])
             assert await trio.to_thread.run_sync(hangs.wait, HANG_MOST_S)
             for _ in range(10):
                 await trio.sleep(0.01)
@@ -105,12 +122,11 @@
 
 def test_a_batch_that_is_cut_off_comes_back_as_its_beginning_or_whole() -> None:
     disk = SimDisk()
-    shell = start_node(disk=disk)
-    assert shell.ring is not None
-    shell.ring.append(bodies=[entry(0), entry(1)])
+    writer = start_writer(disk=disk)
+    writer.ring.append(bodies=[entry(0), entry(1)])
     disk.troubles = [Trouble(operation=Operation.SYNC_DATA, error=errno.EIO)]
     with pytest.raises(OSError, match="Input"):
-        shell._put(shell.ring, [], [entry(2), entry(3)])
+        writer.write([], [entry(2), entry(3)])
     (size,) = disk.unsynced_writes()
     found: set[tuple[int, ...]] = set()
     for kept in range(size + 1):
--- a/tests/support/ring_cluster.py
+++ b/tests/support/ring_cluster.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from yarrowloom.node.core import CoreNode
-from yarrowloom.node.input_scheduler import Rank
+from yarrowloom.node.input_scheduler import InputClass
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.machines.process import Disk, Proc
 from yarrowloom.storage import END, Ring
@@ -68,7 +68,7 @@
             del self.under_way[ip]
             self._put(ip=ip, head=head, bodies=bodies)
             proc.disk_busy = False
-            self.post(ip, proc, lambda: node.done(effects=[effect for _, effect in batch]), rank=Rank.URGENT)
+            self.post(ip, proc, lambda: node.done(effects=[effect for _, effect in batch]), rank=InputClass.URGENT)
             self._sync(ip, proc)
 
         self.at(delay=self.sync_s * (0.5 + self.rng.random()), fn=synced)
--- a/tests/transport/test_http_exchange.py
+++ b/tests/transport/test_http_exchange.py
@@ -1,4 +1,4 @@
-"""An answer belongs to one exchange on one connection: over real sockets on loopback, with the shell's own matching."""
+"""An answer belongs to one exchange on one connection: over real sockets on loopback, matched by the runtime."""
 
 import contextlib
 import socket
@@ -12,7 +12,8 @@
 from tests.support.loopback import HOST, settings
 from yarrowloom.common.log import Log
 from yarrowloom.common.settings import check
-from yarrowloom.node.runtime import Shell, open_edge
+from yarrowloom.node.runtime import Runtime
+from yarrowloom.node.startup import open_edge
 from yarrowloom.transport.http_server import Request, Response, Server
 
 SILENT_TICKS_S = 100.0  # later than any call waits
@@ -20,19 +21,19 @@
 
 
 class Bench:
-    """An edge's shell behind a listening socket; the test answers in the node's place."""
+    """An edge's runtime behind a listening socket; the test answers in the node's place."""
 
     def __init__(self) -> None:
         document = settings(binds={"front": f"{HOST}:1"}, inner=7000, seed=f"{HOST}:2", data=None)
-        self.shell: Shell = open_edge(settings=check(document=document), log=Log(name="t", level="error"))
-        self.shell.credit = 1e9
+        self.runtime: Runtime = open_edge(settings=check(document=document), log=Log(name="t", level="error"))
+        self.runtime.credit_s = 1e9
         self.asked: dict[str, int] = {}  # the node's key of each call, by path
         self._arrivals: dict[str, trio.Event] = {}
         self.clients = contextlib.ExitStack()  # closed with the test
-        self.shell.node.http = self._http  # type: ignore[method-assign]
-        self.shell.node.tick = lambda: None  # type: ignore[method-assign]
-        self.shell.turns._tick.fn = lambda: None
-        self.server = Server(handler=self.shell.handle)
+        self.runtime.node.http = self._http  # type: ignore[method-assign]
+        self.runtime.node.tick = lambda: None  # type: ignore[method-assign]
+        self.runtime.inputs._tick.run = lambda: None
+        self.server = Server(handler=self.runtime.handle_request)
         self.port = 0
 
     def _http(self, *, call: Any, req: Request) -> None:
@@ -56,12 +57,12 @@
     def answer(self, path: str) -> None:
         """The node answers; the body tells which call it is for."""
         response = Response.of(200, {"for": path})
-        self.shell.step(lambda: self.shell.node.respond(call=self.asked[path], response=response))
+        self.runtime.step(lambda: self.runtime.node.respond(call=self.asked[path], response=response))
 
     def time_out(self) -> None:
         """All calls in hand have waited too long."""
-        self.shell.node.now += SILENT_TICKS_S * 1e6
-        self.shell._tick()
+        self.runtime.node.now += SILENT_TICKS_S * 1e6
+        self.runtime.tick()
 
 
 async def connected(bench: Bench, *, port: int = 0) -> trio.SocketStream:
@@ -178,14 +179,14 @@
         again = await connected(bench, port=port)
         await again.send_all(get("/b"))
         await bench.asks("/b")
-        assert len(bench.shell.waits) == 2
+        assert len(bench.runtime.exchanges) == 2
         bench.answer("/a")
         bench.answer("/b")
         got = await answers(again, count=1)
         assert b'"for":"/b"' in got
         assert b"/a" not in got
         assert got.count(b"HTTP/1.1") == 1
-        assert bench.shell.waits == {}
+        assert len(bench.runtime.exchanges) == 0
 
     play(script)
 
@@ -198,7 +199,7 @@
         await bench.asks("/a")
         await bench.asks("/b")
         big = Response(status=200, body=b"x" * (32 << 20))
-        bench.shell.step(lambda: bench.shell.node.respond(call=bench.asked["/a"], response=big))
+        bench.runtime.step(lambda: bench.runtime.node.respond(call=bench.asked["/a"], response=big))
         assert await first.receive_some(1000)
         reset(first)
         bench.answer("/b")
@@ -221,7 +222,7 @@
         with trio.move_on_after(0) as scope:
             await trio.sleep_forever()
         assert scope.cancelled_caught
-        assert len(bench.shell.waits) == 1
+        assert len(bench.runtime.exchanges) == 1
         bench.answer("/b")
         got = await answers(stream, count=1)
         assert got.count(b"HTTP/1.1") == 1
@@ -235,13 +236,13 @@
         stream = await connected(bench)
         await stream.send_all(get("/a"))
         await bench.asks("/a")
-        node = bench.shell.node
+        node = bench.runtime.node
 
         def twice() -> None:
             for n in (1, 2):
                 node.respond(call=bench.asked["/a"], response=Response.of(200, {"n": n}))
 
-        bench.shell.step(twice)
+        bench.runtime.step(twice)
         assert b'{"n":1}' in await answers(stream, count=1)
         await stream.send_all(get("/b"))
         await bench.asks("/b")
--- a/tests/transport/test_incarnations_wire.py
+++ b/tests/transport/test_incarnations_wire.py
@@ -14,7 +14,7 @@
 from yarrowloom.common.log import Log
 from yarrowloom.common.settings import check
 from yarrowloom.node.identity import last_life
-from yarrowloom.node.runtime import open_core, open_edge
+from yarrowloom.node.startup import open_core, open_edge
 from yarrowloom.storage import Ring
 from yarrowloom.transport.envelope import Frame, Kind, Lane, bundle, pack
 from yarrowloom.transport.peer_connections import CHALLENGE_BYTES, RETIRED_MOST, Peers, Seen
@@ -200,14 +200,14 @@
 ) -> None:
     document = settings(binds={"control": f"{HOST}:1"}, inner=7000, seed=f"{HOST}:1", data=str(tmp_path / "d"))
     for life in range(1, 5):
-        shell = open_core(settings=check(document=document), log=LOG)
-        assert shell.node.incarnation == life
-        assert shell.peers.incarnation == life
+        runtime = open_core(settings=check(document=document), log=LOG)
+        assert runtime.node.incarnation == life
+        assert runtime.peers.incarnation == life
         known = last_life(records=Ring(folder=str(tmp_path / "d"), size=2 << 20).load())
         assert known is not None
-        assert (known.node_id, known.incarnation) == (shell.node.node_id, life)
-        assert shell.ring is not None
-        shell.ring.close()
+        assert (known.node_id, known.incarnation) == (runtime.node.node_id, life)
+        assert runtime.disk_writer is not None
+        runtime.disk_writer.ring.close()
 
 
 def test_a_journal_from_before_lives_were_counted_goes_on_with_the_first(tmp_path: pathlib.Path) -> None:
@@ -218,9 +218,9 @@
 
 def test_no_two_lives_of_an_edge_share_a_uid() -> None:
     document = settings(binds={"front": f"{HOST}:1"}, inner=7000, seed=f"{HOST}:2", data=None)
-    shells = [open_edge(settings=check(document={**document, "role": "edge"}), log=LOG) for _ in range(20)]
-    assert len({shell.node.node_id for shell in shells}) == 20
-    assert {shell.node.incarnation for shell in shells} == {1}
+    runtimes = [open_edge(settings=check(document={**document, "role": "edge"}), log=LOG) for _ in range(20)]
+    assert len({runtime.node.node_id for runtime in runtimes}) == 20
+    assert {runtime.node.incarnation for runtime in runtimes} == {1}
 
 
 def test_two_lives_at_one_address_over_real_sockets() -> None:
--- a/tests/transport/test_lanes.py
+++ b/tests/transport/test_lanes.py
@@ -12,7 +12,7 @@
 from tests.support.loopback import HOST, reserved_ports
 from yarrowloom.common.log import Log
 from yarrowloom.node.group_calls import RESEND_MOST_S, Calls
-from yarrowloom.node.input_scheduler import SHARES, Rank, Repeats, Turns, rank_of
+from yarrowloom.node.input_scheduler import TIME_SHARES, DuplicateFilter, InputClass, InputScheduler, classify_message
 from yarrowloom.replication.epoch import Epoch
 from yarrowloom.simulator.minions import cluster
 from yarrowloom.transport.envelope import Frame, Kind, Lane, bundle, pack, unbundle
@@ -185,14 +185,14 @@
 
 def test_ticks_and_urgent_inputs_pass_a_backlog() -> None:
     done: list[str] = []
-    turns = Turns(tick=lambda: done.append("tick"), gap=0.05)
+    scheduler = InputScheduler(tick=lambda: done.append("tick"), interval_s=0.05)
     for i in range(200):
-        turns.put(fn=lambda i=i: done.append(f"w{i}"), rank=Rank.PLACE)  # type: ignore[misc]
-        turns.put(fn=lambda i=i: done.append(f"c{i}"), rank=Rank.LATE, until=99.0)  # type: ignore[misc]
+        scheduler.put(run=lambda i=i: done.append(f"w{i}"), input_class=InputClass.SCHEDULING)  # type: ignore[misc]
+        scheduler.put(run=lambda i=i: done.append(f"c{i}"), input_class=InputClass.CLIENT, expires_at=99.0)  # type: ignore[misc]
     now = 1.0
-    while len(turns) and (fn := turns.take(now=now)) is not None:
+    while len(scheduler) and (fn := scheduler.take(now=now)) is not None:
         if round(now * 1000) % 40 == 0:
-            turns.put(fn=lambda: done.append("ping"), rank=Rank.URGENT)
+            scheduler.put(run=lambda: done.append("ping"), input_class=InputClass.URGENT)
         fn()
         now += 0.01
     work = [d for d in done if d[0] == "w"]
@@ -202,22 +202,25 @@
     calls = [d for d in done if d[0] == "c"]
     assert calls == [f"c{i}" for i in range(200)]
     both = [d[0] for d in done if d[0] in "wc"]
-    backlog = both[: len(work) // 2]  # all take as long, so turns share as time does
-    assert all(run <= SHARES[Rank.PLACE] / SHARES[Rank.LATE] + 1 for run in map(len, "".join(backlog).split("c")))
+    backlog = both[: len(work) // 2]  # all take as long, so inputs share as time does
+    assert all(
+        run <= TIME_SHARES[InputClass.SCHEDULING] / TIME_SHARES[InputClass.CLIENT] + 1
+        for run in map(len, "".join(backlog).split("c"))
+    )
     assert abs(backlog.count("w") / len(backlog) - 2 / 3) < 0.05
 
 
 def test_late_calls_that_nobody_waits_for_are_passed_over() -> None:
     done: list[float] = []
-    turns = Turns(tick=lambda: None, gap=9.0)
-    assert turns.take(now=0.0) is not None
-    assert turns.take(now=0.0) is None
+    scheduler = InputScheduler(tick=lambda: None, interval_s=9.0)
+    assert scheduler.take(now=0.0) is not None
+    assert scheduler.take(now=0.0) is None
     for until in (1.0, 5.0):
-        turns.put(fn=lambda until=until: done.append(until), rank=Rank.LATE, until=until)  # type: ignore[misc]
-    while (fn := turns.take(now=2.0)) is not None:
+        scheduler.put(run=lambda until=until: done.append(until), input_class=InputClass.CLIENT, expires_at=until)  # type: ignore[misc]
+    while (fn := scheduler.take(now=2.0)) is not None:
         fn()
     assert done == [5.0]
-    assert len(turns) == 0
+    assert len(scheduler) == 0
 
 
 class Node:
@@ -311,13 +314,17 @@
     """Placing passes longer than the gap were due again at once, and nothing else was ever taken."""
     done: list[str] = []
     took = {"tick": 0.02, "chores": 0.3, "beat": 0.001, "ends": 0.01}
-    turns = Turns(tick=lambda: done.append("tick"), gap=0.05, chores={Rank.PLACE: lambda: done.append("chores")})
+    scheduler = InputScheduler(
+        tick=lambda: done.append("tick"),
+        interval_s=0.05,
+        periodic_inputs={InputClass.SCHEDULING: lambda: done.append("chores")},
+    )
     now, end = 0.0, 30.0
     while now < end:
-        turns.put(fn=lambda: done.append("ends"), rank=Rank.PLACE)
+        scheduler.put(run=lambda: done.append("ends"), input_class=InputClass.SCHEDULING)
         if len(done) % 5 == 0:
-            turns.put(fn=lambda: done.append("beat"), rank=Rank.AGENT)
-        fn = turns.take(now=now)
+            scheduler.put(run=lambda: done.append("beat"), input_class=InputClass.AGENT)
+        fn = scheduler.take(now=now)
         assert fn is not None
         fn()
         now += took[done[-1]]
@@ -334,14 +341,14 @@
 
 def test_beats_do_not_wait_for_a_backlog_of_placing() -> None:
     done: list[str] = []
-    turns = Turns(tick=lambda: None, gap=0.05)
+    scheduler = InputScheduler(tick=lambda: None, interval_s=0.05)
     for _ in range(500):
-        turns.put(fn=lambda: done.append("ends"), rank=Rank.PLACE)
+        scheduler.put(run=lambda: done.append("ends"), input_class=InputClass.SCHEDULING)
     now = 0.0
     for i in range(100):
-        turns.put(fn=lambda: done.append("beat"), rank=Rank.AGENT)
+        scheduler.put(run=lambda: done.append("beat"), input_class=InputClass.AGENT)
         for _ in range(3):
-            fn = turns.take(now=now)
+            fn = scheduler.take(now=now)
             assert fn is not None
             fn()
             now += 0.02 if done and done[-1] == "ends" else 0.001
@@ -349,34 +356,36 @@
 
 
 def test_a_backlog_does_not_grow_by_repeats() -> None:
-    replica = Repeats()
+    duplicates = DuplicateFilter()
     ends = {"g": 1, "m": "i", "f": 3, "x": [[1, "a"], [2, "b"]]}
     claim = {"g": 1, "x": [["i", 3, "svc"], ["j", 4, "svc"]]}
     lost = {"g": 1, "m": "i", "f": 3, "v": {}}
     for kind, m in ((Kind.TASK_ENDS, ends), (Kind.CLAIM_MINIONS, claim), (Kind.MINION_LOST, lost)):
-        assert replica.screen(node_id="a", kind=kind, m=m) is m
-        assert replica.screen(node_id="a", kind=kind, m=dict(m)) is None
-        assert replica.screen(node_id="b", kind=kind, m=m) is m
-        assert replica.taken(node_id="a", kind=kind, m=m) is m
-        assert replica.screen(node_id="a", kind=kind, m=m) is m
+        assert duplicates.admit(node_id="a", kind=kind, message=m) is m
+        assert duplicates.admit(node_id="a", kind=kind, message=dict(m)) is None
+        assert duplicates.admit(node_id="b", kind=kind, message=m) is m
+        assert duplicates.release(node_id="a", kind=kind, message=m) is m
+        assert duplicates.admit(node_id="a", kind=kind, message=m) is m
     assert (
-        replica.screen(node_id="a", kind=Kind.TASK_ENDS, m={**ends, "f": 4}) is not None
+        duplicates.admit(node_id="a", kind=Kind.TASK_ENDS, message={**ends, "f": 4}) is not None
     )  # under a newer fence it is news
     assert (
-        replica.screen(node_id="a", kind=Kind.TASK_ORDERS, m={})
-        == replica.screen(node_id="a", kind=Kind.TASK_ORDERS, m={})
+        duplicates.admit(node_id="a", kind=Kind.TASK_ORDERS, message={})
+        == duplicates.admit(node_id="a", kind=Kind.TASK_ORDERS, message={})
         == {}
     )
-    assert replica.screen(node_id="a", kind=Kind.TASK_ENDS, m={"x": 3}) == {"x": 3}  # whoever handles it says why not
-    assert replica.screen(node_id="a", kind=Kind.CAPACITY_REPORT, m={"v": 1}) == {"v": 1}
-    assert replica.screen(node_id="a", kind=Kind.CAPACITY_REPORT, m={"v": 2}) is None
-    assert replica.taken(node_id="a", kind=Kind.CAPACITY_REPORT, m={"v": 1}) == {"v": 2}
-    assert replica.screen(node_id="a", kind=Kind.CAPACITY_REPORT, m={"v": 3}) == {"v": 3}
+    assert duplicates.admit(node_id="a", kind=Kind.TASK_ENDS, message={"x": 3}) == {
+        "x": 3
+    }  # whoever handles it says why not
+    assert duplicates.admit(node_id="a", kind=Kind.CAPACITY_REPORT, message={"v": 1}) == {"v": 1}
+    assert duplicates.admit(node_id="a", kind=Kind.CAPACITY_REPORT, message={"v": 2}) is None
+    assert duplicates.release(node_id="a", kind=Kind.CAPACITY_REPORT, message={"v": 1}) == {"v": 2}
+    assert duplicates.admit(node_id="a", kind=Kind.CAPACITY_REPORT, message={"v": 3}) == {"v": 3}
 
 
 @pytest.mark.parametrize("kind", list(Kind))
 def test_malformed_messages_reach_whoever_says_so(kind: Kind) -> None:
-    replica = Repeats()
+    duplicates = DuplicateFilter()
     odd: list[Any] = [
         None,
         3,
@@ -390,6 +399,6 @@
         {"g": None, "ttl": "x"},
     ]
     for m in odd:
-        rank_of(kind=kind, m=m)
-        assert replica.screen(node_id="a", kind=kind, m=m) == m
-        assert replica.taken(node_id="a", kind=kind, m=m) == m
+        classify_message(kind=kind, message=m)
+        assert duplicates.admit(node_id="a", kind=kind, message=m) == m
+        assert duplicates.release(node_id="a", kind=kind, message=m) == m
--- a/tests/transport/test_malformed_frames.py
+++ b/tests/transport/test_malformed_frames.py
@@ -11,7 +11,7 @@
 import trio.testing
 
 from yarrowloom.common.log import Log
-from yarrowloom.node.runtime import Shell
+from yarrowloom.node.runtime import Runtime
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.minions import cluster
 from yarrowloom.transport.envelope import MAX_FRAME, Frame, Kind, Lane, bundle, pack
@@ -221,35 +221,35 @@
 ]
 
 
-def node_of(sim: Sim) -> Shell:
-    """The shell of a serving core, without sockets."""
+def node_of(sim: Sim) -> Runtime:
+    """The runtime of a serving core, without sockets."""
     node = sim.core(sim.serving(group_id=1)[0])
-    shell = Shell(node=node, log=Lines(), ring=None, port=7000)
-    shell.credit = 1e9
-    shell.peers.send = lambda **_: None  # type: ignore[method-assign]
-    return shell
+    runtime = Runtime(node=node, log=Lines(), ring=None, port=7000)
+    runtime.credit_s = 1e9
+    runtime.peers.send = lambda **_: None  # type: ignore[method-assign]
+    return runtime
 
 
 @pytest.mark.parametrize("seed", range(24))
 def test_messages_of_any_kind_with_wrong_types_end_no_process(seed: int) -> None:
     rng = random.Random(seed)
     sim, _, _, _ = cluster(seed=90 + seed % 6)
-    shell = node_of(sim)
+    runtime = node_of(sim)
     for _ in range(300):
         kind = rng.choice(list(Kind))
         m = {key: rng.choice(ODD) for key in rng.sample(KEYS, rng.randint(3, 30))}
         m["g"] = rng.choice([0, 1])
-        shell._frames(rng.choice(sorted(sim.node_ids.values())), Lane.WORK, [(kind, m)], False)
-        shell.node.out.sends.clear()
-        shell.step(shell.node.tick)
+        runtime.receive_frames(rng.choice(sorted(sim.node_ids.values())), Lane.WORK, [(kind, m)], False)
+        runtime.node.out.sends.clear()
+        runtime.step(runtime.node.tick)
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_calls_and_answers_with_wrong_types_end_no_process_and_no_call(seed: int) -> None:
     rng = random.Random(seed)
     sim, _, _, _ = cluster(seed=90 + seed)
-    shell = node_of(sim)
-    node = shell.node
+    runtime = node_of(sim)
+    node = runtime.node
     node.calls.start(group_id=0, op="getconf", b={}, done=("none",), ttl=1e12)
     request_id = node.calls.request_id
     for _ in range(1500):
@@ -264,6 +264,6 @@
                 ),
                 "b": rng.choice([*ODD, {"id": 7}, {"m": []}]),
             }
-        shell._frames(rng.choice(sorted(sim.node_ids.values())), Lane.WORK, [(kind, m)], False)
+        runtime.receive_frames(rng.choice(sorted(sim.node_ids.values())), Lane.WORK, [(kind, m)], False)
     assert request_id in node.calls.open
-    assert any(event == "frame-malformed" for event, _ in cast(Lines, shell.log).rows)
+    assert any(event == "frame-malformed" for event, _ in cast(Lines, runtime.log).rows)
--- a/yarrowloom/cli.py
+++ b/yarrowloom/cli.py
@@ -16,13 +16,13 @@
 
     def edge(self, level: str = "info") -> None:
         """Serve callers; settings from the file named by YARROWLOOM_NODE_FILE."""
-        from .node.runtime import serve
+        from .node.startup import serve
 
         serve(kind="edge", level=level)
 
     def core(self, level: str = "info") -> None:
         """Serve control: records, agent, placing."""
-        from .node.runtime import serve
+        from .node.startup import serve
 
         serve(kind="core", level=level)
 
--- a/yarrowloom/node/core.py
+++ b/yarrowloom/node/core.py
@@ -18,7 +18,7 @@
 from .edge_relays import EdgeRelays
 from .group_calls import NOT_PRIMARY, REFUSALS, InHand
 from .http_routes import dispatch
-from .input_scheduler import Input, Rank
+from .input_scheduler import Input, InputClass
 from .node_base import NodeBase
 
 NODE_RECORDS = frozenset({"id", "none"})  # the kinds of records that are of no group
@@ -323,9 +323,9 @@
         self.agent_chores()
         self.place_chores()
 
-    def chores(self) -> dict[Rank, Input]:
+    def chores(self) -> dict[InputClass, Input]:
         """What goes by time besides the pulse, by class."""
-        return {Rank.AGENT: self.agent_chores, Rank.PLACE: self.place_chores}
+        return {InputClass.AGENT: self.agent_chores, InputClass.SCHEDULING: self.place_chores}
 
     def agent_chores(self) -> None:
         """Beats that are held, what is to be told again, minions that fell silent."""
--- a/yarrowloom/node/counters.py
+++ b/yarrowloom/node/counters.py
@@ -1,4 +1,4 @@
-"""What a process has done since its start, told by `GET /tally` at its control or ready address."""
+"""Counters of what a process has done since its start, published by `GET /tally`."""
 
 import time
 from dataclasses import dataclass, field
@@ -6,61 +6,96 @@
 
 from ..transport.envelope import Kind
 
+PATHS_MOST = 64  # kinds of HTTP calls that are counted apart
+
+
+@dataclass(slots=True, kw_only=True)
+class SentCounter:
+    """Messages of one kind that were sent, and the bytes of their bodies."""
+
+    messages: int = 0
+    size_bytes: int = 0
+
+
+@dataclass(slots=True, kw_only=True)
+class DiskCounter:
+    """What was written to the journal: records and their bytes, batches, snapshots and their bytes."""
+
+    records: int = 0
+    record_bytes: int = 0
+    batches: int = 0
+    snapshots: int = 0
+    snapshot_bytes: int = 0
+
+
+def route_label(*, method: str, path: str) -> str:
+    """The method and the first part of the path of an HTTP call.
+
+    >>> route_label(method="PUT", path="/minions/i-1"), route_label(method="GET", path="/state")
+    ('PUT /minions', 'GET /state')
+    """
+    end = path.find("/", 1)
+    return f"{method} {path[:end] if end > 0 else path}"
+
 
 @dataclass(kw_only=True)
-class Tally:
-    """Invariant: counts only rise. `sent` by kind is [messages, bytes of bodies], `got` by kind messages; `disk` is
-    [records, bytes, batches, checkpoints, bytes of checkpoints]; `calls` counts HTTP calls by method and first part
-    of the path.
+class Counters:
+    """Counters that only rise.
+
+    Attributes:
+        sent: Messages to other nodes, by kind.
+        received: Messages from other nodes, by kind.
+        http_calls: HTTP calls by `route_label`; at most `PATHS_MOST` of these.
+        disk: What was written.
     """
 
-    sent: dict[str, list[int]] = field(default_factory=dict)
-    got: dict[str, int] = field(default_factory=dict)
-    calls: dict[str, int] = field(default_factory=dict)
-    disk: list[int] = field(default_factory=lambda: [0, 0, 0, 0, 0])
+    sent: dict[str, SentCounter] = field(default_factory=dict)
+    received: dict[str, int] = field(default_factory=dict)
+    http_calls: dict[str, int] = field(default_factory=dict)
+    disk: DiskCounter = field(default_factory=DiskCounter)
 
-    def sends(self, *, kind: Kind, size: int) -> None:
-        """One message more to another node.
+    def count_sent(self, *, kind: Kind, size_bytes: int) -> None:
+        """Count a message to another node.
 
-        >>> tally = Tally()
-        >>> tally.sends(kind=Kind.LEADER_LEASE_REQUEST, size=9)
-        >>> tally.sends(kind=Kind.LEADER_LEASE_REQUEST, size=1)
-        >>> tally.sent
-        {'LEADER_LEASE_REQUEST': [2, 10]}
+        >>> counters = Counters()
+        >>> counters.count_sent(kind=Kind.LEADER_LEASE_REQUEST, size_bytes=9)
+        >>> counters.count_sent(kind=Kind.LEADER_LEASE_REQUEST, size_bytes=1)
+        >>> counters.sent
+        {'LEADER_LEASE_REQUEST': SentCounter(messages=2, size_bytes=10)}
         """
-        row = self.sent.get(kind.name)
-        if row is None:
-            self.sent[kind.name] = [1, size]
-        else:
-            row[0] += 1
-            row[1] += size
-
-    def gets(self, *, kind: Kind) -> None:
-        """One message more from another node."""
-        self.got[kind.name] = self.got.get(kind.name, 0) + 1
-
-    def call(self, *, method: str, path: str) -> None:
-        """One HTTP call more."""
-        key = f"{method} {path[: path.find('/', 1)] if path.find('/', 1) > 0 else path}"
-        if key in self.calls or len(self.calls) < 64:
-            self.calls[key] = self.calls.get(key, 0) + 1
-
-    def wrote(self, *, head: list[bytes], bodies: list[bytes]) -> None:
-        """One batch is on the disk."""
-        row = self.disk
-        row[0] += len(bodies)
-        row[1] += sum(map(len, bodies))
-        row[2] += 1
-        row[3] += bool(head)
-        row[4] += sum(map(len, head))
+        counter = self.sent.get(kind.name)
+        if counter is None:
+            counter = self.sent[kind.name] = SentCounter()
+        counter.messages += 1
+        counter.size_bytes += size_bytes
+
+    def count_received(self, *, kind: Kind) -> None:
+        """Count a message from another node."""
+        self.received[kind.name] = self.received.get(kind.name, 0) + 1
+
+    def count_http_call(self, *, method: str, path: str) -> None:
+        """Count an HTTP call."""
+        label = route_label(method=method, path=path)
+        if label in self.http_calls or len(self.http_calls) < PATHS_MOST:
+            self.http_calls[label] = self.http_calls.get(label, 0) + 1
+
+    def count_written(self, *, snapshot: list[bytes], records: list[bytes]) -> None:
+        """Count a batch that is on the disk, with the snapshot written before it, if any."""
+        disk = self.disk
+        disk.records += len(records)
+        disk.record_bytes += sum(map(len, records))
+        disk.batches += 1
+        disk.snapshots += bool(snapshot)
+        disk.snapshot_bytes += sum(map(len, snapshot))
 
     def document(self, *, config_version: int) -> dict[str, Any]:
-        """All of it, with processor time in seconds and the configuration in force."""
+        """The published form, with processor time in seconds and the version of the configuration in force."""
+        disk = self.disk
         return {
             "cpu-s": time.process_time(),
             "stamp": config_version,
-            "sent": self.sent,
-            "got": self.got,
-            "calls": self.calls,
-            "disk": self.disk,
+            "sent": {kind: [counter.messages, counter.size_bytes] for kind, counter in self.sent.items()},
+            "got": self.received,
+            "calls": self.http_calls,
+            "disk": [disk.records, disk.record_bytes, disk.batches, disk.snapshots, disk.snapshot_bytes],
         }
--- a/yarrowloom/node/input_scheduler.py
+++ b/yarrowloom/node/input_scheduler.py
@@ -1,5 +1,6 @@
-"""The order in which a process takes its inputs."""
+"""The order in which a process handles its inputs: messages, HTTP requests and periodic work."""
 
+import contextlib
 import enum
 import math
 from collections import deque
@@ -8,28 +9,36 @@
 from typing import Any
 
 from ..transport.envelope import LANES, Kind, Lane
-from .busy_time import Load
+from .busy_time import BusyTime
 
 Input = Callable[[], None]
+ParsedBody = Any  # the body of a message as parsed JSON; its handler checks the form
 
 
-class Rank(enum.IntEnum):
-    """Classes of inputs. What one of them has to wait for is never in a later one. Messages of one peer in different
-    classes belong to different conversations: as an agent with the placing node here, as a placing node with the
-    agent here, as a caller.
+class InputClass(enum.IntEnum):
+    """Classes of inputs, the most urgent first.
+
+    What an input has to wait for is never in a later class. Messages of one peer in different classes belong to
+    different conversations: with this node as an agent, as a scheduler, or as a caller.
     """
 
-    URGENT = 0  # hearts, news, records, synced disks
-    AGENT = 1  # beats, and what placing nodes want of the agent; calls between cores
-    PLACE = 2  # what agents tell the placing node
-    LATE = 3  # calls of callers: new work
+    URGENT = 0  # node heartbeats, config updates, replication, synced disk writes
+    AGENT = 1  # minion heartbeats, what schedulers want of the agent, calls between core nodes
+    SCHEDULING = 2  # what agents report to the scheduler
+    CLIENT = 3  # clients' calls about jobs: new work
+
+    @property
+    def label(self) -> str:
+        """The name in log events."""
+        return self.name.lower()
 
 
-# Shares of the time while all have a backlog. Beats are cheap and must not wait for placing. Calls are cheap too, and
-# whoever calls gives up after seconds: a share of turns in place of time starved them while placing took long, so that
-# most callers got no answer at all. What is too much is refused when it is looked at (`scheduling/admission.py`).
-SHARES = {Rank.AGENT: 2.0, Rank.PLACE: 1.0, Rank.LATE: 0.5}
-_PLACE = frozenset(
+# Shares of the time while all classes have a backlog. Minion heartbeats are cheap and must not wait for scheduling.
+# Clients' calls are cheap too, and a client gives up after seconds: while they shared the number of inputs in place of
+# time, long scheduling cycles starved them, and most clients got no response at all. What is too much is refused when
+# it is handled (`scheduling/admission.py`).
+TIME_SHARES = {InputClass.AGENT: 2.0, InputClass.SCHEDULING: 1.0, InputClass.CLIENT: 0.5}
+_SCHEDULING_KINDS = frozenset(
     {
         Kind.CLAIM_MINIONS,
         Kind.TASK_ENDS,
@@ -39,199 +48,240 @@
         Kind.ATTACHMENT_VERDICT,
     }
 )
+_MALFORMED_ERRORS = (KeyError, TypeError, IndexError)
 
 
-def rank_of(*, kind: Kind, m: Any) -> Rank:
-    """The class of a message.
+def classify_message(*, kind: Kind, message: ParsedBody) -> InputClass:
+    """The class of a message from another node; `message` is its body as parsed JSON.
 
-    >>> rank_of(kind=Kind.LEADER_LEASE_REQUEST, m={}).name, rank_of(kind=Kind.TASK_ENDS, m={}).name
-    ('URGENT', 'PLACE')
-    >>> rank_of(kind=Kind.CALL, m={"g": 1}).name, rank_of(kind=Kind.CALL, m={"g": 0}).name
-    ('LATE', 'AGENT')
-    >>> rank_of(kind=Kind.CAPACITY_REPORT, m={"x": []}).name, rank_of(kind=Kind.CAPACITY_REPORT, m={"v": {}}).name
-    ('PLACE', 'AGENT')
+    >>> [classify_message(kind=kind, message={}).name for kind in (Kind.ACCEPT, Kind.TASK_ENDS)]
+    ['URGENT', 'SCHEDULING']
+    >>> [classify_message(kind=Kind.CALL, message={"g": group_id}).name for group_id in (1, 0)]
+    ['CLIENT', 'AGENT']
+    >>> [classify_message(kind=Kind.CAPACITY_REPORT, message=body).name for body in ({"x": []}, {"v": {}})]
+    ['SCHEDULING', 'AGENT']
     """
     if LANES[kind] is not Lane.WORK:
-        return Rank.URGENT
-    if kind in _PLACE or (kind is Kind.CAPACITY_REPORT and isinstance(m, dict) and "x" in m):
-        return Rank.PLACE  # changes of room keep their order with grants
-    if kind is Kind.CALL and isinstance(m, dict):
-        group_id = m.get("g")
-        return Rank.LATE if isinstance(group_id, int) and group_id > 0 else Rank.AGENT
-    return Rank.AGENT
-
-
-class Repeats:
-    """Rows of reports that wait to be handled: an agent tells ends, claims and losses again until they are answered,
-    and a backlog must not grow by that. Summaries of room replace the one that waits. Invariant: what is passed over
-    has an earlier message in the queue that says the same (or, of room, takes on what the later one says).
+        return InputClass.URGENT
+    if kind in _SCHEDULING_KINDS or (kind is Kind.CAPACITY_REPORT and isinstance(message, dict) and "x" in message):
+        return InputClass.SCHEDULING  # changes of capacity keep their order with grants
+    if kind is Kind.CALL and isinstance(message, dict):
+        group_id = message.get("g")
+        return InputClass.CLIENT if isinstance(group_id, int) and group_id > 0 else InputClass.AGENT
+    return InputClass.AGENT
+
+
+class DuplicateFilter:
+    """Drops reports that repeat what already waits to be handled.
+
+    An agent repeats ends, claims and losses of runs until they are acknowledged, and a backlog must not grow by that.
+    A newer capacity summary replaces the one of the same node that waits. Invariant: whatever is dropped has an
+    earlier message in the queue that says the same (or, of a capacity summary, takes on what the later one says).
     """
 
     def __init__(self) -> None:
-        self._rows: set[tuple[Any, ...]] = set()
-        self._room: dict[str, Any] = {}
+        self._waiting: set[tuple[Any, ...]] = set()
+        self._summaries: dict[str, ParsedBody] = {}  # by node: the newest capacity summary of the one that waits
 
-    def screen(self, *, node_id: str, kind: Kind, m: Any) -> Any:
-        """The message with what is new of it; None: nothing.
+    def admit(self, *, node_id: str, kind: Kind, message: ParsedBody) -> ParsedBody:
+        """The message reduced to its new rows, to be queued; None: nothing in it is new.
 
-        >>> repeats = Repeats()
+        >>> duplicates = DuplicateFilter()
         >>> one = {"g": 1, "m": "i", "f": 3, "x": [[1, "t"]]}
-        >>> repeats.screen(node_id="a", kind=Kind.TASK_ENDS, m=one) is one
+        >>> duplicates.admit(node_id="a", kind=Kind.TASK_ENDS, message=one) is one
         True
-        >>> repeats.screen(node_id="a", kind=Kind.TASK_ENDS, m=one) is None
+        >>> duplicates.admit(node_id="a", kind=Kind.TASK_ENDS, message=one) is None
         True
-        >>> repeats.screen(node_id="a", kind=Kind.TASK_ENDS, m={**one, "x": [[1, "t"], [2, "u"]]})["x"]
+        >>> duplicates.admit(node_id="a", kind=Kind.TASK_ENDS, message={**one, "x": [[1, "t"], [2, "u"]]})["x"]
         [[2, 'u']]
-        >>> repeats.taken(node_id="a", kind=Kind.TASK_ENDS, m=one) is one
+        >>> duplicates.release(node_id="a", kind=Kind.TASK_ENDS, message=one) is one
         True
-        >>> repeats.screen(node_id="a", kind=Kind.TASK_ENDS, m=one) is one
+        >>> duplicates.admit(node_id="a", kind=Kind.TASK_ENDS, message=one) is one
         True
         """
-        if kind is Kind.CAPACITY_REPORT and isinstance(m, dict) and "v" in m:
-            known = node_id in self._room
-            self._room[node_id] = m
-            return None if known else m
+        if self._is_capacity_summary(kind=kind, message=message):
+            is_waiting = node_id in self._summaries
+            self._summaries[node_id] = message
+            return None if is_waiting else message
         try:
-            keys = self._keys(node_id=node_id, kind=kind, m=m)
-            fresh = [k not in self._rows for k in keys]
-        except (KeyError, TypeError, IndexError):
-            return m  # malformed: whoever handles it says so
-        if not keys:
-            return m
-        self._rows.update(keys)
-        if all(fresh):
-            return m
-        if kind is Kind.MINION_LOST or not any(fresh):
+            keys = self._row_keys(node_id=node_id, kind=kind, message=message)
+            is_new = [key not in self._waiting for key in keys]
+        except _MALFORMED_ERRORS:
+            return message  # its handler reports what is wrong with it
+        self._waiting.update(keys)
+        if all(is_new):
+            return message
+        if kind is Kind.MINION_LOST or not any(is_new):
             return None
-        return {**m, "x": [row for row, new in zip(m["x"], fresh, strict=True) if new]}
+        return {**message, "x": [row for row, new in zip(message["x"], is_new, strict=True) if new]}
 
-    def taken(self, *, node_id: str, kind: Kind, m: Any) -> Any:
-        """A message leaves the queue; what it says by now."""
-        if kind is Kind.CAPACITY_REPORT and isinstance(m, dict) and "v" in m:
-            return self._room.pop(node_id, m)
-        try:
-            self._rows.difference_update(self._keys(node_id=node_id, kind=kind, m=m))
-        except (KeyError, TypeError, IndexError):
-            pass
-        return m
+    def release(self, *, node_id: str, kind: Kind, message: ParsedBody) -> ParsedBody:
+        """Take note that a message leaves the queue; return what it says by now."""
+        if self._is_capacity_summary(kind=kind, message=message):
+            return self._summaries.pop(node_id, message)
+        with contextlib.suppress(*_MALFORMED_ERRORS):  # its handler reports what is wrong with it
+            self._waiting.difference_update(self._row_keys(node_id=node_id, kind=kind, message=message))
+        return message
 
     @staticmethod
-    def _keys(*, node_id: str, kind: Kind, m: Any) -> list[tuple[Any, ...]]:
+    def _is_capacity_summary(*, kind: Kind, message: ParsedBody) -> bool:
+        return kind is Kind.CAPACITY_REPORT and isinstance(message, dict) and "v" in message
+
+    @staticmethod
+    def _row_keys(*, node_id: str, kind: Kind, message: ParsedBody) -> list[tuple[Any, ...]]:
+        """What identifies each row of a report; empty for other kinds of messages."""
         if kind is Kind.TASK_ENDS:
-            return [(node_id, kind, m["g"], m["m"], m["f"], row[0]) for row in m["x"]]
+            return [(node_id, kind, message["g"], message["m"], message["f"], row[0]) for row in message["x"]]
         if kind is Kind.CLAIM_MINIONS:
-            return [(node_id, kind, m["g"], row[0], row[1]) for row in m["x"]]
+            return [(node_id, kind, message["g"], row[0], row[1]) for row in message["x"]]
         if kind is Kind.MINION_LOST:
-            return [(node_id, kind, m["g"], m["m"], m["f"])]
+            return [(node_id, kind, message["g"], message["m"], message["f"])]
         return []
 
 
-class Clock:
-    """An input that comes by time. Invariants: it is due `gap` after its last run ended, and as long after it as the
-    run took, so that long runs do not follow each other at once; not while it waits.
+class PeriodicInput:
+    """An input that runs by time.
+
+    Attributes:
+        run: The input.
+        interval_s: The least time between the end of one run and the start of the next.
+        due_at: Monotonic time of the next run; infinite while it waits in the queue. Invariant: it is as long after
+            the last run as that took, if that is longer than `interval_s`, so that long runs don't follow each other
+            at once.
     """
 
-    def __init__(self, *, fn: Input, gap: float) -> None:
-        self.fn = fn
-        self.gap = gap
-        self.due = -math.inf
+    def __init__(self, *, run: Input, interval_s: float) -> None:
+        self.run = run
+        self.interval_s = interval_s
+        self.due_at = -math.inf
 
-    def ended(self, *, now: float, took: float) -> None:
-        """Its run is over."""
-        self.due = now + max(self.gap, took)
+    def record_end(self, *, now: float, took_s: float) -> None:
+        """Set when it runs next, after a run that took `took_s`."""
+        self.due_at = now + max(self.interval_s, took_s)
 
 
 @dataclass(slots=True, kw_only=True)
-class _Row:
-    """An input that waits. `expired` takes its place from `until` on; `clock`: it came by time."""
+class _QueuedInput:
+    """An input that waits; from `expires_at` on, `on_expired` runs in place of `run`."""
+
+    run: Input
+    periodic: PeriodicInput | None = None
+    expires_at: float = math.inf
+    on_expired: Input | None = None
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class _RunningInput:
+    """The input that was taken last and has not ended."""
+
+    input_class: InputClass
+    periodic: PeriodicInput | None
+    started_at: float
 
-    fn: Input
-    clock: Clock | None = None
-    until: float = math.inf
-    expired: Input | None = None
 
+class InputScheduler:
+    """Queues the inputs of a process and picks the next one.
 
-class Turns:
-    """Invariants: what is urgent goes before a tick that is due, so that a tick judges silence only after all that
-    was heard; a due tick goes before the other classes, which share the time by `SHARES`; inside a class, first come,
-    first taken. Chores by time queue in their class: they too judge only after what was heard before.
+    Invariants: urgent inputs go before a tick that is due, so that a tick judges silence only after all that was
+    received; a due tick goes before the other classes, which share the time by `TIME_SHARES`; inside a class, first
+    come, first served. Periodic inputs wait in the queue of their class: they too judge only after what was received
+    before them.
     """
 
-    def __init__(self, *, tick: Input, gap: float, chores: dict[Rank, Input] | None = None) -> None:
-        self._tick = Clock(fn=tick, gap=gap)
-        self._chores = {rank: Clock(fn=fn, gap=gap) for rank, fn in (chores or {}).items()}
+    def __init__(
+        self, *, tick: Input, interval_s: float, periodic_inputs: dict[InputClass, Input] | None = None
+    ) -> None:
+        self._tick = PeriodicInput(run=tick, interval_s=interval_s)
+        self._periodic_inputs = {
+            input_class: PeriodicInput(run=run, interval_s=interval_s)
+            for input_class, run in (periodic_inputs or {}).items()
+        }
         self._urgent: deque[Input] = deque()
-        self._rows: dict[Rank, deque[_Row]] = {rank: deque() for rank in SHARES}
-        self._used = dict.fromkeys(SHARES, 0.0)  # time by share; of a class that was empty, not below `_floor`
-        self._floor = 0.0
-        self._last: tuple[Rank, Clock | None, float] | None = None  # what runs, and since when
-        self.load = Load(classes=[rank.name.lower() for rank in Rank])
+        self._queues: dict[InputClass, deque[_QueuedInput]] = {input_class: deque() for input_class in TIME_SHARES}
+        # Seconds used, divided by the class's share. A class that was empty starts from the floor: it has no claim to
+        # the time that it did not ask for.
+        self._weighted_s = dict.fromkeys(TIME_SHARES, 0.0)
+        self._floor_s = 0.0
+        self._running: _RunningInput | None = None
+        self.busy_time = BusyTime(class_names=[input_class.label for input_class in InputClass])
 
     def __len__(self) -> int:
-        return len(self._urgent) + sum(map(len, self._rows.values()))
+        return len(self._urgent) + sum(map(len, self._queues.values()))
 
-    def waiting(self) -> dict[str, int]:
+    def queue_lengths(self) -> dict[str, int]:
         """How many inputs wait, by class."""
-        out = {rank.name.lower(): len(rows) for rank, rows in self._rows.items()}
-        return {Rank.URGENT.name.lower(): len(self._urgent), **out}
+        lengths = {input_class.label: len(queue) for input_class, queue in self._queues.items()}
+        return {InputClass.URGENT.label: len(self._urgent), **lengths}
 
     @property
-    def due(self) -> float:
-        """When the next input by time comes."""
-        return min(self._tick.due, *(c.due for c in self._chores.values())) if self._chores else self._tick.due
-
-    def put(self, *, fn: Input, rank: Rank, until: float = math.inf, expired: Input | None = None) -> None:
-        """Queue an input. From `until` on it is of no use (late ones only): `expired` is run in its place."""
-        if rank is Rank.URGENT:
-            self._urgent.append(fn)
+    def due_at(self) -> float:
+        """Monotonic time at which the next periodic input is due."""
+        return min(self._tick.due_at, *(periodic.due_at for periodic in self._periodic_inputs.values()), math.inf)
+
+    def put(
+        self, *, run: Input, input_class: InputClass, expires_at: float = math.inf, on_expired: Input | None = None
+    ) -> None:
+        """Queue an input. From `expires_at` on, `on_expired` runs in its place; urgent inputs don't expire."""
+        if input_class is InputClass.URGENT:
+            self._urgent.append(run)
         else:
-            self._queue(rank, _Row(fn=fn, until=until, expired=expired))
+            self._enqueue(input_class, _QueuedInput(run=run, expires_at=expires_at, on_expired=on_expired))
 
-    def _queue(self, rank: Rank, row: _Row) -> None:
-        if not self._rows[rank]:
-            self._used[rank] = max(self._used[rank], self._floor)
-        self._rows[rank].append(row)
+    def _enqueue(self, input_class: InputClass, queued: _QueuedInput) -> None:
+        if not self._queues[input_class]:
+            self._weighted_s[input_class] = max(self._weighted_s[input_class], self._floor_s)
+        self._queues[input_class].append(queued)
 
     def take(self, *, now: float) -> Input | None:
-        """The next input, if there is any; the one before has ended by `now`.
+        """The next input, None if there is none. The input taken before has ended by `now`.
 
-        >>> turns = Turns(tick=list, gap=0.05)
-        >>> turns.put(fn=dict, rank=Rank.PLACE)
-        >>> turns.put(fn=set, rank=Rank.URGENT)
-        >>> [turns.take(now=1.0), turns.take(now=1.0), turns.take(now=1.5), turns.take(now=1.5)]
+        >>> scheduler = InputScheduler(tick=list, interval_s=0.05)
+        >>> scheduler.put(run=dict, input_class=InputClass.SCHEDULING)
+        >>> scheduler.put(run=set, input_class=InputClass.URGENT)
+        >>> [scheduler.take(now=now) for now in (1.0, 1.0, 1.5, 1.5)]
         [<class 'set'>, <class 'list'>, <class 'dict'>, None]
         """
-        self.ended(now=now)
+        self.record_end(now=now)
         if self._urgent:
-            self._last = (Rank.URGENT, None, now)
+            self._running = _RunningInput(input_class=InputClass.URGENT, periodic=None, started_at=now)
             return self._urgent.popleft()
-        if now >= self._tick.due:
-            self._last = (Rank.URGENT, self._tick, now)
-            return self._tick.fn
-        for rank, clock in self._chores.items():
-            if now >= clock.due:
-                clock.due = math.inf
-                self._queue(rank, _Row(fn=clock.fn, clock=clock))
-        while ranks := [r for r, rows in self._rows.items() if rows]:
-            rank = min(ranks, key=self._used.__getitem__)
-            self._floor = self._used[rank]
-            row = self._rows[rank].popleft()
-            if now >= row.until:
-                self.load.expired += 1
-            chosen = row.fn if now < row.until else row.expired
-            if chosen is not None:
-                self._last = (rank, row.clock, now)
-                return chosen
+        if now >= self._tick.due_at:
+            self._running = _RunningInput(input_class=InputClass.URGENT, periodic=self._tick, started_at=now)
+            return self._tick.run
+        self._enqueue_due(now=now)
+        return self._take_queued(now=now)
+
+    def _enqueue_due(self, *, now: float) -> None:
+        """Put the periodic inputs that are due into the queues of their classes."""
+        for input_class, periodic in self._periodic_inputs.items():
+            if now >= periodic.due_at:
+                periodic.due_at = math.inf
+                self._enqueue(input_class, _QueuedInput(run=periodic.run, periodic=periodic))
+
+    def _take_queued(self, *, now: float) -> Input | None:
+        """The first input of the class that has had the least of its share of the time."""
+        while waiting := [input_class for input_class, queue in self._queues.items() if queue]:
+            input_class = min(waiting, key=self._weighted_s.__getitem__)
+            self._floor_s = self._weighted_s[input_class]
+            queued = self._queues[input_class].popleft()
+            has_expired = now >= queued.expires_at
+            if has_expired:
+                self.busy_time.expired += 1
+            run = queued.on_expired if has_expired else queued.run
+            if run is not None:
+                self._running = _RunningInput(input_class=input_class, periodic=queued.periodic, started_at=now)
+                return run
         return None
 
-    def ended(self, *, now: float) -> None:
-        """What was taken last has ended."""
-        if self._last is None:
+    def record_end(self, *, now: float) -> None:
+        """Charge the time of the input that was taken last, which ended at `now`."""
+        running = self._running
+        if running is None:
             return
-        rank, clock, began = self._last
-        self._last = None
-        self.load.ran(class_name=rank.name.lower(), seconds=now - began)
-        if rank in self._used:
-            self._used[rank] += (now - began) / SHARES[rank]
-        if clock is not None:
-            clock.ended(now=now, took=now - began)
+        self._running = None
+        took_s = now - running.started_at
+        self.busy_time.record(class_name=running.input_class.label, seconds=took_s)
+        if running.input_class in self._weighted_s:
+            self._weighted_s[running.input_class] += took_s / TIME_SHARES[running.input_class]
+        if running.periodic is not None:
+            running.periodic.record_end(now=now, took_s=took_s)
--- a/yarrowloom/node/runtime.py
+++ b/yarrowloom/node/runtime.py
@@ -1,382 +1,318 @@
-"""The trio shell round a node: sockets, disk and clocks; the node itself is a pure state machine.
+"""The trio side of a process: runs a node, which is a pure state machine, on sockets, a disk and clocks.
 
-Inputs are queued and taken in the order of their classes, a short slice at a time, between which all tasks run: so
-hundreds of beats that arrive together hold up neither ticks nor hearts.
+Inputs are queued and handled in the order of their classes, a short slice of time after the other, between which all
+tasks run: so hundreds of heartbeats that arrive together hold up neither ticks nor replication.
 """
 
 import math
-import secrets
 import signal
 import time
 from functools import partial
-from typing import Any
 
 import trio
 
-from ..common.defaults import load as load_defaults
-from ..common.effects import AnyEffect
-from ..common.errors import StartupError, YarrowError
+from ..common.errors import StartupError
 from ..common.log import Log
-from ..common.settings import NodeSettings, load
-from ..storage import END, FileSystem, Ring, Verdict, file_sizes, until_taken
-from ..storage.startup_retry import RETRY_S
-from ..transport.envelope import Kind, Lane, dump
-from ..transport.http_server import Request, Response, Server, listen
+from ..common.settings import load as load_settings
+from ..storage import Ring
+from ..transport.envelope import Kind, Lane
+from ..transport.http_server import Limits, Request, Response, Server, listen
 from ..transport.peer_connections import Peers, Rows
-from .admission_deadline import patience_s
+from .admission_deadline import admission_deadline_s
 from .core import CoreNode
-from .counters import Tally
+from .counters import Counters
+from .disk_writer import DiskWriter, Write
+from .draining import drain_core, drain_edge
 from .edge import EdgeNode
-from .identity import FIRST
-from .input_scheduler import Input, Rank, Repeats, Turns, rank_of
-from .recovery import recover
+from .http_exchanges import EXCHANGE_MOST_S, HttpExchanges
+from .input_scheduler import DuplicateFilter, Input, InputClass, InputScheduler, ParsedBody, classify_message
 
 TICK_CORE_S = 0.05
 TICK_EDGE_S = 0.1
-QUIET_S = 1.0
-SLICE_S = 0.004
-LONG_S = 0.02  # after a slice this long all sockets are read before the next tick
-WAIT_S = 30.0  # an HTTP call that the node has not answered by then gets 504
-DRAIN_LEAST_S = 0.6  # what a core has to say leaves within this time
-GRACE_SPARE_S = 1.0  # of `grace-s`: left for the end itself
+SLICE_S = 0.004  # time for inputs between two rounds of the other tasks
+LONG_SLICE_S = 0.02  # after a slice this long all sockets are read before the next tick
+EXPIRY_CHECK_S = 1.0
+SETTINGS_CHECK_S = 2.0
+CONTROL_BODY_BYTES = 16 << 20
+CONTROL_HEADER_BYTES = 65536
+CONTROL_IDLE_MS = 60000
+COUNTERS_PATH = "/tally"
+READINESS_PATH = "/readiness"
+_MALFORMED_ERRORS = (KeyError, IndexError, AttributeError, TypeError, ValueError)
+
 Node = CoreNode | EdgeNode
 
 
-class Shell:
-    """Owns all tasks of a process. Each input sets the node's clocks, runs the node, and carries out its outputs."""
+class Runtime:
+    """Owns all tasks of a process. Each input sets the node's clocks, runs the node, and carries out its outputs.
+
+    Invariant: between two rounds in which all other tasks run, no more than a slice of time is spent on inputs, and
+    one input longer than that.
+
+    Attributes:
+        node: The state machine; touched by `step` and in inputs only.
+        credit_s: What is left of the present slice.
+        disk_writer: The journal's writer; None: an edge keeps nothing.
+        exchanges: HTTP calls that wait for the node's response.
+        servers: Servers of clients and minions, which are drained before the process ends.
+    """
 
     def __init__(self, *, node: Node, log: Log, ring: Ring | None, port: int) -> None:
         self.node = node
         self.log = log
-        self.ring = ring
         self.peers = Peers(
             address=f"{node.settings.ip}:{port}",
             node_id=node.node_id,
             incarnation=node.incarnation,
-            sink=self._frames,
+            sink=self.receive_frames,
             log=log,
         )
+        self.disk_writer: DiskWriter | None = None
         if isinstance(node, CoreNode):
-            self.turns = Turns(tick=self._tick, gap=TICK_CORE_S, chores=node.chores())
+            self.inputs = InputScheduler(tick=self.tick, interval_s=TICK_CORE_S, periodic_inputs=node.chores())
+            if ring is not None:
+                self.disk_writer = DiskWriter(ring=ring, snapshot=node.checkpoint, on_written=self._on_written, log=log)
         else:
-            self.turns = Turns(tick=self._tick, gap=TICK_EDGE_S)
-        self.repeats = Repeats()
-        self.wake = trio.Event()
-        self.running = False
-        self.credit = 0.0
-        self.swept = 0.0
-        self.waits: dict[int, tuple[trio.Event, list[Response], float]] = {}
-        self.call = 0
-        self.disk: list[tuple[bytes, AnyEffect]] = []
-        self.dirty = trio.Event()
+            self.inputs = InputScheduler(tick=self.tick, interval_s=TICK_EDGE_S)
+        self.duplicates = DuplicateFilter()
+        self.exchanges = HttpExchanges()
+        self.counters = Counters()
         self.servers: list[Server] = []
-        self.tally = Tally()
+        self.credit_s = 0.0
+        self._is_handling = False
+        self._has_inputs = trio.Event()
+        self._expiry_checked_at = 0.0
 
-    def step(self, fn: Input) -> None:
+    # -- inputs
+
+    def step(self, run: Input) -> None:
         """Give the node one input and carry out what it wants."""
         node = self.node
         node.now, node.wall_now = time.monotonic(), time.time()
-        fn()
-        out = node.out
-        sends, out.sends = out.sends, []
+        run()
+        self._carry_out()
+
+    def _carry_out(self) -> None:
+        """Send, write and answer what the node put into its outbox."""
+        outbox = self.node.out
+        sends, outbox.sends = outbox.sends, []
         for address, kind, body in sends:
             self.peers.send(address=address, kind=kind, body=body)
-            self.tally.sends(kind=kind, size=len(body))
-        if out.writes:
-            self.disk += out.writes
-            out.writes = []
-            self.dirty.set()
-        answers, out.answers = out.answers, []
+            self.counters.count_sent(kind=kind, size_bytes=len(body))
+        writes, outbox.writes = outbox.writes, []
+        if writes and self.disk_writer is not None:
+            self.disk_writer.add(writes=writes)
+        answers, outbox.answers = outbox.answers, []
         for key, response in answers:
-            wait = self.waits.get(key)
-            if wait is not None:
-                wait[1].append(response)
-                wait[0].set()
-
-    def post(self, *, fn: Input, rank: Rank, until: float = math.inf, expired: Input | None = None) -> None:
-        """Queue an input for the node; taken at once while there is credit for it."""
-        self.turns.put(fn=fn, rank=rank, until=until, expired=expired)
-        self._drain()
-
-    def _drain(self) -> None:
-        """Take inputs in their order, whoever brought them. Invariant: between two rounds in which all tasks run, no
-        more than a slice is spent here and one input longer than that.
-        """
-        if self.running:
+            self.exchanges.respond(key=key, response=response)
+
+    def post(
+        self, *, run: Input, input_class: InputClass, expires_at: float = math.inf, on_expired: Input | None = None
+    ) -> None:
+        """Queue an input for the node; handled at once while there is credit for it."""
+        self.inputs.put(run=run, input_class=input_class, expires_at=expires_at, on_expired=on_expired)
+        self._handle_inputs()
+
+    def _handle_inputs(self) -> None:
+        """Handle inputs in their order, whoever brought them, until the credit is used up."""
+        if self._is_handling:
             return
-        self.running = True
-        turns = self.turns
+        self._is_handling = True
+        inputs = self.inputs
         now = time.monotonic()
         try:
-            while self.credit > 0:
-                fn = turns.take(now=now)
-                if fn is None:
+            while self.credit_s > 0:
+                run = inputs.take(now=now)
+                if run is None:
                     break
-                self.step(fn)
-                then, now = now, time.monotonic()
-                self.credit -= now - then
+                self.step(run)
+                before, now = now, time.monotonic()
+                self.credit_s -= now - before
         finally:
-            turns.ended(now=now)
-            self.running = False
-        if len(turns):
-            self.wake.set()
+            inputs.record_end(now=now)
+            self._is_handling = False
+        if len(inputs):
+            self._has_inputs.set()
 
-    def _frames(self, node_id: str, lane: Lane, rows: Rows, lost: bool) -> None:
-        node = self.node
-        if lost and lane is Lane.URGENT:
-            self.post(fn=partial(node.lost_from, node_id=node_id), rank=Rank.URGENT)
-        elif lost and lane is Lane.WORK and isinstance(node, CoreNode):  # in each class before what came after
-            self.post(fn=partial(node.gap_agent, node_id=node_id), rank=Rank.AGENT)
-            self.post(fn=partial(node.gap_place, node_id=node_id), rank=Rank.PLACE)
-        elif lost and lane is Lane.WORK:
-            self.post(fn=partial(node.gap, node_id=node_id), rank=Rank.AGENT)
-        for kind, document in rows:
-            self.tally.gets(kind=kind)
-            m = self.repeats.screen(node_id=node_id, kind=kind, m=document)
-            if m is None:
+    async def handle_inputs(self) -> None:
+        """Give credit for one slice after another; the other tasks run between them."""
+        while True:
+            self.credit_s = SLICE_S
+            self._handle_inputs()
+            if self.credit_s < SLICE_S - LONG_SLICE_S:
+                # One round of tasks finds what has arrived, the next has read it.
+                await trio.lowlevel.checkpoint()
+            if len(self.inputs):
+                await trio.lowlevel.checkpoint()
                 continue
-            rank = rank_of(kind=kind, m=m)
-            until, expired = math.inf, None
-            if rank is Rank.LATE and isinstance(node, CoreNode):
-                until = time.monotonic() + patience_s(ttl=m.get("ttl"), default=WAIT_S)
-                expired = partial(self._guard, node_id, kind, partial(node.too_late, node_id=node_id, m=m))
-            self.post(fn=partial(self._on, node_id, kind, m), rank=rank, until=until, expired=expired)
-
-    def _on(self, node_id: str, kind: Kind, m: Any) -> None:
-        m = self.repeats.taken(node_id=node_id, kind=kind, m=m)
-        self._guard(node_id, kind, partial(self.node.on, node_id=node_id, kind=kind, m=m))
-
-    def _guard(self, node_id: str, kind: Kind, fn: Input) -> None:
-        """Handle a message that may be malformed."""
+            self._has_inputs = trio.Event()
+            with trio.move_on_after(max(0.0, self.inputs.due_at - time.monotonic())):
+                await self._has_inputs.wait()
+
+    # -- frames from other nodes
+
+    def receive_frames(self, node_id: str, lane: Lane, rows: Rows, lost: bool) -> None:
+        """Queue the messages of a frame; `lost`: frames of that lane before this one did not arrive."""
+        if lost:
+            self._report_loss(node_id=node_id, lane=lane)
+        for kind, document in rows:
+            self.counters.count_received(kind=kind)
+            message = self.duplicates.admit(node_id=node_id, kind=kind, message=document)
+            if message is not None:
+                self._post_message(node_id=node_id, kind=kind, message=message)
+
+    def _report_loss(self, *, node_id: str, lane: Lane) -> None:
+        """Tell the node of lost frames, in each class before what came after them."""
+        node = self.node
+        if lane is Lane.URGENT:
+            self.post(run=partial(node.lost_from, node_id=node_id), input_class=InputClass.URGENT)
+        elif lane is Lane.WORK and isinstance(node, CoreNode):
+            self.post(run=partial(node.gap_agent, node_id=node_id), input_class=InputClass.AGENT)
+            self.post(run=partial(node.gap_place, node_id=node_id), input_class=InputClass.SCHEDULING)
+        elif lane is Lane.WORK:
+            self.post(run=partial(node.gap, node_id=node_id), input_class=InputClass.AGENT)
+
+    def _post_message(self, *, node_id: str, kind: Kind, message: ParsedBody) -> None:
+        node = self.node
+        input_class = classify_message(kind=kind, message=message)
+        expires_at, on_expired = math.inf, None
+        if input_class is InputClass.CLIENT and isinstance(node, CoreNode):
+            wait_s = admission_deadline_s(ttl_s=message.get("ttl"), default_s=EXCHANGE_MOST_S)
+            expires_at = time.monotonic() + wait_s
+            on_expired = partial(self._run_guarded, node_id, kind, partial(node.too_late, node_id=node_id, m=message))
+        run = partial(self._handle_message, node_id, kind, message)
+        self.post(run=run, input_class=input_class, expires_at=expires_at, on_expired=on_expired)
+
+    def _handle_message(self, node_id: str, kind: Kind, message: ParsedBody) -> None:
+        message = self.duplicates.release(node_id=node_id, kind=kind, message=message)
+        self._run_guarded(node_id, kind, partial(self.node.on, node_id=node_id, kind=kind, m=message))
+
+    def _run_guarded(self, node_id: str, kind: Kind, run: Input) -> None:
+        """Handle a message that may be malformed: that ends no process."""
         try:
-            fn()
-        except (KeyError, IndexError, AttributeError, TypeError, ValueError) as err:
-            self.log.warn("frame-malformed", kind=kind.name, peer=node_id, why=repr(err))
+            run()
+        except _MALFORMED_ERRORS as error:
+            self.log.warn("frame-malformed", kind=kind.name, peer=node_id, why=repr(error))
 
-    def _tick(self) -> None:
+    # -- time and disk
+
+    def tick(self) -> None:
+        """The node's regular input, and what the process does as often."""
         now = self.node.now
-        load = self.turns.load.report(now=now)
-        if load is not None:
-            self.log.info("busy", **load, waiting="/".join(map(str, self.turns.waiting().values())))
-        if now - self.swept > 1.0:
-            self.swept = now
-            for event, _, until in list(self.waits.values()):
-                if now > until:
-                    event.set()
+        busy_time = self.inputs.busy_time.report(now=now)
+        if busy_time is not None:
+            waiting = "/".join(map(str, self.inputs.queue_lengths().values()))
+            self.log.info("process-busy", **busy_time, waiting=waiting)
+        if now - self._expiry_checked_at > EXPIRY_CHECK_S:
+            self._expiry_checked_at = now
+            self.exchanges.expire(now=now)
         if isinstance(self.node, CoreNode):
             self.node.pulse()
         else:
             self.node.tick()
 
-    async def work(self) -> None:
-        """Give credit for one slice after another; the other tasks run between them."""
-        turns = self.turns
-        while True:
-            self.credit = SLICE_S
-            self._drain()
-            if self.credit < SLICE_S - LONG_S:  # one round of tasks finds what has arrived, the next has taken it
-                await trio.lowlevel.checkpoint()
-            if len(turns):
-                await trio.lowlevel.checkpoint()
-                continue
-            self.wake = trio.Event()
-            with trio.move_on_after(max(0.0, turns.due - time.monotonic())):
-                await self.wake.wait()
-
-    async def handle(self, req: Request) -> Response:
-        """One HTTP call: wait for the node's answer."""
-        self.tally.call(method=req.method, path=req.path)
-        if req.path == "/tally" and isinstance(self.node, CoreNode):
-            return self.counts()
-        self.call += 1
-        key = self.call
-        box: list[Response] = []
-        event = trio.Event()
-        self.waits[key] = (event, box, time.monotonic() + WAIT_S)
+    def _on_written(self, snapshot: list[bytes], batch: list[Write]) -> None:
+        """Records are durable: their effects follow."""
+        assert isinstance(self.node, CoreNode)
+        self.counters.count_written(snapshot=snapshot, records=[record for record, _ in batch])
+        effects = [effect for _, effect in batch]
+        self.post(run=partial(self.node.done, effects=effects), input_class=InputClass.URGENT)
+
+    # -- HTTP
+
+    async def handle_request(self, request: Request) -> Response:
+        """One HTTP call of a client, a minion or an operator: wait for the node's response."""
+        self.counters.count_http_call(method=request.method, path=request.path)
+        if request.path == COUNTERS_PATH and isinstance(self.node, CoreNode):
+            return self.counters_response()
+        key = self.exchanges.begin(now=time.monotonic())
         try:
-            self.post(fn=partial(self.node.http, call=key, req=req), rank=Rank.AGENT)
-            await event.wait()
+            self.post(run=partial(self.node.http, call=key, req=request), input_class=InputClass.AGENT)
+            return await self.exchanges.response(key=key)
         finally:
-            del self.waits[key]
-        return box[0] if box else Response(status=504)
+            self.exchanges.discard(key=key)
 
-    def counts(self) -> Response:
-        """What this process has done."""
+    def counters_response(self) -> Response:
+        """What this process has done since its start."""
         table = self.node.table
-        return Response.of(200, self.tally.document(config_version=table.config_version if table is not None else 0))
+        config_version = table.config_version if table is not None else 0
+        return Response.of(200, self.counters.document(config_version=config_version))
 
-    async def ready(self, req: Request) -> Response:
-        """The platform's question."""
+    async def handle_probe(self, request: Request) -> Response:
+        """A readiness probe of the platform, or a request for the counters."""
         node = self.node
-        if req.path == "/tally":
-            return self.counts()
+        if request.path == COUNTERS_PATH:
+            return self.counters_response()
         node.now = time.monotonic()
-        good = req.path.startswith("/readiness") and isinstance(node, EdgeNode) and node.ready()
-        return Response(status=200 if good else 503)
-
-    async def writer(self) -> None:
-        """Write and sync records in batches; effects follow."""
-        ring, node = self.ring, self.node
-        assert ring is not None
-        assert isinstance(node, CoreNode)
-        while True:
-            await self.dirty.wait()
-            self.dirty = trio.Event()
-            while self.disk:
-                batch, self.disk = self.disk, []
-                bodies = [b for b, _ in batch]
-                head: list[bytes] = []
-                if ring.full(extra=ring.room(bodies=bodies)):
-                    head = node.checkpoint()
-                try:
-                    await trio.to_thread.run_sync(self._put, ring, head, bodies)
-                except OSError as err:
-                    self.log.warn("disk-refused", why=str(err))
-                    ring.close()
-                    self.disk = batch + self.disk
-                    await trio.sleep(RETRY_S)
-                    continue
-                self.tally.wrote(head=head, bodies=bodies)
-                self.post(fn=partial(node.done, effects=[effect for _, effect in batch]), rank=Rank.URGENT)
+        is_ready = request.path.startswith(READINESS_PATH) and isinstance(node, EdgeNode) and node.ready()
+        return Response(status=200 if is_ready else 503)
 
-    @staticmethod
-    def _put(ring: Ring, head: list[bytes], bodies: list[bytes]) -> None:
-        if head:
-            ring.begin(checkpoint=[*head, END], bodies=bodies)
-        else:
-            ring.append(bodies=bodies)
-
-    async def stop_on_term(self, scope: trio.CancelScope) -> None:
-        """SIGTERM drains; SIGHUP reads the settings again."""
-        with trio.open_signal_receiver(signal.SIGTERM, signal.SIGHUP) as sigs:
-            async for sig in sigs:
-                if sig == signal.SIGHUP:
-                    self.reload()
+    # -- settings and signals
+
+    async def watch_signals(self, scope: trio.CancelScope) -> None:
+        """SIGTERM drains the node and ends the process; SIGHUP reads the settings again."""
+        with trio.open_signal_receiver(signal.SIGTERM, signal.SIGHUP) as signals:
+            async for number in signals:
+                if number == signal.SIGHUP:
+                    self.reload_settings()
                     continue
-                self.log.info("draining")
+                self.log.info("drain-started")
                 await self.drain()
                 scope.cancel()
                 return
 
-    def reload(self) -> None:
-        """Take up the settings file as it is now."""
-        try:
-            fresh = load()
-        except StartupError as err:
-            self.log.warn("settings-refused", why=err.text)
-            return
-        if fresh != self.node.settings:
-            self.node.settings = fresh
-            self.log.info("settings-applied")
+    async def drain(self) -> None:
+        """Let other nodes take over what they can."""
+        if isinstance(self.node, EdgeNode):
+            await drain_edge(node=self.node, servers=self.servers)
+        else:
+            await drain_core(node=self.node, step=self.step, log=self.log)
 
     async def watch_settings(self) -> None:
-        """The file may change without a signal."""
+        """Read the settings now and then: the file may change without a signal."""
         while True:
-            await trio.sleep(2.0)
-            self.reload()
+            await trio.sleep(SETTINGS_CHECK_S)
+            self.reload_settings()
 
-    async def drain(self) -> None:
-        """Let others take over what they can, end when quiet."""
-        node = self.node
-        if isinstance(node, EdgeNode):
-            node.closing = True
-            for srv in self.servers:
-                srv.closing = True
-            grace = node.settings.bound(name="grace-s", default=6.0)
-            end = time.monotonic() + max(grace - 1.0, 0.5)
-            begun, quiet = time.monotonic(), time.monotonic()
-            while time.monotonic() < end:
-                now = time.monotonic()
-                if any(s.busy for s in self.servers):
-                    quiet = now
-                if now - begun > 2.5 and now - quiet > QUIET_S:
-                    break
-                await trio.sleep(0.1)
-        else:
-            await self.drain_core(node=node)
+    def reload_settings(self) -> None:
+        """Take up the settings file as it is now; one that can't be used is passed over."""
+        try:
+            settings = load_settings()
+        except StartupError as error:
+            self.log.warn("settings-refused", why=error.text)
+            return
+        if settings != self.node.settings:
+            self.node.settings = settings
+            self.log.info("settings-applied")
 
-    async def drain_core(self, *, node: CoreNode) -> None:
-        """Hand over and stay until others hold what this node holds, within `grace-s`."""
-        begun = time.monotonic()
-        most = max(node.settings.bound(name="grace-s", default=6.0) - GRACE_SPARE_S, DRAIN_LEAST_S)
-        self.step(node.leave)
-        while True:
-            await trio.sleep(0.05)
-            spent = time.monotonic() - begun
-            if spent >= most or (spent >= DRAIN_LEAST_S and node.may_end()):
-                break
-        alone = node.only_copies()
-        if alone:
-            self.log.warn("leaves-only-copy", groups=",".join(map(str, alone)))
-        self.log.info("drained", s=round(spent, 2), relieved=node.may_end())
+    # -- tasks
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Serve until told to end; started once all its addresses can be reached."""
-        node = self.node
         async with trio.open_nursery() as nursery:
             await nursery.start(self.peers.run)
-            if self.ring is not None:
-                nursery.start_soon(self.writer)
-            binds = node.settings.binds
-            if isinstance(node, EdgeNode):
-                if "front" in binds:
-                    srv = Server(handler=self.handle, limits=node.limits)
-                    self.servers.append(srv)
-                    await nursery.start(partial(listen, address=binds["front"], server=srv))
-                if "ready" in binds:
-                    await nursery.start(partial(listen, address=binds["ready"], server=Server(handler=self.ready)))
-            elif "control" in binds:
-                srv = Server(handler=self.handle)
-                srv.limits.body_bytes, srv.limits.idle_ms, srv.limits.header_bytes = 16 << 20, 60000, 65536
-                self.servers.append(srv)
-                await nursery.start(partial(listen, address=binds["control"], server=srv))
-            nursery.start_soon(self.work)
+            if self.disk_writer is not None:
+                nursery.start_soon(self.disk_writer.run)
+            await self._listen(nursery=nursery)
+            nursery.start_soon(self.handle_inputs)
             nursery.start_soon(self.watch_settings)
-            nursery.start_soon(self.stop_on_term, nursery.cancel_scope)
-            self.log.info("started", role=node.kind, node_id=node.node_id)
+            nursery.start_soon(self.watch_signals, nursery.cancel_scope)
+            self.log.info("process-started", role=self.node.kind, node_id=self.node.node_id)
             task_status.started()
 
-
-def open_core(*, settings: NodeSettings, log: Log, file_system: FileSystem | None = None) -> Shell:
-    """A core process: identity and state from the disk, or new ones."""
-    if settings.data_dir is None:
-        raise StartupError(text="a core needs data-dir")
-    size, most = file_sizes(disk_mb=settings.disk_mb)
-    ring = Ring(folder=settings.data_dir, size=size, most=most, file_system=file_system)
-    records = until_taken(call=ring.load, ring=ring, log=log)
-    if ring.verdict is Verdict.LOST:  # what is left may be old: join as after the loss of the disk
-        log.warn("journal-lost", folder=settings.data_dir)
-        records = []
-    port = settings.ports[0]
-    node = recover(
-        settings=settings,
-        records=records,
-        blank=ring.verdict is Verdict.EMPTY,
-        log=log,
-        now=time.monotonic(),
-        rand=secrets.randbelow(1 << 30) / (1 << 30),
-        token=secrets.token_hex(4),
-        defaults=load_defaults(),
-    )
-    head = [*node.checkpoint(), END]
-    until_taken(call=partial(ring.begin, checkpoint=head), ring=ring, log=log)
-    return Shell(node=node, log=log, ring=ring, port=port)
-
-
-def open_edge(*, settings: NodeSettings, log: Log) -> Shell:
-    """An edge process."""
-    port = settings.ports[0] + 1
-    node_id = f"{settings.ip}:{port}#{secrets.token_hex(4)}"
-    node = EdgeNode(settings=settings, node_id=node_id, incarnation=FIRST, log=log)  # the uid is of this life alone
-    return Shell(node=node, log=log, ring=None, port=port)
-
-
-def serve(*, kind: str, level: str = "info") -> None:
-    """Run a process of a role until it is told to end."""
-    settings = load()
-    log = Log(name=kind, level=level)
-    shell = open_core(settings=settings, log=log) if kind == "core" else open_edge(settings=settings, log=log)
-    trio.run(shell.run)
-
-
-__all__ = ["Shell", "YarrowError", "dump", "open_core", "open_edge", "serve"]
+    async def _listen(self, *, nursery: trio.Nursery) -> None:
+        """Serve the HTTP addresses that the settings name."""
+        node, addresses = self.node, self.node.settings.binds
+        if isinstance(node, EdgeNode):
+            if "front" in addresses:
+                front = Server(handler=self.handle_request, limits=node.limits)
+                self.servers.append(front)
+                await nursery.start(partial(listen, address=addresses["front"], server=front))
+            if "ready" in addresses:
+                probes = Server(handler=self.handle_probe)
+                await nursery.start(partial(listen, address=addresses["ready"], server=probes))
+        elif "control" in addresses:
+            limits = Limits(body_bytes=CONTROL_BODY_BYTES, header_bytes=CONTROL_HEADER_BYTES, idle_ms=CONTROL_IDLE_MS)
+            control = Server(handler=self.handle_request, limits=limits)
+            self.servers.append(control)
+            await nursery.start(partial(listen, address=addresses["control"], server=control))
--- /dev/null
+++ b/yarrowloom/node/startup.py
@@ -0,0 +1,67 @@
+"""The start of a process: settings, identity and state from the disk, then the runtime."""
+
+import secrets
+import time
+from functools import partial
+
+import trio
+
+from ..common.defaults import load as load_defaults
+from ..common.errors import StartupError
+from ..common.log import Log
+from ..common.settings import NodeSettings
+from ..common.settings import load as load_settings
+from ..storage import END, FileSystem, Ring, Verdict, file_sizes, until_taken
+from .edge import EdgeNode
+from .identity import FIRST
+from .recovery import recover
+from .runtime import Runtime
+
+TOKEN_BYTES = 4
+_RANDOM_BITS = 30
+
+
+def open_core(*, settings: NodeSettings, log: Log, file_system: FileSystem | None = None) -> Runtime:
+    """A core process, with the identity and state that its disk holds, or new ones.
+
+    Raises:
+        StartupError: The settings name no data directory.
+        StoreError: The disk can't be used.
+    """
+    if settings.data_dir is None:
+        raise StartupError(text="a core needs data-dir")
+    size, most = file_sizes(disk_mb=settings.disk_mb)
+    ring = Ring(folder=settings.data_dir, size=size, most=most, file_system=file_system)
+    records = until_taken(call=ring.load, ring=ring, log=log)
+    if ring.verdict is Verdict.LOST:  # what is left may be old: join as after the loss of the disk
+        log.warn("journal-lost", folder=settings.data_dir)
+        records = []
+    node = recover(
+        settings=settings,
+        records=records,
+        blank=ring.verdict is Verdict.EMPTY,
+        log=log,
+        now=time.monotonic(),
+        rand=secrets.randbelow(1 << _RANDOM_BITS) / (1 << _RANDOM_BITS),
+        token=secrets.token_hex(TOKEN_BYTES),
+        defaults=load_defaults(),
+    )
+    snapshot = [*node.checkpoint(), END]
+    until_taken(call=partial(ring.begin, checkpoint=snapshot), ring=ring, log=log)
+    return Runtime(node=node, log=log, ring=ring, port=settings.ports[0])
+
+
+def open_edge(*, settings: NodeSettings, log: Log) -> Runtime:
+    """An edge process, under a node ID of this life alone."""
+    port = settings.ports[0] + 1
+    node_id = f"{settings.ip}:{port}#{secrets.token_hex(TOKEN_BYTES)}"
+    node = EdgeNode(settings=settings, node_id=node_id, incarnation=FIRST, log=log)
+    return Runtime(node=node, log=log, ring=None, port=port)
+
+
+def serve(*, kind: str, level: str = "info") -> None:
+    """Run a process of a role, "core" or "edge", until it is told to end."""
+    settings = load_settings()
+    log = Log(name=kind, level=level)
+    runtime = open_core(settings=settings, log=log) if kind == "core" else open_edge(settings=settings, log=log)
+    trio.run(runtime.run)
--- a/yarrowloom/simulator/cluster.py
+++ b/yarrowloom/simulator/cluster.py
@@ -7,7 +7,7 @@
 import orjson
 
 from ..node.core import CoreNode
-from ..node.input_scheduler import Rank, rank_of
+from ..node.input_scheduler import InputClass, classify_message
 from ..transport.envelope import LANES, Kind, Lane
 from ..transport.http_server import Request, Response
 from ..transport.peer_connections import MARK_S, OWED
@@ -59,7 +59,7 @@
                 if kind is not None:
                     to.node.on(node_id=node_id, kind=kind, m=orjson.loads(body))
 
-            if to.turns is None:
+            if to.input_scheduler is None:
                 self.step(dst, to, take)
             else:
                 self._queue(dst, to, head, kind, body)
@@ -67,24 +67,26 @@
         self.at(delay=due - self.now, fn=arrive)
 
     def _queue(self, dst: str, to: Proc, head: Header, kind: Kind | None, body: bytes) -> None:
-        """A frame for a process that charges its time: as the shell takes it."""
+        """A frame for a process that charges its time: as the runtime takes it."""
         ip, node_id, lane = head.ip, head.node_id, head.lane
         fresh, lost = head.taken(seen=to.seen)
         if lost and lane is Lane.WORK and ip != dst:
             node = self.core(dst)
-            self.post(dst, to, lambda: node.gap_agent(node_id=node_id), rank=Rank.AGENT)
-            self.post(dst, to, lambda: node.gap_place(node_id=node_id), rank=Rank.PLACE)
+            self.post(dst, to, lambda: node.gap_agent(node_id=node_id), rank=InputClass.AGENT)
+            self.post(dst, to, lambda: node.gap_place(node_id=node_id), rank=InputClass.SCHEDULING)
         if not fresh or kind is None:
             return
-        m = to.repeats.screen(node_id=node_id, kind=kind, m=orjson.loads(body))
+        m = to.duplicates.admit(node_id=node_id, kind=kind, message=orjson.loads(body))
         if m is None:
             return
-        rank = rank_of(kind=kind, m=m)
-        until = self.now + float(m.get("ttl", 30.0)) if rank is Rank.LATE else math.inf
+        rank = classify_message(kind=kind, message=m)
+        until = self.now + float(m.get("ttl", 30.0)) if rank is InputClass.CLIENT else math.inf
         self.post(
             dst,
             to,
-            lambda: to.node.on(node_id=node_id, kind=kind, m=to.repeats.taken(node_id=node_id, kind=kind, m=m)),
+            lambda: to.node.on(
+                node_id=node_id, kind=kind, m=to.duplicates.release(node_id=node_id, kind=kind, message=m)
+            ),
             rank=rank,
             mark=(1, len(body), 0),
             until=until,
@@ -128,7 +130,7 @@
                 return
             self.calls[key] = answered
             self.callers[key] = src
-            self.post(ip, proc, lambda: proc.node.http(call=key, req=req), rank=Rank.AGENT, mark=(0, len(raw), 1))
+            self.post(ip, proc, lambda: proc.node.http(call=key, req=req), rank=InputClass.AGENT, mark=(0, len(raw), 1))
 
         self.at(delay=0.002, fn=arrive)
 
--- a/yarrowloom/simulator/machines/machine_set.py
+++ b/yarrowloom/simulator/machines/machine_set.py
@@ -11,7 +11,7 @@
 from ...node.core import CoreNode
 from ...node.edge import EdgeNode
 from ...node.identity import FIRST
-from ...node.input_scheduler import Input, Rank, Turns
+from ...node.input_scheduler import Input, InputClass, InputScheduler
 from ...node.recovery import recover
 from ...node.runtime import TICK_CORE_S
 from ...storage import END
@@ -161,10 +161,12 @@
         self.procs[ip] = proc
         if core and self.speed:
             pulse = self.core(ip).pulse
-            chores: dict[Rank, Input] = {
+            chores: dict[InputClass, Input] = {
                 rank: partial(self._step, ip, proc, fn) for rank, fn in self.core(ip).chores().items()
             }
-            proc.turns = Turns(tick=lambda: self._step(ip, proc, pulse), gap=TICK_CORE_S, chores=chores)
+            proc.input_scheduler = InputScheduler(
+                tick=lambda: self._step(ip, proc, pulse), interval_s=TICK_CORE_S, periodic_inputs=chores
+            )
             self._go(ip, proc)
             return
         self.at(delay=self.rng.random() * 0.05, fn=lambda: self._tick(ip, proc))
@@ -214,14 +216,14 @@
         proc: Proc,
         fn: Callable[[], None],
         *,
-        rank: Rank,
+        rank: InputClass,
         mark: tuple[int, int, int] = (0, 0, 0),
         until: float = math.inf,
     ) -> None:
         """An input: carried out at once, or in its turn where processor time is charged. `mark`: the messages, bytes
         and HTTP calls that come with it.
         """
-        if proc.turns is None:
+        if proc.input_scheduler is None:
             self.step(ip, proc, fn)
             return
 
@@ -229,20 +231,26 @@
             proc.mark = mark
             self._step(ip, proc, fn)
 
-        proc.turns.put(fn=run, rank=rank, until=until)
+        proc.input_scheduler.put(run=run, input_class=rank, expires_at=until)
         self._go(ip, proc)
 
     def _go(self, ip: str, proc: Proc) -> None:
-        """Take the next turn of a process that is not busy."""
-        turns = proc.turns
-        if turns is None or proc.busy or not proc.up or self.procs.get(ip) is not proc or self.now < proc.frozen_till:
+        """Handle the next input of a process that is not busy."""
+        scheduler = proc.input_scheduler
+        if (
+            scheduler is None
+            or proc.busy
+            or not proc.up
+            or self.procs.get(ip) is not proc
+            or self.now < proc.frozen_till
+        ):
             return
-        run = turns.take(now=self.now)
+        run = scheduler.take(now=self.now)
         if run is not None:
             run()
-        elif turns.due > proc.woken:
-            proc.woken = turns.due
-            self.at(delay=turns.due - self.now + 1e-9, fn=lambda: self._go(ip, proc))
+        elif scheduler.due_at > proc.woken:
+            proc.woken = scheduler.due_at
+            self.at(delay=scheduler.due_at - self.now + 1e-9, fn=lambda: self._go(ip, proc))
 
     def _step(self, ip: str, proc: Proc, fn: Callable[[], None]) -> None:
         """One step that takes its time; what it wants done is done at its end."""
@@ -317,7 +325,7 @@
             del disk.pending[: len(batch)]
             proc.disk_busy = False
             node = self.core(ip)
-            self.post(ip, proc, lambda: node.done(effects=[e for _, e in batch]), rank=Rank.URGENT)
+            self.post(ip, proc, lambda: node.done(effects=[e for _, e in batch]), rank=InputClass.URGENT)
             self._sync(ip, proc)
 
         self.at(delay=wait, fn=synced)
--- a/yarrowloom/simulator/machines/process.py
+++ b/yarrowloom/simulator/machines/process.py
@@ -5,7 +5,7 @@
 from ...common.effects import AnyEffect
 from ...node.core import CoreNode
 from ...node.edge import EdgeNode
-from ...node.input_scheduler import Repeats, Turns
+from ...node.input_scheduler import DuplicateFilter, InputScheduler
 from ...transport.peer_connections import Seen
 
 
@@ -28,8 +28,8 @@
         self.disk_busy = False
         self.disk: list[tuple[bytes, AnyEffect]] = []
         self.inbox: list[Callable[[], None]] = []
-        self.repeats = Repeats()
-        self.turns: Turns | None = None  # only where processor time is charged
+        self.duplicates = DuplicateFilter()
+        self.input_scheduler: InputScheduler | None = None  # only where processor time is charged
         self.busy = False
         self.woken = 0.0
         self.spent = 0.0
