--- a/tests/integration/test_loopback.py
+++ b/tests/integration/test_loopback.py
@@ -14,7 +14,7 @@
 from tests.support.loopback import HOST, reserved_ports, settings
 from yarrowloom.common.errors import UsageError
 from yarrowloom.common.log import Log
-from yarrowloom.common.settings import ENV, check
+from yarrowloom.common.settings import SETTINGS_FILE_VARIABLE, check
 from yarrowloom.loadgen import Load, report
 from yarrowloom.node.startup import open_core, open_edge
 from yarrowloom.simulator.minions import HOST as HOST_NAME
@@ -78,7 +78,7 @@
             binds={"front": f"{HOST}:{front}", "ready": f"{HOST}:{ready}"}, inner=inner, seed=seed, data=None
         )
     )
-    monkeypatch.setenv(ENV, str(tmp_path / "none"))
+    monkeypatch.setenv(SETTINGS_FILE_VARIABLE, str(tmp_path / "none"))
 
     async def main() -> None:
         log = Log(name="loopback", level="error")
@@ -131,7 +131,7 @@
     response = subprocess.run(
         [sys.executable, "yarrowloom.py", "core"],
         cwd=root,
-        env={"PATH": "/usr/bin", ENV: str(path), "PYTHONPATH": ":".join(sys.path)},
+        env={"PATH": "/usr/bin", SETTINGS_FILE_VARIABLE: str(path), "PYTHONPATH": ":".join(sys.path)},
         capture_output=True,
         text=True,
         check=False,
--- a/tests/storage/stored_data.py
+++ b/tests/storage/stored_data.py
@@ -67,7 +67,7 @@
         data_dir="/d",
         disk_mb=64,
         memory_mb=256,
-        beat_ms=1400,
+        heartbeat_interval_ms=1400,
     )
 
 
--- a/tests/storage/test_storage.py
+++ b/tests/storage/test_storage.py
@@ -235,7 +235,7 @@
         data_dir=FOLDER,
         disk_mb=8,
         memory_mb=300,
-        beat_ms=1000,
+        heartbeat_interval_ms=1000,
     )
 
 
--- a/yarrowloom/node/core_environment.py
+++ b/yarrowloom/node/core_environment.py
@@ -4,7 +4,6 @@
 from typing import Any
 
 from ..agent import Agent
-from ..agent.agent import DRAIN_MS
 from ..cluster_state.registry import Registry
 from ..cluster_state.registry_events import MinionRemoved, RegistryEvent
 from ..common.defaults import SHIPPED, Defaults
@@ -56,13 +55,13 @@
             self.replicas[group_id] = Replica(group_id=group_id, environment=self, state=state, epoch=first_epoch)
         self.placers: dict[int, Placer] = {}
         self.chief: Chief | None = None
-        hold = min(settings.bound(name="max-hold-ms", default=6000), max(3.0 * settings.beat_ms, 4000.0))
+        hold = min(settings.max_hold_ms, max(3.0 * settings.heartbeat_interval_ms, 4000.0))
         self.agent = Agent(
             environment=self,
             hold_ms=int(hold),
-            lag_ms=settings.beat_ms,
-            stop_ms=int(settings.bound(name="stop-grace-ms", default=1000)),
-            drain_ms=int(settings.bound(name="drain-ms", default=DRAIN_MS)),
+            lag_ms=settings.heartbeat_interval_ms,
+            stop_ms=int(settings.stop_grace_ms),
+            drain_ms=int(settings.drain_ms),
             first_lease=first_number(incarnation=incarnation) + 1,
         )
         self.lease = -9.0
@@ -110,7 +109,7 @@
                 environment=self,
                 replica=self.replicas[group_id],
                 jobs=self.jobs[group_id],
-                far=self.settings.bound(name="spread-factor", default=2),
+                far=self.settings.spread_factor,
                 status_s=self.settings.job_status_s,
             )
 
--- a/yarrowloom/node/draining.py
+++ b/yarrowloom/node/draining.py
@@ -25,7 +25,7 @@
     node.closing = True
     for server in servers:
         server.closing = True
-    grace_s = node.settings.bound(name="grace-s", default=GRACE_DEFAULT_S)
+    grace_s = node.settings.grace_s
     started_at = last_busy = time.monotonic()
     deadline = started_at + max(grace_s - GRACE_RESERVE_S, EDGE_DRAIN_MOST_LEAST_S)
     while (now := time.monotonic()) < deadline:
@@ -45,7 +45,7 @@
         log: Takes how it ended.
     """
     started_at = time.monotonic()
-    grace_s = node.settings.bound(name="grace-s", default=GRACE_DEFAULT_S)
+    grace_s = node.settings.grace_s
     most_s = max(grace_s - GRACE_RESERVE_S, CORE_DRAIN_LEAST_S)
     step(node.leave)
     spent_s = 0.0
--- a/yarrowloom/node/node_base.py
+++ b/yarrowloom/node/node_base.py
@@ -63,7 +63,7 @@
         self.hearted = -9.0
         self.contact = -9.0  # when any node last answered a heart, in touch or not
         self.proved: dict[str, float] = {}  # when an answer to a call last carried the proof, by node
-        self.freshness = Freshness(apply_ms=settings.bound(name="config-apply-ms", default=2000))
+        self.freshness = Freshness(apply_ms=settings.config_apply_ms)
         self.calls = Calls(environment=self, base=first_number(incarnation=incarnation))
 
     # -- outputs
--- a/yarrowloom/simulator/machines/machine_set.py
+++ b/yarrowloom/simulator/machines/machine_set.py
@@ -129,7 +129,7 @@
             data_dir="/d" if core else None,
             disk_mb=64,
             memory_mb=256,
-            beat_ms=1400,
+            heartbeat_interval_ms=1400,
             bounds=BOUNDS,
         )
 
--- a/yarrowloom/testbed/virtual_testbed.py
+++ b/yarrowloom/testbed/virtual_testbed.py
@@ -106,7 +106,7 @@
             data_dir="/" if core else None,
             disk_mb=64,
             memory_mb=256,
-            beat_ms=beat_ms,
+            heartbeat_interval_ms=beat_ms,
             bounds={},
         )
         log = Log(name="bed", level="error")
