--- a/tests/project/test_import_direction.py
+++ b/tests/project/test_import_direction.py
@@ -30,7 +30,6 @@
     ("yarrowloom.jobs.state_machine", "yarrowloom.prediction"): (
         "the reducer of jobs keeps the history that it feeds, while prediction reads the steps of jobs"
     ),
-    ("yarrowloom.cluster_state.minion_ownership", "yarrowloom.agent.lease_selection"): "the rack of a minion's labels",
 }
 LEFT_CIRCLES: dict[frozenset[str], str] = {
     frozenset(f"yarrowloom.agent.{name}" for name in AGENT_CIRCLE): "the agent's parts call back into the agent",
--- a/yarrowloom/node/draining.py
+++ b/yarrowloom/node/draining.py
@@ -10,7 +10,6 @@
 from .core import CoreNode
 from .edge import EdgeNode
 
-GRACE_DEFAULT_S = 6.0
 GRACE_RESERVE_S = 1.0  # of `grace-s`: left for the exit itself
 CORE_DRAIN_LEAST_S = 0.6  # what a core node has to send leaves within this time
 CORE_POLL_S = 0.05
