--- a/tests/node/test_controller.py
+++ b/tests/node/test_controller.py
@@ -122,11 +122,11 @@
             return body
 
         node.heart = heart  # type: ignore[method-assign]
-    applied = primary.replicas[0].applied
+    applied = primary.replicas[0].last_applied
     sim.run(seconds=5.0)
     assert len(seen) >= 5 * 18
     assert not any(seen)
-    assert primary.replicas[0].applied == applied
+    assert primary.replicas[0].last_applied == applied
 
 
 @pytest.mark.parametrize("lost", [0, 2])
--- a/tests/node/test_edge.py
+++ b/tests/node/test_edge.py
@@ -122,13 +122,13 @@
     job_id = call(sim, got, n=7)
     sim.run(seconds=1.0)
     primary = sim.core(sim.serving(group_id=1)[0])
-    applied, request_id = primary.replicas[1].applied, node.calls.request_id
+    applied, request_id = primary.replicas[1].last_applied, node.calls.request_id
     for _ in range(50):
         got.clear()
         call(sim, got, n=7, method="GET")
         sim.run(seconds=0.02)
         assert got[job_id][1].status == 200
-    assert primary.replicas[1].applied == applied
+    assert primary.replicas[1].last_applied == applied
     assert node.calls.request_id == request_id + 50
 
 
--- a/tests/node/test_recovery.py
+++ b/tests/node/test_recovery.py
@@ -14,7 +14,7 @@
 from yarrowloom.replication import Replica
 from yarrowloom.replication.environment import Role
 from yarrowloom.replication.log_replay import ReplayError
-from yarrowloom.replication.replica_storage import StoredCopy
+from yarrowloom.replication.replica_storage import ReplicaStorage
 from yarrowloom.simulator import minions
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.minions import Oracle, SimCaller, cluster, config
@@ -59,7 +59,11 @@
 def states(node: CoreNode) -> dict[int, tuple[int, int, bytes]]:
     """By group: epoch, number of the last event, and the state, of the copies that count."""
     return {
-        group_id: (replica.base, replica.applied, orjson.dumps(replica.state.dump(), option=orjson.OPT_SORT_KEYS))
+        group_id: (
+            replica.state_epoch,
+            replica.last_applied,
+            orjson.dumps(replica.state.dump(), option=orjson.OPT_SORT_KEYS),
+        )
         for group_id, replica in node.replicas.items()
         if replica.role is not Role.IDLE
     }
@@ -102,23 +106,23 @@
             again = replayed(sim, ip)
             assert again.node_id == sim.node_ids[ip]
             replica = again.replicas[group_id]
-            assert (replica.base, replica.applied) == want[:2], (group_id, ip)
+            assert (replica.state_epoch, replica.last_applied) == want[:2], (group_id, ip)
             assert orjson.dumps(replica.state.dump(), option=orjson.OPT_SORT_KEYS) == want[2], (group_id, ip)
 
 
 def old_number(monkeypatch: pytest.MonkeyPatch) -> None:
     """A snapshot carries the number of the last event sent, as it did before events had numbers."""
-    records = StoredCopy.records
+    records = ReplicaStorage.records
 
-    def sent(self: StoredCopy, *, whole: bool) -> list[dict[str, Any]]:
+    def sent(self: ReplicaStorage, *, whole: bool) -> list[dict[str, Any]]:
         assert isinstance(self, Replica)
-        queued = sum(event is not None for event, _ in self.queue)
+        queued = sum(event is not None for event, _ in self.pending_events)
         return [
             {**record, "applied": record["applied"] - queued} if record["k"] == "st" else record
             for record in records(self, whole=whole)
         ]
 
-    monkeypatch.setattr(StoredCopy, "records", sent)
+    monkeypatch.setattr(ReplicaStorage, "records", sent)
 
 
 def quiet(sim: Sim) -> None:
@@ -128,7 +132,7 @@
         cond=lambda: all(
             not p.disk
             and not p.disk_busy
-            and all(r.in_flight is None and not r.queue for r in p.node.replicas.values())
+            and all(r.in_flight is None and not r.pending_events for r in p.node.replicas.values())
             for p in sim.procs.values()
             if isinstance(p.node, CoreNode) and p.up
         ),
@@ -193,7 +197,7 @@
 
     def waits() -> bool:
         sim.run(seconds=0.0005)
-        return any(event is not None and event["t"] == "start" for event, _ in node.replicas[1].queue)
+        return any(event is not None and event["t"] == "start" for event, _ in node.replicas[1].pending_events)
 
     assert any(waits() for _ in range(4000))
     journal = [*node.checkpoint(), END]
@@ -270,7 +274,7 @@
     assert fields["cause"]
     assert fields["record"] in range(len(sim.disks[ip].synced))
     assert found.node_id == f"{ip}:7000#new"
-    assert all(replica.base < 0 and replica.epoch is None for replica in found.replicas.values())
+    assert all(replica.state_epoch < 0 and replica.epoch is None for replica in found.replicas.values())
     old = sim.node_ids[ip]
     sim.boot(ip=ip, first=True)
     assert sim.node_ids[ip] not in (old, f"{ip}:7000#0")
@@ -278,7 +282,9 @@
     led: list[int] = []
     for _ in range(40):
         sim.run(seconds=0.1)
-        led += [group_id for group_id, replica in node.replicas.items() if replica.serving() and replica.applied < 1]
+        led += [
+            group_id for group_id, replica in node.replicas.items() if replica.is_serving() and replica.last_applied < 1
+        ]
     assert not led
     version = load(sim, caller, seconds=2.0, version=version)
     sim.run(seconds=6.0)
--- a/tests/replication/test_install.py
+++ b/tests/replication/test_install.py
@@ -34,14 +34,14 @@
 
     monkeypatch.setattr(sim, "_send", send)
     sim.core(primary).now = sim.now
-    replica.take(why="test", avoid=others[1:])
+    replica.start_election(reason="test", avoid=others[1:])
     assert sim.until(cond=lambda: replica.role is Role.PRIMARY and bool(begun), limit=3.0)
     assert sim.now - begun[0] >= LATE_S
     other = sim.core(backup).replicas[0]
     for ip in sim.core_ips:
         if ip != primary:
             sim.cut(a=primary, b=ip)
-    assert replica.lease.until <= other.heard + PROMISE_S
+    assert replica.lease.until <= other.last_heartbeat + PROMISE_S
     for _ in range(120):
         sim.run(seconds=0.02)
         assert len(sim.serving(group_id=0)) <= 1
@@ -58,9 +58,9 @@
     assert replica.epoch is not None
     for ip in sim.core_ips:
         if ip != primary:
-            sim.core(ip).replicas[0]._unpack = lambda *, epoch: False  # type: ignore[method-assign]
+            sim.core(ip).replicas[0]._install_snapshot = lambda *, epoch: False  # type: ignore[method-assign]
     sim.core(primary).now = sim.now
-    replica.take(why="test")
+    replica.start_election(reason="test")
     for _ in range(60):
         sim.run(seconds=0.05)
         assert sim.serving(group_id=0) == [] or replica.epoch.backups == ()
--- a/tests/replication/test_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -62,7 +62,12 @@
 
 def an_acceptor_forgets_its_promise_over_a_restart(p: Patch) -> None:
     def load(self: Acceptor, document: dict[str, Any]) -> None:
-        self.seen, self.promised, self.voted, self.value = decode(document["e"], into=Epoch), None, None, None
+        self.decided, self.promised, self.accepted_number, self.accepted_value = (
+            decode(document["e"], into=Epoch),
+            None,
+            None,
+            None,
+        )
 
     p.setattr(Acceptor, "load", load)
 
@@ -83,7 +88,7 @@
     real = Replica.on
 
     def on(self: Replica, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
-        if kind is Kind.LEADER_LEASE_REQUEST and self.role is Role.TAKING and self.base == m["n"]:
+        if kind is Kind.LEADER_LEASE_REQUEST and self.role is Role.CANDIDATE and self.state_epoch == m["n"]:
             self.environment.send(node_id=node_id, kind=Kind.LEADER_LEASE_GRANTED, body=m)
         real(self, node_id=node_id, kind=kind, m=m)
 
@@ -91,7 +96,7 @@
 
 
 def a_primary_ignores_the_end_of_its_lease(p: Patch) -> None:
-    p.setattr(Replica, "serving", lambda self: self.role is Role.PRIMARY)
+    p.setattr(Replica, "is_serving", lambda self: self.role is Role.PRIMARY)
 
 
 def a_backup_is_less_patient_than_the_lease_is_long(p: Patch) -> None:
@@ -112,14 +117,14 @@
 
 
 def a_copy_is_installed_whatever_its_tag(p: Patch) -> None:
-    real = Replica._unpack
+    real = Replica._install_snapshot
 
     def unpack(self: Replica, *, epoch: Epoch) -> bool:
-        rows = [tag for tag, record in self.spares.items() if record["inst"] == epoch.number]
+        rows = [tag for tag, record in self.pending_snapshots.items() if record["inst"] == epoch.number]
         named = msgspec.structs.replace(epoch, snapshot_id=rows[-1]) if rows else epoch
         return real(self, epoch=named)
 
-    p.setattr(Replica, "_unpack", unpack)
+    p.setattr(Replica, "_install_snapshot", unpack)
 
 
 def a_backup_never_takes_over(p: Patch) -> None:
@@ -137,15 +142,15 @@
 
 
 def effects_do_not_wait_for_the_backup(p: Patch) -> None:
-    real = Replica._fire
+    real = Replica._send_batch
 
     def fire(self: Replica) -> None:
         real(self)
         assert self.in_flight is not None
-        assert self.acceptor.seen is not None
-        self.in_flight.acknowledged_by.update(self.acceptor.seen.backups)
+        assert self.acceptor.decided is not None
+        self.in_flight.acknowledged_by.update(self.acceptor.decided.backups)
 
-    p.setattr(Replica, "_fire", fire)
+    p.setattr(Replica, "_send_batch", fire)
 
 
 def a_repeated_batch_is_applied_again(p: Patch) -> None:
@@ -153,26 +158,27 @@
 
 
 def a_snapshot_names_the_last_event_sent_instead_of_the_last_applied(p: Patch) -> None:
-    real = Replica.checkpoint
+    real = Replica.snapshot_records
 
     def checkpoint(self: Replica) -> list[dict[str, Any]]:
-        waiting = sum(1 for event, _ in self.queue if event is not None)
+        waiting = sum(1 for event, _ in self.pending_events if event is not None)
         return [
-            {**record, "applied": self.applied - waiting} if record["k"] == "st" else record for record in real(self)
+            {**record, "applied": self.last_applied - waiting} if record["k"] == "st" else record
+            for record in real(self)
         ]
 
-    p.setattr(Replica, "checkpoint", checkpoint)
+    p.setattr(Replica, "snapshot_records", checkpoint)
 
 
 def a_restarted_backup_forgets_the_election_it_began(p: Patch) -> None:
-    p.setattr(Replica, "proposed", lambda self, n: None)
+    p.setattr(Replica, "proposed_snapshot", lambda self, epoch_number: None)
 
 
 def a_witness_that_lost_its_disk_votes(p: Patch) -> None:
     def is_open(self: Acceptor, *, n: int) -> bool:
-        return self.seen is not None and n == self.seen.number + 1
+        return self.decided is not None and n == self.decided.number + 1
 
-    p.setattr(Acceptor, "_open", is_open)
+    p.setattr(Acceptor, "_is_open", is_open)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/tests/replication/test_snapshot.py
+++ b/tests/replication/test_snapshot.py
@@ -47,7 +47,7 @@
     cell.commit(x=3)
     cell.settle(seconds=0.3)
     batches = [record["first"] for record in map(orjson.loads, primary.journal) if record["k"] == "lg"]
-    assert batches[-1] == primary.replica.applied - 1  # events 2 and 3 are one batch
+    assert batches[-1] == primary.replica.last_applied - 1  # events 2 and 3 are one batch
     _, replayed = primary.replayed(journal=primary.journal)
     assert replayed.rows == primary.state.rows == [1, 2, 3]
 
@@ -80,15 +80,15 @@
     records = [orjson.loads(raw) for raw in [*before, *spare, *primary.snapshot()[1:-1]]]
     replica, replayed = primary.replayed(journal=[orjson.dumps(record) for record in records])
     assert replayed.rows == [1]
-    assert replica.base == primary.replica.base
+    assert replica.state_epoch == primary.replica.state_epoch
 
 
 def test_a_witness_record_that_waited_while_a_snapshot_was_taken_takes_nothing_back() -> None:
     cell = Cell()
     member = cell.primary()
     waiting = orjson.dumps({"k": "w", "g": 0, **member.replica.acceptor.dump()})
-    assert member.replica.acceptor.seen is not None
-    member.replica.acceptor.prepare(n=member.replica.acceptor.seen.number + 1, ballot=[5, "b:1#0"])
+    assert member.replica.acceptor.decided is not None
+    member.replica.acceptor.prepare(n=member.replica.acceptor.decided.number + 1, ballot=[5, "b:1#0"])
     replica, _ = member.replayed(journal=[*member.snapshot(), waiting])
     assert replica.acceptor.promised == [5, "b:1#0"]
 
@@ -112,13 +112,13 @@
     primary, backup = cell.primary(), cell.backup()
     cell.commit(x=1)
     cell.settle(seconds=0.3)
-    primary.replica.take(why="test")
+    primary.replica.start_election(reason="test")
     cell.deliver()
     backup.sync(count=len(backup.unsynced))
     assert [kind for _, _, kind, _ in cell.wire] == [Kind.SNAPSHOT_STORED]  # the backup has synced the copy
     backup.rotate(count=0)
     backup.restart()
-    assert [record["inst"] for record in backup.replica.spares.values()] == [2]
+    assert [record["inst"] for record in backup.replica.pending_snapshots.values()] == [2]
     assert cell.settle(seconds=10.0, until=lambda: len(cell.decided) >= 2 and bool(cell.serving()))
     assert all(member.state.rows == [1] for member in holders(cell))
 
@@ -159,7 +159,7 @@
 def test_a_backup_takes_a_batch_once_however_often_it_comes_and_refuses_one_after_a_gap() -> None:
     cell = Cell()
     primary, backup = cell.primary(), cell.backup()
-    base, start = backup.replica.base, backup.replica.applied
+    base, start = backup.replica.state_epoch, backup.replica.last_applied
 
     def log(*, first: int, events: list[int]) -> list[int]:
         """Send one batch; the events that are confirmed by number."""
@@ -205,14 +205,14 @@
         primary.replica.tick()
         primary.sync(count=len(primary.unsynced))
         cell.cut(node_id=primary.node_id)
-        assert not primary.replica.serving()
+        assert not primary.replica.is_serving()
         assert not cell.confirmed
-        assert primary.replica.base == 1
+        assert primary.replica.state_epoch == 1
     assert cell.settle(seconds=20.0, until=lambda: bool(cell.serving()))
     for member in holders(cell):
         _, replayed = member.replayed(journal=member.journal)
         assert replayed.rows == member.state.rows
-        assert member.replica.base == cell.primary().replica.base > 1
+        assert member.replica.state_epoch == cell.primary().replica.state_epoch > 1
 
 
 def test_a_backup_that_began_to_take_over_confirms_nothing_more_after_a_restart() -> None:
@@ -221,20 +221,20 @@
     cell = Cell()
     first, taker = cell.primary(), cell.backup()
     third = next(m for m in cell.members.values() if m not in (first, taker))
-    taker.replica.take(why="test", avoid=[first.node_id])
+    taker.replica.start_election(reason="test", avoid=[first.node_id])
     for _ in range(100):
         cell.cut(node_id=first.node_id)
         for member in (taker, third):
             member.sync(count=len(member.unsynced))
-        if third.replica.acceptor.voted is not None and taker.replica.acceptor.voted is not None:
+        if third.replica.acceptor.accepted_number is not None and taker.replica.acceptor.accepted_number is not None:
             break
         cell.deliver()
     cell.wire.clear()
     taker.restart()
-    assert first.replica.serving()
+    assert first.replica.is_serving()
     cell.commit(x=1, member=first)
     cell.settle(seconds=1.0)
-    first.replica.take(why="test") if first.replica.role is Role.PRIMARY else None
+    first.replica.start_election(reason="test") if first.replica.role is Role.PRIMARY else None
     cell.settle(seconds=10.0, until=lambda: len(cell.decided) >= 2 and bool(cell.serving()))
     cell.settle(seconds=1.0)
     assert set(cell.confirmed) <= set(cell.primary().state.rows)
@@ -251,7 +251,7 @@
     cell.commit(x=2)
     cell.settle(seconds=0.3)
     assert backup.replica.role is Role.IDLE
-    assert backup.replica.base == -1
+    assert backup.replica.state_epoch == -1
     assert 2 not in cell.confirmed
     assert [name for name, _ in backup.notes].count("copy-void") == 1
     assert cell.settle(seconds=20.0, until=lambda: 2 in cell.confirmed)
@@ -279,7 +279,7 @@
     primary.state.refused = 2
     with pytest.raises(AssertionError, match="refused by the reducer"):
         cell.commit(x=2)
-    assert not primary.replica.serving()
+    assert not primary.replica.is_serving()
     assert primary.replica.role is Role.IDLE
     assert cell.primary() is not primary
     assert cell.primary().state.rows == [1]
--- a/tests/replication/test_snapshot_any_order.py
+++ b/tests/replication/test_snapshot_any_order.py
@@ -10,7 +10,7 @@
 from tests.support.replica_cell import Cell, Member, Role
 from yarrowloom.replication.election import Election
 from yarrowloom.replication.log_replay import unapplied
-from yarrowloom.replication.replica_storage import StoredCopy
+from yarrowloom.replication.replica_storage import ReplicaStorage
 
 STEPS = 1500
 SEEDS = 30
@@ -67,14 +67,14 @@
 
     def rotate(self) -> None:
         member = self.member()
-        self.overlaps += bool(member.replica.queue) or bool(member.unsynced)
+        self.overlaps += bool(member.replica.pending_events) or bool(member.unsynced)
         member.rotate(count=self.rng.randint(0, len(member.unsynced)))
 
     def restart(self) -> None:
         """Of the records that no sync covers a beginning is there; or of a snapshot that was being written."""
-        taking = [m for m in self.cell.members.values() if m.replica.role is Role.TAKING]
+        taking = [m for m in self.cell.members.values() if m.replica.role is Role.CANDIDATE]
         member = self.rng.choice(taking) if taking and self.rng.random() < 0.5 else self.member()
-        base, live = member.replica.base, list(member.state.rows)
+        base, live = member.replica.state_epoch, list(member.state.rows)
         if self.rng.random() < 0.3:
             head = member.snapshot()
             member.journal += head[: self.rng.randrange(len(head))]
@@ -82,14 +82,14 @@
         member.restart(lost=self.rng.randint(0, len(member.unsynced)))
         self.cell.cut(node_id=member.node_id) if self.rng.random() < 0.5 else None
         self.restarts += 1
-        if member.replica.base == base and member.replica.role is not Role.IDLE:
+        if member.replica.state_epoch == base and member.replica.role is not Role.IDLE:
             need(live[: len(member.state.rows)] == member.state.rows, "replayed", member.state.rows, "live", live)
 
     def take(self) -> None:
         """A backup believes that its primary is silent."""
         member = self.member()
         if member.replica.role is Role.BACKUP:
-            member.replica.take(why="test")
+            member.replica.start_election(reason="test")
 
     def time(self) -> None:
         self.cell.now += self.rng.choice([0.01, 0.05, 0.2])
@@ -99,7 +99,7 @@
 
     def judge(self) -> None:
         for member in self.cell.members.values():
-            rows, base = member.state.rows, member.replica.base
+            rows, base = member.state.rows, member.replica.state_epoch
             if member.replica.role is Role.IDLE:
                 continue
             need(rows == sorted(set(rows)), "an event twice or out of order", rows)
@@ -142,24 +142,24 @@
 @contextmanager
 def without(monkeypatch: pytest.MonkeyPatch, guard: str) -> Iterator[None]:
     """The product with one guard taken out."""
-    records = StoredCopy.records
+    records = ReplicaStorage.records
 
     def again(*, first: int, events: list[object], applied: int) -> list[object]:
         unapplied(first=first, events=events, applied=applied)
         return events
 
-    def sent(self: StoredCopy, *, whole: bool) -> list[dict[str, object]]:
+    def sent(self: ReplicaStorage, *, whole: bool) -> list[dict[str, object]]:
         out = records(self, whole=whole)
-        queued = sum(event is not None for event, _ in self.queue)  # type: ignore[attr-defined]
-        return [{**record, "applied": self.applied - queued} if record["k"] == "st" else record for record in out]
+        queued = sum(event is not None for event, _ in self.pending_events)  # type: ignore[attr-defined]
+        return [{**record, "applied": self.last_applied - queued} if record["k"] == "st" else record for record in out]
 
     with monkeypatch.context() as patch:
         if guard == "replay passes over what it has":
             patch.setattr("yarrowloom.replication.replica_storage.unapplied", again)
         elif guard == "a snapshot names the last event applied":
-            patch.setattr(StoredCopy, "records", sent)
+            patch.setattr(ReplicaStorage, "records", sent)
         elif guard == "a backup that began to take over confirms nothing more":
-            patch.setattr(StoredCopy, "proposed", lambda self, n: None)
+            patch.setattr(ReplicaStorage, "proposed_snapshot", lambda self, epoch_number: None)
         elif guard == "a life does not serve in an epoch that an earlier one may have served in":
             patch.setattr(Election, "resumed", property(lambda self: False, lambda self, value: None), raising=False)
         yield
--- a/tests/replication/test_zones.py
+++ b/tests/replication/test_zones.py
@@ -64,7 +64,7 @@
     replica = sim.core(sim.serving(group_id=0)[0]).replicas[0]
     sim.core(sim.serving(group_id=0)[0]).now = sim.now
     away = [u for u in sim.core(stay[0]).members if zone_of(u) != first]
-    replica.take(why="test", avoid=away)
+    replica.start_election(reason="test", avoid=away)
     sim.run(seconds=0.6)
     assert {zone(ip) for ip in holders(newest(sim, group_id=0))} == {first}
     sim.run(seconds=MEND_S)
--- a/tests/scheduling/test_lease_identity.py
+++ b/tests/scheduling/test_lease_identity.py
@@ -51,7 +51,7 @@
         job_id = caller.submit(stages=[{"task-count": 4, "cpus": 500, "mem-mb": 64, "estimate-ms": 200}])
         assert sim.until(cond=lambda job_id=job_id: caller.state(job_id=job_id)[1] == "complete", limit=10.0)  # type: ignore[misc]
         placer = sim.core(ip).placers[1]
-        first = placer.replica.base << 32
+        first = placer.replica.state_epoch << 32
         assert first < placer.request_id < first + 1000
         asks.append(placer.request_id >> 32)
         leases.append((sim.core(ip).node_id, sim.core(ip).agent.next >> 32))
--- a/tests/storage/stored_data.py
+++ b/tests/storage/stored_data.py
@@ -20,7 +20,7 @@
 from yarrowloom.jobs.state_machine import Jobs
 from yarrowloom.node.core import NODE_RECORDS, CoreNode
 from yarrowloom.node.recovery import recover
-from yarrowloom.replication.replica_storage import StoredCopy
+from yarrowloom.replication.replica_storage import ReplicaStorage
 from yarrowloom.storage import Ring, Verdict
 
 DATA = pathlib.Path(__file__).parent / "data"
@@ -103,7 +103,7 @@
 
 def known_kinds() -> KnownKinds:
     """The kinds that the reducers and the replay of records dispatch on."""
-    record_kinds = re.findall(r'kind == "(\w+)"', inspect.getsource(StoredCopy.restore))
+    record_kinds = re.findall(r'kind == "(\w+)"', inspect.getsource(ReplicaStorage.restore))
     job_events = [
         name.removeprefix("_")
         for name, method in vars(Jobs).items()
--- a/tests/storage/write_data.py
+++ b/tests/storage/write_data.py
@@ -59,8 +59,10 @@
     def log(self, *, source: str, group: int, events: list[dict[str, Any]], first: int = 0) -> None:
         """The primary's batch, which the node takes as a backup."""
         replica = self.node.replicas[group]
-        first = first or replica.applied + 1
-        self.message(source=source, kind=Kind.APPEND_BATCH, group=group, n=replica.base, first=first, evs=events, t=1.0)
+        first = first or replica.last_applied + 1
+        self.message(
+            source=source, kind=Kind.APPEND_BATCH, group=group, n=replica.state_epoch, first=first, evs=events, t=1.0
+        )
 
 
 def configuration(*, version: int, rank: int = 0, more: int = 8) -> dict[str, Any]:
@@ -217,7 +219,9 @@
     """A copy for an epoch not yet decided, with what the node itself holds."""
     replica = disk.node.replicas[group]
     text = orjson.dumps(replica.state.dump()).decode()
-    disk.message(source=source, kind=Kind.SNAPSHOT, group=group, inst=number, tag=tag, applied=replica.applied, st=text)
+    disk.message(
+        source=source, kind=Kind.SNAPSHOT, group=group, inst=number, tag=tag, applied=replica.last_applied, st=text
+    )
 
 
 def write_events(*, folder: pathlib.Path) -> DiskWriter:
@@ -264,7 +268,7 @@
         disk.log(source=UIDS[0], group=0, events=events)
     replica = disk.node.replicas[1]
     disk.node.members = {u: member.document() for u, member in disk.node.registry.members.items()}
-    while not replica.spares:
+    while not replica.pending_snapshots:
         disk.node.now += 0.5
         replica.tick()
     disk.write()
--- a/tests/support/binding_explorer.py
+++ b/tests/support/binding_explorer.py
@@ -105,7 +105,7 @@
 def die(w: World, *, group_id: int, kept: bool) -> None:
     """A placing node dies with what it was told; what it sent is still on its way. `kept`: what it wrote last is
     durable, but nothing came of it. The next one begins; agents hear of it by and by."""
-    old, n = w.node_id(group_id=group_id), w.replica(group_id=group_id).base + 1
+    old, n = w.node_id(group_id=group_id), w.replica(group_id=group_id).state_epoch + 1
     if kept:
         w.replica(group_id=group_id).write()
     w.lines = {line: rows for line, rows in w.lines.items() if line[1] != old}
--- a/tests/support/binding_model.py
+++ b/tests/support/binding_model.py
@@ -39,11 +39,11 @@
 
     w: "World"
     group_id: int
-    base: int
+    state_epoch: int
     state: Jobs
     queue: list[tuple[dict[str, Any] | None, Choice | None]] = field(default_factory=list)
 
-    def serving(self) -> bool:
+    def is_serving(self) -> bool:
         return True
 
     def commit(self, *, event: dict[str, Any], then: Choice | None = None) -> Any:
@@ -254,7 +254,7 @@
         jobs = Jobs(learn=False)
         for event in self.log[group_id]:
             jobs.apply(orjson.loads(orjson.dumps(event)))
-        replica = Rep(w=self, group_id=group_id, base=n, state=jobs)
+        replica = Rep(w=self, group_id=group_id, state_epoch=n, state=jobs)
         self.placers[group_id] = Placer(
             defaults=SHIPPED,
             group_id=group_id,
@@ -408,7 +408,7 @@
         elif kind is Kind.CAPACITY_REPORT:
             p.room.report(node_id=src, rows=b["x"], shut=b["shut"], now=self.now)
             p.pump()
-        elif kind is Kind.ORDERS_REJECTED and b["n"] == p.replica.base:
+        elif kind is Kind.ORDERS_REJECTED and b["n"] == p.replica.state_epoch:
             p.void(rows=b["x"])
-        elif kind is Kind.ATTACHMENT_VERDICT and b["n"] == p.replica.base:
+        elif kind is Kind.ATTACHMENT_VERDICT and b["n"] == p.replica.state_epoch:
             p.void(rows=[[b["m"], b["seq"], t, r] for t, r in b["x"]])
--- a/tests/support/replica_cell.py
+++ b/tests/support/replica_cell.py
@@ -65,7 +65,7 @@
 
     def effect(self, *, effect: Effect) -> None:
         if effect[0] == "near":
-            self.replica.near(n=effect[2], last=effect[3])
+            self.replica.batch_synced(epoch_number=effect[2], last_event=effect[3])
         elif effect[0] == "copied":
             if self.replica.election is not None:
                 self.replica.election.copied(tag=effect[2], node_id="")
@@ -122,9 +122,9 @@
 
     def snapshot(self) -> list[bytes]:
         """The head of a ring file."""
-        return [orjson.dumps(record) for record in ({"k": "id", "uid": self.node_id}, *self.replica.checkpoint())] + [
-            END
-        ]
+        return [
+            orjson.dumps(record) for record in ({"k": "id", "uid": self.node_id}, *self.replica.snapshot_records())
+        ] + [END]
 
     def rotate(self, *, count: int) -> None:
         """As the writer does: a snapshot of what is now, then records that waited all along."""
@@ -140,7 +140,7 @@
         for record in records:
             if record["k"] not in ("id", "none"):
                 replica.restore(record)
-        replica.settle()
+        replica.finish_restore()
         return replica, state
 
     def restart(self, *, lost: int = 0) -> None:
@@ -211,7 +211,7 @@
         self.wire = [row for row in self.wire if node_id not in row[:2]]
 
     def serving(self) -> list[Member]:
-        return [m for m in self.members.values() if m.replica.serving()]
+        return [m for m in self.members.values() if m.replica.is_serving()]
 
     def backup(self) -> Member:
         epoch = self.primary().replica.epoch
--- a/tests/support/replication_adapter.py
+++ b/tests/support/replication_adapter.py
@@ -24,7 +24,7 @@
 GROUP = 0
 ALIVE_S = 1.2  # as in `node/node_base.py`
 WITNESSES_MOST = 9  # as in `node/core_environment.py`
-ROLES_WITH_STATE = frozenset({Role.PRIMARY, Role.BACKUP, Role.LAPSED, Role.TAKING})
+ROLES_WITH_STATE = frozenset({Role.PRIMARY, Role.BACKUP, Role.LAPSED, Role.CANDIDATE})
 
 
 class Book:
@@ -108,7 +108,7 @@
     def effect(self, *, effect: tuple[Any, ...]) -> None:
         what = effect[0]
         if what == "near":
-            self.replica.near(n=effect[2], last=effect[3])
+            self.replica.batch_synced(epoch_number=effect[2], last_event=effect[3])
         elif what == "copied":
             if self.replica.election is not None:
                 self.replica.election.copied(tag=effect[2], node_id="")
@@ -182,23 +182,23 @@
     def awake(self) -> bool:
         return self.running and self.frozen_until < 0
 
-    def serving(self) -> bool:
-        return self.running and self.replica.serving()
+    def is_serving(self) -> bool:
+        return self.running and self.replica.is_serving()
 
     def numbers(self) -> list[int]:
         return numbers_of(state=self.replica.state)
 
     def held_epoch(self) -> int:
         """The epoch whose record this member holds, as its primary or backup; below 0: none."""
-        return self.replica.base if self.replica.role in ROLES_WITH_STATE else -1
+        return self.replica.state_epoch if self.replica.role in ROLES_WITH_STATE else -1
 
     def whole_backup(self, *, n: int) -> bool:
-        return self.awake and self.replica.role is Role.BACKUP and self.replica.base == n
+        return self.awake and self.replica.role is Role.BACKUP and self.replica.state_epoch == n
 
     def begin(self, *, epoch: Epoch | None) -> None:
         """The process starts: with what its disk has, or for the first time."""
         self.replica = self.replay(records=self.synced, epoch=epoch)
-        self.replica.thawed()
+        self.replica.process_resumed()
         self.synced = self.checkpoint()
         self.pending.clear()
 
@@ -214,11 +214,11 @@
         except ReplayError as err:
             raise Broken(f"REPLAY {self.node_id} {err.text}") from err
         if records:
-            replica.settle()
+            replica.finish_restore()
         return replica
 
     def checkpoint(self) -> list[dict[str, Any]]:
-        rows: list[dict[str, Any]] = copy_of(self.replica.checkpoint())
+        rows: list[dict[str, Any]] = copy_of(self.replica.snapshot_records())
         return rows
 
     def commit(self, *, number: int) -> None:
@@ -247,15 +247,15 @@
         self.replica.flush()
 
     def thaw(self, *, slept: float) -> None:
-        self.replica.thawed()
+        self.replica.process_resumed()
         for node_id, when in self.last_heard.items():
             self.last_heard[node_id] = min(when + slept, self.now)
 
     def leave(self) -> None:
-        self.replica.hand_over()
+        self.replica.begin_handover()
 
     def may_end(self) -> bool:
-        return may_end(environment=self.environment, epoch=self.epoch, asked_s=self.replica.relief.asked_s())
+        return may_end(environment=self.environment, epoch=self.epoch, leaving_s=self.replica.handover.leaving_s())
 
     def deadlines(self) -> list[float]:
         """By the own clock: when something is decided by time alone."""
@@ -264,7 +264,7 @@
             flight = replica.in_flight.begun_at if replica.in_flight is not None else 0.0
             answers = [at + DOUBT_S for at in replica.lease._answers.values()]
             return [replica.lease.until, replica.lease.contact.until, flight + SUSPECT_S, flight + DOUBT_S, *answers]
-        return [replica.heard + SILENCE_S + replica._turn()] if replica.role is Role.BACKUP else []
+        return [replica.last_heartbeat + SILENCE_S + replica._turn()] if replica.role is Role.BACKUP else []
 
     def on_disk(self, *, kind: Kind, body: dict[str, Any]) -> bool:
         """Whether what an answer says is synced."""
--- a/tests/support/replication_model.py
+++ b/tests/support/replication_model.py
@@ -225,7 +225,7 @@
     # -- clients
 
     def server(self) -> Member | None:
-        return next((m for m in self.members if m.awake and m.serving()), None)
+        return next((m for m in self.members if m.awake and m.is_serving()), None)
 
     def op_due(self) -> bool:
         if self.next_op >= len(self.script) or self.server() is None:
@@ -260,7 +260,7 @@
     def acked_by(self, *, member: Member, numbers: list[int]) -> None:
         """An acknowledgement or an answer with these events leaves."""
         for number in numbers:
-            self.acked.setdefault(number, member.replica.base)
+            self.acked.setdefault(number, member.replica.state_epoch)
 
     # -- invariants
 
@@ -327,7 +327,7 @@
         for member in self.members:
             if member.running:
                 self.check_state(member=member)
-        serving = [m.node_id for m in self.members if m.serving()]
+        serving = [m.node_id for m in self.members if m.is_serving()]
         need(len(serving) <= 1, "SERVING", *serving)
         if serving:
             member = next(m for m in self.members if m.node_id == serving[0])
--- a/yarrowloom/node/core.py
+++ b/yarrowloom/node/core.py
@@ -83,7 +83,7 @@
         pass
 
     def _near(self, group_id: int, n: int, last: int) -> None:
-        self.replicas[group_id].near(n=n, last=last)
+        self.replicas[group_id].batch_synced(epoch_number=n, last_event=last)
 
     def _copied(self, group_id: int, tag: str) -> None:
         election = self.replicas[group_id].election
@@ -111,7 +111,7 @@
             self.placers[group_id].stops(rows)
 
     def _orders(self, group_id: int, rows: list[Any]) -> None:
-        if group_id in self.placers and self.replicas[group_id].serving():
+        if group_id in self.placers and self.replicas[group_id].is_serving():
             self.placers[group_id].orders(rows)
 
     def _endsok(self, group_id: int, node_id: str, minion_id: str, fence: int, rows: list[Any]) -> None:
@@ -184,7 +184,7 @@
             self.reply(node_id=node_id, request_id=request_id, status=503, document={})
         elif group_id < 0:
             self._handed(node_id=node_id, request_id=request_id, op=op, b=b)
-        elif not self.replicas[group_id].serving():
+        elif not self.replicas[group_id].is_serving():
             self.reply(
                 node_id=node_id,
                 request_id=request_id,
@@ -245,7 +245,7 @@
             self.agent.endsok(body=m)
         elif kind is Kind.MINION_LOST_ACK:
             self.agent.lostok(b=m)
-        elif m["g"] in self.placers and self.replicas[m["g"]].serving():
+        elif m["g"] in self.placers and self.replicas[m["g"]].is_serving():
             p = self.placers[m["g"]]
             if kind is Kind.CLAIM_MINIONS:
                 p.claim(node_id=node_id, b=m)
@@ -255,9 +255,9 @@
                 p.grant(node_id=node_id, b=m)
             elif kind is Kind.MINION_LOST:
                 p.lost(node_id=node_id, b=m)
-            elif kind is Kind.ORDERS_REJECTED and m["n"] == self.replicas[m["g"]].base:
+            elif kind is Kind.ORDERS_REJECTED and m["n"] == self.replicas[m["g"]].state_epoch:
                 p.void(rows=m["x"])
-            elif kind is Kind.ATTACHMENT_VERDICT and m["n"] == self.replicas[m["g"]].base:
+            elif kind is Kind.ATTACHMENT_VERDICT and m["n"] == self.replicas[m["g"]].state_epoch:
                 p.void(rows=[[m["m"], m["seq"], t, r] for t, r in m["x"]])
 
     def _heart(self, *, b: dict[str, Any]) -> None:
@@ -269,7 +269,7 @@
             )
             if via:
                 body["via"] = via
-        if self.chief is not None and self.replicas[0].serving():
+        if self.chief is not None and self.replicas[0].is_serving():
             body.update(self.chief.heart(b=b), at=self.now)
             body["up"] = [u for u in self.members if self.alive(node_id=u)]
             if body.get("own") or body.get("dis"):
@@ -314,7 +314,7 @@
     def gap_place(self, *, node_id: str) -> None:
         """Perhaps what an agent told."""
         for group_id, p in self.placers.items():
-            if self.replicas[group_id].serving():
+            if self.replicas[group_id].is_serving():
                 p.gap(node_id=node_id)
 
     def tick(self) -> None:
@@ -335,7 +335,7 @@
     def place_chores(self) -> None:
         """Placing: may take long, so a busy process does it less often."""
         for group_id, p in list(self.placers.items()):
-            if self.replicas[group_id].serving():
+            if self.replicas[group_id].is_serving():
                 p.tick()
         self._flush()
 
@@ -347,7 +347,7 @@
         self.ticked = self.now
         self.prove_own()
         self.beat_hearts()
-        if self.chief is not None and self.replicas[0].serving():
+        if self.chief is not None and self.replicas[0].is_serving():
             if self.hearted == self.now:
                 self._self_heart()
             self.chief.tick()
@@ -362,7 +362,7 @@
     def _thawed(self, *, slept: float) -> None:
         """The process stood still: what others may have said meanwhile is not silence of theirs."""
         for replica in self.replicas.values():
-            replica.thawed()
+            replica.process_resumed()
         chief = (self.chief.last, self.chief.echoed) if self.chief is not None else ()
         for at in (self.heard, self.roster, *chief):
             for node_id, when in at.items():
@@ -380,12 +380,12 @@
     def leave(self) -> None:
         """The process is to end: hand what it holds to others, and the groups served here to their backups."""
         for replica in self.replicas.values():
-            replica.hand_over()
+            replica.begin_handover()
 
     def may_end(self) -> bool:
         """Others hold all that this process holds, as far as there are others."""
         return all(
-            may_end(environment=self, epoch=replica.epoch, asked_s=replica.relief.asked_s())
+            may_end(environment=self, epoch=replica.epoch, leaving_s=replica.handover.leaving_s())
             for replica in self.replicas.values()
         )
 
@@ -407,7 +407,7 @@
             except Exception as err:  # a reducer may raise anything
                 raise ReplayError(text=f"{type(err).__name__}: {err}", number=number) from err
         for group_id, replica in self.replicas.items():
-            replica.settle()
+            replica.finish_restore()
             if replica.epoch is not None:
                 NodeBase.learn(self, epochs=[(group_id, replica.epoch)])
 
@@ -419,5 +419,5 @@
         """Records that stand for all that this node keeps."""
         out = [dump(body={"k": "id", "uid": self.node_id, "inc": self.incarnation})]
         for replica in self.replicas.values():
-            out += [dump(body=record) for record in replica.checkpoint()]
+            out += [dump(body=record) for record in replica.snapshot_records()]
         return out
--- a/yarrowloom/node/core_environment.py
+++ b/yarrowloom/node/core_environment.py
@@ -127,12 +127,12 @@
 
     def trusted(self) -> bool:
         """The agent may act: group 0's primary gave its word lately, or is this node."""
-        return self.now < self.lease or (self.chief is not None and self.replicas[0].serving())
+        return self.now < self.lease or (self.chief is not None and self.replicas[0].is_serving())
 
     def prove_own(self) -> None:
         """While this node serves group 0, it is itself the proof."""
         epoch = self.replicas[0].epoch
-        if self.chief is not None and epoch is not None and self.replicas[0].serving():
+        if self.chief is not None and epoch is not None and self.replicas[0].is_serving():
             self.freshness.prove(at=self.now, epoch=epoch.number)
 
     def proof(self) -> dict[str, Any]:
@@ -379,7 +379,11 @@
             "evacuated": sorted(self.evacuated_zones),
             "members": self.members,
             "groups": {
-                str(group_id): {"role": r.role.value, "epoch": r.epoch and r.epoch.document(), "serving": r.serving()}
+                str(group_id): {
+                    "role": r.role.value,
+                    "epoch": r.epoch and r.epoch.document(),
+                    "serving": r.is_serving(),
+                }
                 for group_id, r in self.replicas.items()
             },
             "minions": {
--- a/yarrowloom/node/http_routes.py
+++ b/yarrowloom/node/http_routes.py
@@ -153,7 +153,7 @@
         node.respond(call=call, response=Response.of(400, {"error": "not a job id"}))
         return
     group_id = group_of(job_id=job_id, groups=JOB_GROUPS)
-    if group_id in node.placers and node.replicas[group_id].serving():
+    if group_id in node.placers and node.replicas[group_id].is_serving():
         job = node.jobs[group_id].jobs.get(job_id)
         node.respond(
             call=call,
--- a/yarrowloom/replication/election.py
+++ b/yarrowloom/replication/election.py
@@ -101,7 +101,7 @@
             self._prepare()
         elif self.phase is Phase.INSTALL:
             if age > INSTALL_S:
-                e = self.replica.acceptor.seen
+                e = self.replica.acceptor.decided
                 self.avoid = {u for u in e.backups if u not in self.ok} if e else set()
                 self.have = []
                 self._go(Phase.PICK)
@@ -112,7 +112,7 @@
         """The epoch's primary tells its backups that it is at work: a campaign of theirs would only send more copies
         over the same links. Not for ever: one of them may be able to do what this member is not.
         """
-        environment, e = self.replica.environment, self.replica.acceptor.seen
+        environment, e = self.replica.environment, self.replica.acceptor.decided
         if (
             e is None
             or e.primary != environment.node_id
@@ -131,9 +131,9 @@
 
     def _pick(self) -> None:
         replica, environment = self.replica, self.replica.environment
-        e = replica.acceptor.seen
+        e = replica.acceptor.decided
         assert e is not None
-        if environment.now < replica.rest:
+        if environment.now < replica.resting_until:
             return
         fresh = self.inst != e.number + 1
         if fresh:
@@ -150,14 +150,16 @@
         if not ask and not copies and not pending:
             ask = untried[:1]
         self.goal = min(most, len(copies) + len(pending) + len(ask))
-        if copies and environment.now - self.copying > min(COPY_ENOUGH_S * 2**replica.renewal.short, ENOUGH_MOST_S):
+        if copies and environment.now - self.copying > min(
+            COPY_ENOUGH_S * 2**replica.reconfiguration.short, ENOUGH_MOST_S
+        ):
             self.fewer = len(copies) < self.goal  # makes do with these: another epoch follows later
             self.goal = len(copies)
         solo = not rows and environment.everyone() in ([environment.node_id], []) and len(e.witnesses) <= 1
         over = not ask and not copies and environment.now - self.copying > COPY_AGAIN_S
         if (self.goal == 0 or over) and not solo:
             self.tried, self.avoid = set(), set()
-            replica.rest = environment.now + 0.2 * (1 + environment.jitter())
+            replica.resting_until = environment.now + 0.2 * (1 + environment.jitter())
             return
         self._copy(ask=ask, fresh=fresh, number=e.number + 1)
 
@@ -182,7 +184,7 @@
         self._go(Phase.COPY)
         if fresh:
             self._propose(inst=number)
-        record = replica.spares[self.tag]
+        record = replica.pending_snapshots[self.tag]
         for node_id in ask:
             environment.send(
                 node_id=node_id, kind=Kind.SNAPSHOT, body={k: record[k] for k in ("g", "inst", "tag", "applied", "st")}
@@ -193,7 +195,7 @@
         """Write the copy that the next epoch is to begin with, or go on with the one from before a restart."""
         replica, environment = self.replica, self.replica.environment
         self.inst, self.near = inst, False
-        record = replica.proposed(n=inst)
+        record = replica.proposed_snapshot(epoch_number=inst)
         if record is not None:
             self.resumed = True
             environment.write(
@@ -207,11 +209,11 @@
                 "g": replica.group_id,
                 "inst": inst,
                 "tag": tag,
-                "applied": replica.applied,
+                "applied": replica.last_applied,
                 "st": self.text,
             }
             environment.write(record=record, done=("copied", replica.group_id, tag))
-            replica.keep(record=record)
+            replica.store_snapshot(record=record)
         self.tag = record["tag"]
 
     def copied(self, *, tag: str, node_id: str) -> None:
@@ -227,7 +229,7 @@
     def _copied(self) -> None:
         copies = [u for u in self.have if u not in self.avoid]
         if self.phase is Phase.COPY and self.near and len(copies) >= self.goal:
-            e = self.replica.acceptor.seen
+            e = self.replica.acceptor.decided
             assert e is not None
             self.value = Epoch(
                 number=e.number + 1,
@@ -239,7 +241,7 @@
             self._prepare()
 
     def _prepare(self) -> None:
-        e = self.replica.acceptor.seen
+        e = self.replica.acceptor.decided
         assert e is not None
         self._go(Phase.PREPARE)
         self.patience = min(VOTE_S * (1 + self.votes / 2), VOTE_MOST_S) * (1 + self.replica.environment.jitter())
@@ -272,7 +274,7 @@
         if m.get("cur"):
             self.replica.learn(decode(m["cur"], into=Epoch))
             return
-        e = self.replica.acceptor.seen
+        e = self.replica.acceptor.decided
         if e is None or m["n"] != e.number + 1 or m["bal"] != self.ballot:
             return
         if not m["ok"]:
@@ -341,6 +343,6 @@
         self.ok.add(node_id)
         self.installed.setdefault(node_id, self.since if sent is None else sent)
         if majority(votes=self.ok, among=val.witnesses) and self.ok.issuperset(val.backups):
-            self.replica.renewal.formed(fewer=self.fewer)
+            self.replica.reconfiguration.formed(fewer=self.fewer)
             self.replica.lease.start(epoch=val, answers=self.installed)
             self.replica.activate()
--- a/yarrowloom/replication/environment.py
+++ b/yarrowloom/replication/environment.py
@@ -93,14 +93,14 @@
     IDLE = "idle"
     BACKUP = "backup"
     LAPSED = "lapsed"  # has the state of an epoch that it must not go on with: it is to campaign for the next
-    TAKING = "taking"  # campaigning for the next epoch
+    CANDIDATE = "taking"  # campaigning for the next epoch
     PRIMARY = "primary"
 
 
 MOVES: dict[Role, frozenset[Role]] = {
     Role.IDLE: frozenset({Role.BACKUP, Role.LAPSED}),
-    Role.BACKUP: frozenset({Role.TAKING, Role.IDLE, Role.LAPSED, Role.BACKUP}),
-    Role.LAPSED: frozenset({Role.TAKING, Role.IDLE, Role.BACKUP, Role.LAPSED}),
-    Role.TAKING: frozenset({Role.PRIMARY, Role.IDLE, Role.BACKUP, Role.LAPSED, Role.TAKING}),
-    Role.PRIMARY: frozenset({Role.TAKING, Role.IDLE, Role.BACKUP, Role.LAPSED}),
+    Role.BACKUP: frozenset({Role.CANDIDATE, Role.IDLE, Role.LAPSED, Role.BACKUP}),
+    Role.LAPSED: frozenset({Role.CANDIDATE, Role.IDLE, Role.BACKUP, Role.LAPSED}),
+    Role.CANDIDATE: frozenset({Role.PRIMARY, Role.IDLE, Role.BACKUP, Role.LAPSED, Role.CANDIDATE}),
+    Role.PRIMARY: frozenset({Role.CANDIDATE, Role.IDLE, Role.BACKUP, Role.LAPSED}),
 }
--- a/yarrowloom/replication/epoch.py
+++ b/yarrowloom/replication/epoch.py
@@ -61,62 +61,66 @@
 
 
 class Acceptor:
-    """The acceptor of one group. Invariants: `seen` never goes back; `promised` and `value` belong to the number
-    after `seen`; every answer is given only once what it says is on disk (the caller's duty).
+    """The acceptor of one group. Invariants: `decided` never goes back; `promised` and `value` belong to the number
+    after `decided`; every answer is given only once what it says is on disk (the caller's duty).
     """
 
-    def __init__(self, *, node_id: str, seen: Epoch | None = None) -> None:
+    def __init__(self, *, node_id: str, decided: Epoch | None = None) -> None:
         self.node_id = node_id
-        self.seen = seen
+        self.decided = decided
         self.promised: Ballot | None = None
-        self.voted: Ballot | None = None
-        self.value: Epoch | None = None
+        self.accepted_number: Ballot | None = None
+        self.accepted_value: Epoch | None = None
 
     def dump(self) -> dict[str, Any]:
         """What the disk keeps."""
         return {
-            "e": None if self.seen is None else self.seen.document(),
+            "e": None if self.decided is None else self.decided.document(),
             "pb": self.promised,
-            "ab": self.voted,
-            "av": None if self.value is None else self.value.document(),
+            "ab": self.accepted_number,
+            "av": None if self.accepted_value is None else self.accepted_value.document(),
         }
 
     def load(self, document: dict[str, Any]) -> None:
         """Take what the disk kept."""
-        self.seen = document["e"] and decode(document["e"], into=Epoch)
-        self.promised, self.voted = document["pb"], document["ab"]
-        self.value = document["av"] and decode(document["av"], into=Epoch)
+        self.decided = document["e"] and decode(document["e"], into=Epoch)
+        self.promised, self.accepted_number = document["pb"], document["ab"]
+        self.accepted_value = document["av"] and decode(document["av"], into=Epoch)
 
     def learn(self, epoch: Epoch) -> bool:
         """Take note of a decided epoch; true if it is news."""
-        if self.seen is not None and epoch.number <= self.seen.number:
+        if self.decided is not None and epoch.number <= self.decided.number:
             return False
-        self.seen = epoch
-        self.promised = self.voted = self.value = None
+        self.decided = epoch
+        self.promised = self.accepted_number = self.accepted_value = None
         return True
 
-    def _open(self, *, n: int) -> bool:
-        return self.seen is not None and n == self.seen.number + 1 and self.node_id in self.seen.witnesses
+    def _is_open(self, *, n: int) -> bool:
+        return self.decided is not None and n == self.decided.number + 1 and self.node_id in self.decided.witnesses
 
     def prepare(self, *, n: int, ballot: Ballot) -> dict[str, Any] | None:
         """Promise a ballot for number `n`; None: not mine to answer."""
-        if self.seen is not None and n <= self.seen.number:
-            return {"ok": False, "cur": self.seen.document()}
-        if not self._open(n=n):
+        if self.decided is not None and n <= self.decided.number:
+            return {"ok": False, "cur": self.decided.document()}
+        if not self._is_open(n=n):
             return None
         if self.promised is not None and ballot < self.promised:
             return {"ok": False, "cur": None, "pb": self.promised}
         self.promised = ballot
-        return {"ok": True, "ab": self.voted, "av": None if self.value is None else self.value.document()}
+        return {
+            "ok": True,
+            "ab": self.accepted_number,
+            "av": None if self.accepted_value is None else self.accepted_value.document(),
+        }
 
     def accept(self, *, n: int, ballot: Ballot, value: Epoch) -> dict[str, Any] | None:
         """Vote for a value."""
-        if self.seen is not None and n <= self.seen.number:
-            return {"ok": False, "cur": self.seen.document()}
-        if not self._open(n=n):
+        if self.decided is not None and n <= self.decided.number:
+            return {"ok": False, "cur": self.decided.document()}
+        if not self._is_open(n=n):
             return None
         if self.promised is not None and ballot < self.promised:
             return {"ok": False, "cur": None, "pb": self.promised}
-        self.promised = self.voted = ballot
-        self.value = value
+        self.promised = self.accepted_number = ballot
+        self.accepted_value = value
         return {"ok": True}
--- a/yarrowloom/replication/handover.py
+++ b/yarrowloom/replication/handover.py
@@ -5,7 +5,7 @@
 from ..transport.envelope import Kind
 from .environment import ReplicaEnvironment, Role
 from .epoch import Acceptor, Epoch
-from .leader_lease import Lease
+from .leader_lease import LeaderLease
 from .timing import LEAVE_S, RELIEF_S
 
 
@@ -16,18 +16,18 @@
     environment: ReplicaEnvironment
     acceptor: Acceptor
     role: Role
-    base: int
-    awake: float
-    lease: Lease
+    state_epoch: int
+    resumed_at: float
+    lease: LeaderLease
 
     @property
     def electing(self) -> bool:
         """A campaign of this member is under way."""
 
-    def take(self, *, why: str, avoid: list[str] | None = None) -> None:
+    def start_election(self, *, reason: str, avoid: list[str] | None = None) -> None:
         """Election to be the primary of the next epoch."""
 
-    def give_up(self, *, to: str = "") -> None:
+    def step_down(self, *, to: str = "") -> None:
         """Have a backup take over at once."""
 
 
@@ -44,7 +44,7 @@
     return any(u != environment.node_id and environment.up(node_id=u) for u in (epoch.primary, *epoch.backups))
 
 
-def may_end(*, environment: ReplicaEnvironment, epoch: Epoch | None, asked_s: float) -> bool:
+def may_end(*, environment: ReplicaEnvironment, epoch: Epoch | None, leaving_s: float) -> bool:
     """No epoch needs this member any more; or another holder is there, and no further one is to be had or has been
     found in RELIEF_S; or no other member is known at all. `asked_s`: how long it has been leaving.
     """
@@ -56,10 +56,10 @@
         return True
     if not copied_elsewhere(environment=environment, epoch=epoch):
         return False
-    return asked_s >= RELIEF_S or not substitutes(environment=environment, epoch=epoch)
+    return leaving_s >= RELIEF_S or not substitutes(environment=environment, epoch=epoch)
 
 
-class Relief:
+class Handover:
     """Of a member that is about to end, and of backups of this primary that are. Invariant: a leaving member asks
     until no decided epoch names it as holder, or for RELIEF_S if another holder is there. It takes copies all the
     same: nobody else may be there to take them.
@@ -79,17 +79,17 @@
         if not self._member.electing:
             self.tick()
 
-    def asked_s(self) -> float:
+    def leaving_s(self) -> float:
         """Seconds since this member began to leave."""
         return self._member.environment.now - self._begun
 
     def tick(self) -> None:
         """Called a few times a second while there is no campaign."""
         member = self._member
-        epoch = member.acceptor.seen
+        epoch = member.acceptor.decided
         if not self.leaving or epoch is None or member.environment.now - self._asked < LEAVE_S:
             return
-        if self.asked_s() >= RELIEF_S and copied_elsewhere(environment=member.environment, epoch=epoch):
+        if self.leaving_s() >= RELIEF_S and copied_elsewhere(environment=member.environment, epoch=epoch):
             return  # several leave at once: they would only hand the copy to and fro
         self._asked = member.environment.now
         if member.role is Role.BACKUP:
@@ -102,19 +102,19 @@
     def _hand_over(self, *, epoch: Epoch) -> None:
         """Yield to a backup that answers; without one, another copy comes first."""
         member = self._member
-        silent = member.lease.silent(epoch=epoch, awake=member.awake, patience=2 * LEAVE_S)
+        silent = member.lease.silent(epoch=epoch, awake=member.resumed_at, patience=2 * LEAVE_S)
         answering = [node_id for node_id in epoch.backups if node_id not in silent]
         if answering:
-            member.give_up(to=answering[0])
+            member.step_down(to=answering[0])
         elif substitutes(environment=member.environment, epoch=epoch):
-            member.take(why="leaving", avoid=silent)
+            member.start_election(reason="leaving", avoid=silent)
 
     def asked(self, *, node_id: str, number: int) -> None:
         """The primary gives up to this backup, or a backup of this primary is about to end."""
         member = self._member
-        epoch = member.acceptor.seen
-        if member.role is Role.BACKUP and member.base == number:
-            member.take(why="yielded", avoid=[node_id])
+        epoch = member.acceptor.decided
+        if member.role is Role.BACKUP and member.state_epoch == number:
+            member.start_election(reason="yielded", avoid=[node_id])
         elif member.role is Role.PRIMARY and epoch is not None and epoch.number == number and node_id in epoch.backups:
             if substitutes(environment=member.environment, epoch=epoch):
-                member.take(why="backup-leaves", avoid=[node_id])
+                member.start_election(reason="backup-leaves", avoid=[node_id])
--- a/yarrowloom/replication/leader_lease.py
+++ b/yarrowloom/replication/leader_lease.py
@@ -6,20 +6,20 @@
 from ..transport.envelope import Kind
 from .environment import ReplicaEnvironment
 from .epoch import Epoch
-from .quorum_contact import Contact
+from .quorum_contact import QuorumContact
 from .timing import CONTACT_PING_S, CONTACT_WAIT_S, DOUBT_S, PING_S, PROMISE_S
 
 NEVER_S = -9.0  # steady clocks start at 0, so this is before anything
 
 
-class Lease:
+class LeaderLease:
     """Invariants: `until` is at most PROMISE_S after the time at which the question was sent that the backup longest
     silent has answered; a primary without `contact` stays one, asks on, and serves again once it is back.
     """
 
     def __init__(self, *, environment: ReplicaEnvironment, group_id: int) -> None:
         self.until = 0.0
-        self.contact = Contact()
+        self.contact = QuorumContact()
         self._environment = environment
         self._group = group_id
         self._answers: dict[str, float] = {}  # by backup: when the last question that it answered was sent
--- a/yarrowloom/replication/quorum_contact.py
+++ b/yarrowloom/replication/quorum_contact.py
@@ -11,7 +11,7 @@
 from .timing import PROMISE_S
 
 
-class Contact:
+class QuorumContact:
     """Answers of the witnesses of one epoch. Invariant: each answer counts from when its question was sent, so
     `until` is never later than PROMISE_S after a majority (this member, if it is a witness, included) was there.
     """
@@ -35,7 +35,7 @@
     def heard(self, *, node_id: str, sent: float) -> None:
         """A witness answered what was sent to it at `sent`.
 
-        >>> contact = Contact()
+        >>> contact = QuorumContact()
         >>> witnesses = ("a", "b", "c", "d", "e")
         >>> epoch = Epoch(number=1, primary="a", backups=("b",), witnesses=witnesses, snapshot_id="")
         >>> contact.begin(epoch=epoch, node_id="a")
--- a/yarrowloom/replication/reconfiguration.py
+++ b/yarrowloom/replication/reconfiguration.py
@@ -28,7 +28,7 @@
         return now - self.since
 
 
-class Renewal:
+class Reconfiguration:
     """Invariant: an election costs service, so a better set must have been there for WANT_S, and for RISK_S while the
     budget's losses could take the majority of the witnesses or the last copy; a witness set that is too small for the
     budget even with all of them there grows at once.
--- a/yarrowloom/scheduling/binding.py
+++ b/yarrowloom/scheduling/binding.py
@@ -57,7 +57,7 @@
         self.asks: dict[int, LeaseAsk] = {}
         super().__init__(**kw)
         self.request_id = (
-            self.replica.base * ASKS_PER_EPOCH
+            self.replica.state_epoch * ASKS_PER_EPOCH
         )  # whoever places in another epoch numbers its asks otherwise
 
     def bind(self, *, group: Group, decision: Decision) -> None:
@@ -299,7 +299,7 @@
             self.environment.send(
                 node_id=node_id,
                 kind=Kind.TASK_ORDERS,
-                body={"g": self.group_id, "n": self.replica.base, "sp": specs[node_id], "x": part},
+                body={"g": self.group_id, "n": self.replica.state_epoch, "sp": specs[node_id], "x": part},
             )
         if late:
             self.void(rows=late)
--- a/yarrowloom/scheduling/job_queue.py
+++ b/yarrowloom/scheduling/job_queue.py
@@ -282,7 +282,7 @@
             kind=Kind.ATTACH_MINION,
             body={
                 "g": self.group_id,
-                "n": self.replica.base,
+                "n": self.replica.state_epoch,
                 "seq": spot.seq,
                 "m": spot.minion_id,
                 "f": spot.fence,
--- a/yarrowloom/scheduling/scheduler.py
+++ b/yarrowloom/scheduling/scheduler.py
@@ -53,7 +53,7 @@
     def pump(self) -> None:
         """One slice of placing, if one is due."""
         now = self.environment.now
-        if now < self.next_slice or not self.replica.serving():
+        if now < self.next_slice or not self.replica.is_serving():
             return
         cycles, looks = self.cycles, self.room.looks
         self.nominator.sweep(now=now)
--- a/yarrowloom/simulator/cluster.py
+++ b/yarrowloom/simulator/cluster.py
@@ -169,6 +169,6 @@
             proc = self.procs[ip]
             if proc.up and isinstance(proc.node, CoreNode) and self.now >= proc.frozen_till:
                 proc.node.now = self.clock(ip)
-                if proc.node.replicas[group_id].serving():
+                if proc.node.replicas[group_id].is_serving():
                     out.append(ip)
         return out
