--- a/tests/cluster_state/test_config_delta.py
+++ b/tests/cluster_state/test_config_delta.py
@@ -17,7 +17,7 @@
     is_small,
 )
 from yarrowloom.cluster_state.registry import Registry
-from yarrowloom.common.errors import StampError, StartupError
+from yarrowloom.common.errors import SettingsError, StaleVersionError
 from yarrowloom.common.records import decode
 from yarrowloom.common.settings import check
 
@@ -199,7 +199,7 @@
         kinds.add(event.delta is not UNSET)
         registry.apply_event(event)
         assert registry.evaluate_config_request(method=method, if_match=str(base), body=body) is None
-        with pytest.raises(StampError):
+        with pytest.raises(StaleVersionError):
             registry.evaluate_config_request(method=method, if_match=str(base), body=body + b" ")
         assert registry.config is not None
         if rng.random() < 0.3:
@@ -250,6 +250,6 @@
     assert check(document=document).link_mbps == 1000.0
     assert check(document={**document, "limits": {"link-mbps": 2}}).link_mbps == 2.0
     for bad in (0, -1, "2", True, None):
-        with pytest.raises(StartupError) as err:
+        with pytest.raises(SettingsError) as err:
             check(document={**document, "limits": {"link-mbps": bad}})
         assert [f.place for f in err.value.findings] == ["limits.link-mbps"]
--- a/tests/cluster_state/test_config_values.py
+++ b/tests/cluster_state/test_config_values.py
@@ -7,7 +7,7 @@
 import pytest
 
 from yarrowloom.cluster_state.config import check
-from yarrowloom.common.errors import InvalidError
+from yarrowloom.common.errors import InvalidInputError
 from yarrowloom.simulator.minions import cluster, config
 
 HUGE, OVER = 1e308, 2**53
@@ -31,7 +31,7 @@
 )
 @pytest.mark.parametrize("value", [HUGE, OVER, 2**64 - 1, -1, "1", True, None])
 def test_numbers_that_could_not_be_written_again_are_refused(table: str, key: str, value: Any) -> None:
-    with pytest.raises(InvalidError) as err:
+    with pytest.raises(InvalidInputError) as err:
         check(document=orjson.loads(orjson.dumps(changed(table=table, key=key, value=value))))
     assert all(finding.place.startswith(table) and finding.place.endswith(key) for finding in err.value.findings)
 
--- a/tests/cluster_state/test_operator_requests.py
+++ b/tests/cluster_state/test_operator_requests.py
@@ -8,7 +8,7 @@
 
 from yarrowloom.cluster_state.operator_requests import MAX_ACCEPTED_CHANGES, MAX_ZONES
 from yarrowloom.cluster_state.registry import Registry
-from yarrowloom.common.errors import InvalidError, StampError, UnclearError, YarrowError
+from yarrowloom.common.errors import InvalidInputError, StaleVersionError, UnknownOutcomeError, YarrowError
 from yarrowloom.simulator.minions import config
 
 DEEP = "[" * 300 + "]" * 300
@@ -196,7 +196,7 @@
     registry = new_registry(changes=3)
     rest = "" if method == "PATCH" else ', "route-table": [], "service-table": []'
     body = f'{{"config-version": {version}{rest}}}'.encode()
-    with pytest.raises(InvalidError) as err:
+    with pytest.raises(InvalidInputError) as err:
         registry.evaluate_config_request(method=method, if_match="3", body=body)
     assert [f.place for f in err.value.findings][0] in ("config-version", "(body)")
 
@@ -244,7 +244,7 @@
 def evacuate(registry: Registry, *, zone: str, on: bool, known: int) -> str:
     try:
         event = registry.evaluate_evacuation(zone=zone, is_evacuated=on, known_version=known)
-    except UnclearError as err:
+    except UnknownOutcomeError as err:
         assert err.status == 503
         return "unclear"
     registry.apply_event(event)
@@ -291,4 +291,4 @@
 
 
 def test_errors_have_the_codes_that_callers_go_by() -> None:
-    assert (InvalidError.status, StampError.status, UnclearError.status) == (400, 412, 503)
+    assert (InvalidInputError.status, StaleVersionError.status, UnknownOutcomeError.status) == (400, 412, 503)
--- a/tests/mutants/test_operator_request_mutants.py
+++ b/tests/mutants/test_operator_request_mutants.py
@@ -21,7 +21,7 @@
 from yarrowloom.cluster_state.operator_requests import AcceptedChanges
 from yarrowloom.cluster_state.registry import Registry
 from yarrowloom.cluster_state.registry_events import ZoneEvacuationChanged
-from yarrowloom.common.errors import StampError, YarrowError
+from yarrowloom.common.errors import StaleVersionError, YarrowError
 from yarrowloom.node import http_routes as control
 from yarrowloom.node.core import CoreNode
 from yarrowloom.replication import Replica
@@ -92,7 +92,7 @@
     def evaluate(self: Registry, *, method: str, if_match: str | None, body: bytes) -> Any:
         try:
             return whole(self, method=method, if_match=if_match, body=body)
-        except StampError:
+        except StaleVersionError:
             if orjson.loads(body)["config-version"] == self.config_version:
                 return None
             raise
--- a/tests/storage/test_storage.py
+++ b/tests/storage/test_storage.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.support.storage_proof import FILE_BYTES, FOLDER, Life, Oracle, Process, checkpoint, make_ring, play, replay
-from yarrowloom.common.errors import StoreError
+from yarrowloom.common.errors import StorageError
 from yarrowloom.common.log import Log
 from yarrowloom.common.settings import NodeSettings
 from yarrowloom.node.runtime import Runtime
@@ -214,7 +214,7 @@
     assert until_taken(call=ring.load, ring=ring, log=LOG, sleep=waits.append) == []
     assert len(waits) == 5
     disk.troubles = [Trouble(operation=Operation.SYNC_FOLDER, error=errno.EACCES)]
-    with pytest.raises(StoreError):
+    with pytest.raises(StorageError):
         until_taken(call=ring.load, ring=ring, log=LOG, sleep=waits.append)
 
 
--- a/tests/support/storage_proof.py
+++ b/tests/support/storage_proof.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field, replace
 
-from yarrowloom.common.errors import StoreError
+from yarrowloom.common.errors import StorageError
 from yarrowloom.simulator.machines.disk import PowerCutError, SimDisk, Trouble
 from yarrowloom.storage import END, Ring, Verdict
 from yarrowloom.storage.record_format import HEADER_BYTES, RECORD_BYTES
@@ -140,7 +140,7 @@
         for _ in range(TRIES):
             try:
                 write()
-            except (OSError, StoreError):
+            except (OSError, StorageError):
                 self.ring.close()
             else:
                 return
--- a/tests/testbed/test_plan.py
+++ b/tests/testbed/test_plan.py
@@ -6,13 +6,13 @@
 import pytest
 
 from tests.testbed.test_testbed import BOUND_S, ROOT, rig
-from yarrowloom.testbed.plan import PlanError, check, load
+from yarrowloom.testbed.plan import InvalidPlanError, check, load
 
 GOOD: dict[str, Any] = {"name": "one", "duration-s": 20}
 
 
 def places(document: Any, **kw: Any) -> list[str]:
-    with pytest.raises(PlanError) as got:
+    with pytest.raises(InvalidPlanError) as got:
         check(document=document, **kw)
     assert got.value.exit_code == 78
     return sorted(f.place for f in got.value.findings)
--- a/tests/transport/test_codec.py
+++ b/tests/transport/test_codec.py
@@ -8,7 +8,7 @@
 
 from yarrowloom.cluster_state import config
 from yarrowloom.cluster_state.registry import Registry
-from yarrowloom.common.errors import InvalidError, StampError, StartupError, YarrowError
+from yarrowloom.common.errors import InvalidInputError, SettingsError, StaleVersionError, YarrowError
 from yarrowloom.common.settings import check as check_startup
 from yarrowloom.jobs.submission import parse
 from yarrowloom.transport.envelope import Frame, Lane, Sealer, Splitter, pack
@@ -106,7 +106,7 @@
     body = orjson.dumps(noise(rng=rng, document=JOB)) if seed % 10 else rng.randbytes(40)
     try:
         job = parse(body=body)
-    except InvalidError as err:
+    except InvalidInputError as err:
         assert err.findings
         assert all(f.place for f in err.findings)
         return
@@ -121,7 +121,7 @@
     document = noise(rng=rng, document=CONF)
     try:
         good = config.check(document=document)
-    except InvalidError as err:
+    except InvalidInputError as err:
         assert err.findings
         return
     table = config.Table(document=good)
@@ -143,7 +143,7 @@
 )
 def test_each_clause_of_validity(change: dict[str, Any]) -> None:
     config.check(document=CONF)
-    with pytest.raises(InvalidError):
+    with pytest.raises(InvalidInputError):
         config.check(document={**CONF, **change})
 
 
@@ -153,7 +153,7 @@
     def put(*, base: str, document: Any, method: str = "PUT") -> str:
         try:
             event = registry.evaluate_config_request(method=method, if_match=base, body=orjson.dumps(document))
-        except (InvalidError, StampError) as err:
+        except (InvalidInputError, StaleVersionError) as err:
             return err.code
         if event is None:
             return "again"
@@ -214,7 +214,7 @@
     check_startup(document=document)
     try:
         check_startup(document=noise(rng=rng, document=document))
-    except StartupError as err:
+    except SettingsError as err:
         assert err.findings
         assert err.exit_code == 78
     except YarrowError as err:
--- a/yarrowloom/cli.py
+++ b/yarrowloom/cli.py
@@ -15,13 +15,13 @@
     """yarrowloom: a cluster scheduler for jobs."""
 
     def edge(self, level: str = "info") -> None:
-        """Serve callers; settings from the file named by YARROWLOOM_NODE_FILE."""
+        """Serve clients; settings from the file named by YARROWLOOM_NODE_FILE."""
         from .node.startup import serve
 
         serve(kind="edge", level=level)
 
     def core(self, level: str = "info") -> None:
-        """Serve control: records, agent, placing."""
+        """Serve minions and operators: replicated state, agent, scheduler."""
         from .node.startup import serve
 
         serve(kind="core", level=level)
@@ -30,8 +30,8 @@
         """Check a settings file and report all findings."""
         from .common.settings import load
 
-        startup = load(path=path)
-        return f"{path}: fit for use by {startup.name}"
+        settings = load(path=path)
+        return f"{path}: fit for use by {settings.name}"
 
     def defaults(self) -> str:
         """Check the project's own settings (deploy/defaults.toml) and show them."""
@@ -50,9 +50,9 @@
         return _show(_fetch(url=f"http://{addr}/jobs/{job}"))
 
     def warm(self, addr: str) -> str:
-        """Show hits, misses and core-seconds of warm room, by group of jobs, at the placing nodes of one core node."""
-        doc = _fetch(url=f"http://{addr}/state")
-        return _show({group_id: row["warm"] for group_id, row in doc["placing"].items()})
+        """Show hits, misses and core-seconds of warm capacity by job group, for the schedulers of one core node."""
+        state = _fetch(url=f"http://{addr}/state")
+        return _show({group_id: row["warm"] for group_id, row in state["placing"].items()})
 
     def load(self, *addrs: str, host: str, prefix: str, jobs: int = 50, rate: float = 5.0, seed: int = 1) -> str:
         """Send a seeded mix of jobs to front addresses and report latencies, losses and repeats."""
@@ -68,7 +68,7 @@
             addresses=tuple(map(str, addrs)), host=str(host), prefix=str(prefix), jobs=jobs, rate=rate, seed=seed
         )
         trio.run(load.run)
-        return " ".join(pair(key=k, val=v) for k, v in report(load=load).items())
+        return " ".join(pair(key=k, value=v) for k, v in report(load=load).items())
 
     def local(
         self,
@@ -150,21 +150,25 @@
         )
 
     def slopes(self, *runs: str, reps: int = 5, out: str = "") -> None:
-        """Measure on this machine what a beat, a start, a change, a checkpoint and a job cost; all runs, or some."""
+        """Measure on this machine what a heartbeat, a start, a change, a snapshot and a job cost; all runs, or some."""
         from .testbed.local import lines
         from .testbed.slopes import slopes
 
         print("\n".join(lines(out=slopes(repetitions=reps, out=str(out), only=tuple(map(str, runs))))))
 
 
-def _show(doc: Any) -> str:
+def _show(document: object) -> str:
     import orjson
 
-    return orjson.dumps(doc, option=orjson.OPT_INDENT_2).decode()
+    return orjson.dumps(document, option=orjson.OPT_INDENT_2).decode()
 
 
-def _fetch(*, url: str) -> Any:
-    """GET from a core node, following where it sends us; raises UsageError if nothing useful comes."""
+def _fetch(*, url: str) -> dict[str, Any]:
+    """GET a JSON object from a core node, following redirects to the node that has it.
+
+    Raises:
+        UsageError: The node cannot be reached, or answers with another status than 200.
+    """
     import httpcore
     import orjson
 
@@ -172,19 +176,19 @@
 
     try:
         for _ in range(3):
-            res = httpcore.request(
+            response = httpcore.request(
                 "GET", url, extensions={"timeout": dict.fromkeys(("connect", "read", "write", "pool"), 3.0)}
             )
-            if res.status != 307:
+            if response.status != 307:
                 break
-            url = dict(res.headers)[b"location"].decode()
+            url = dict(response.headers)[b"location"].decode()
     except (httpcore.NetworkError, httpcore.TimeoutException, httpcore.UnsupportedProtocol) as err:
         raise UsageError(text=f"{url}: not reached ({type(err).__name__})") from err
-    if res.status != 200:
-        raise UsageError(
-            text=f"{url}: answered {res.status}: {res.content.decode(errors='replace')[:200]}; is it a control address?"
-        )
-    return orjson.loads(res.content)
+    if response.status != 200:
+        answer = response.content.decode(errors="replace")[:200]
+        raise UsageError(text=f"{url}: answered {response.status}: {answer}; is it a control address?")
+    document: dict[str, Any] = orjson.loads(response.content)
+    return document
 
 
 def usage() -> str:
--- a/yarrowloom/cluster_state/config.py
+++ b/yarrowloom/cluster_state/config.py
@@ -2,7 +2,7 @@
 
 from typing import Any, TypedDict
 
-from ..common.errors import Finding, InvalidError
+from ..common.errors import Finding, InvalidInputError
 
 
 class Route(TypedDict, total=False):
@@ -88,15 +88,15 @@
 
     >>> try:
     ...     check(document={"config-version": 1, "route-table": [{"name": "r"}], "service-table": []})
-    ... except InvalidError as err:
+    ... except InvalidInputError as err:
     ...     [f.place for f in err.findings][:2]
     ['route-table[0].host-name', 'route-table[0].path-prefix']
     """
     bad: list[Finding] = []
     if not isinstance(document, dict):
-        raise InvalidError(text="not an object", findings=[Finding(place="(body)", text="not an object")])
+        raise InvalidInputError(text="not an object", findings=[Finding(place="(body)", text="not an object")])
     if _deeper(value=document, most=DEPTH_MOST):
-        raise InvalidError(
+        raise InvalidInputError(
             text="nested too deeply",
             findings=[Finding(place="(body)", text=f"more than {DEPTH_MOST} levels of lists and objects")],
         )
@@ -123,7 +123,7 @@
             if k in limits and (not _num(limits[k]) or not 1 <= limits[k] <= NUMBER_MOST)
         ]
     if bad:
-        raise InvalidError(text="configuration is invalid", findings=bad)
+        raise InvalidInputError(text="configuration is invalid", findings=bad)
     return document
 
 
@@ -137,7 +137,7 @@
     """
     bad: list[Finding] = []
     if not isinstance(change, dict):
-        raise InvalidError(text="not an object", findings=[Finding(place="(body)", text="not an object")])
+        raise InvalidInputError(text="not an object", findings=[Finding(place="(body)", text="not an object")])
     out = {**base, "config-version": change.get("config-version")}
     for part in ("upserts", "removals"):
         tables = change.get(part, {})
@@ -163,7 +163,7 @@
     if "limits" in change:
         out["limits"] = change["limits"]
     if bad:
-        raise InvalidError(text="change is invalid", findings=bad)
+        raise InvalidInputError(text="change is invalid", findings=bad)
     return out
 
 
--- a/yarrowloom/cluster_state/operator_requests.py
+++ b/yarrowloom/cluster_state/operator_requests.py
@@ -9,7 +9,7 @@
 from collections import OrderedDict
 from typing import Any
 
-from ..common.errors import Finding, InvalidError
+from ..common.errors import Finding, InvalidInputError
 from ..common.records import Record
 
 MAX_ACCEPTED_CHANGES = 1024  # configuration changes: at most 45 KB in a snapshot, 220 KB in memory
@@ -26,14 +26,14 @@
     """The version of the configuration that a request builds on, from its If-Match header.
 
     Raises:
-        InvalidError: The header is missing or not a whole number.
+        InvalidInputError: The header is missing or not a whole number.
 
     >>> parse_base_version(if_match="7"), parse_base_version(if_match=' "7" ')
     (7, 7)
     """
     match = _IF_MATCH.fullmatch(if_match or "")
     if match is None:
-        raise InvalidError(
+        raise InvalidInputError(
             text="If-Match is not a version", findings=[Finding(place="If-Match", text="missing or not a whole number")]
         )
     return int(match.group(2))
--- a/yarrowloom/cluster_state/registry.py
+++ b/yarrowloom/cluster_state/registry.py
@@ -5,7 +5,7 @@
 import orjson
 from msgspec import UNSET, UnsetType
 
-from ..common.errors import Finding, InvalidError, StampError, UnclearError
+from ..common.errors import Finding, InvalidInputError, StaleVersionError, UnknownOutcomeError
 from ..common.records import Record, decode
 from . import config as config_rules
 from .config_delta import ConfigDocument, apply_delta, diff, is_small
@@ -209,12 +209,12 @@
             known_version: The registry's version known, at that time, to the node that received the request.
 
         Raises:
-            UnclearError: The request would change the zone's state, but was received before its node knew of the
+            UnknownOutcomeError: The request would change the zone's state, but was received before its node knew of the
                 zone's last request: it may be a copy that was delayed.
         """
         changes_state = (zone in self.evacuated_zones) is not is_evacuated
         if changes_state and known_version < self.zone_versions.last_version(zone=zone):
-            raise UnclearError(text=f"another order for {zone} came meanwhile")
+            raise UnknownOutcomeError(text=f"another order for {zone} came meanwhile")
         return ZoneEvacuationChanged(zone=zone, is_evacuated=is_evacuated)
 
     def evaluate_config_request(self, *, method: str, if_match: str | None, body: bytes) -> ConfigAccepted | None:
@@ -228,23 +228,23 @@
             None if this very request was accepted before.
 
         Raises:
-            InvalidError: The request or the configuration that it would make is malformed.
-            StampError: It builds on a version that isn't the current one.
-            UnclearError: Whether it was accepted before isn't known any more.
+            InvalidInputError: The request or the configuration that it would make is malformed.
+            StaleVersionError: It builds on a version that isn't the current one.
+            UnknownOutcomeError: Whether it was accepted before isn't known any more.
         """
         base_version = parse_base_version(if_match=if_match)
         digest = request_digest(base_version=base_version, method=method, body=body)
         try:
             document = orjson.loads(body)
         except orjson.JSONDecodeError as err:
-            raise InvalidError(text="unreadable", findings=[Finding(place="(body)", text=str(err))]) from err
+            raise InvalidInputError(text="unreadable", findings=[Finding(place="(body)", text=str(err))]) from err
         version = requested_version(document=document)
         if self.accepted_changes.was_accepted(version=version, digest=digest):
             return None
         self._check_base_version(base_version=base_version, version=version)
         if method == "PATCH":
             if self.config is None:
-                raise StampError(text="there is no configuration yet")
+                raise StaleVersionError(text="there is no configuration yet")
             document = config_rules.patch(base=self.config, change=document)
         return self._config_event(document=config_rules.check(document=document), digest=digest)
 
@@ -253,15 +253,15 @@
         if base_version == self.config_version:
             return
         if version > base_version and self.accepted_changes.may_be_forgotten(version=version):
-            raise UnclearError(
+            raise UnknownOutcomeError(
                 text=f"orders up to version {self.accepted_changes.forgotten_up_to} aren't known any more"
             )
-        raise StampError(text=f"version {self.config_version} is current")
+        raise StaleVersionError(text=f"version {self.config_version} is current")
 
     def _config_event(self, *, document: ConfigDocument, digest: str) -> ConfigAccepted:
         """The event that makes a valid configuration the current one; raises if its version doesn't rise."""
         if document["config-version"] <= self.config_version:
-            raise InvalidError(
+            raise InvalidInputError(
                 text="version does not rise",
                 findings=[Finding(place="config-version", text=f"not above {self.config_version}")],
             )
--- a/yarrowloom/common/defaults.py
+++ b/yarrowloom/common/defaults.py
@@ -1,22 +1,29 @@
 """The project's own settings: what an installation may switch, with the defaults that ship.
 
 They stand in `deploy/defaults.toml`; a process reads them at its start. The operator's configuration and the settings
-file of a process are other things: see cluster_state/config.py and startup.py.
+file of a process are other things: see cluster_state/config.py and settings.py.
 """
 
 import tomllib
 from pathlib import Path
 from typing import Any, TypedDict
 
-from .errors import Finding, StartupError
+from .errors import Finding, SettingsError
+from .settings import is_number
 
 PATH = Path(__file__).resolve().parents[2] / "deploy" / "defaults.toml"
 
 
 class WarmRow(TypedDict):
-    """`[warm]`: room kept for jobs that are about to be called. `core_s`: most core-seconds held in a minute; `tasks`:
-    most tasks kept for one service; `expiry_ms`: longest that one room is held; `lead_ms`: how long before the call;
-    `least`: confidence needed, 0 to 1.
+    """`[warm]`: capacity kept free for jobs that are predicted to come soon.
+
+    Attributes:
+        on: Whether any is kept.
+        core_s: At most so many core-seconds are held in a minute.
+        tasks: At most so many tasks are provided for in one service.
+        expiry_ms: One reservation is held no longer than this.
+        lead_ms: A reservation begins this long before the predicted job.
+        least: The confidence that a prediction needs, 0 to 1.
     """
 
     on: bool
@@ -28,15 +35,18 @@
 
 
 class LearnRow(TypedDict):
-    """`[learn]`: whether the history of calls and run times is kept with the jobs' record. Warming needs it; it takes
-    about a third of a busy placing node's time (simulated cluster, docs/warm.md).
+    """`[learn]`: the history of submissions and run times, kept with the state of jobs.
+
+    Attributes:
+        on: Whether it is kept. `[warm]` needs it; it takes about a third of a busy scheduler's time (simulated
+            cluster, docs/warm.md).
     """
 
     on: bool
 
 
 class Defaults(TypedDict):
-    """All of it."""
+    """All tables of the file."""
 
     learn: LearnRow
     warm: WarmRow
@@ -61,46 +71,60 @@
 
 
 def check(*, document: dict[str, Any]) -> Defaults:
-    """The settings with what is not named as shipped, or every finding with its place.
+    """The defaults with what a document changes of them.
+
+    Raises:
+        SettingsError: Something is unknown or out of its bounds; it holds every finding.
 
     >>> check(document={"warm": {"on": True, "tasks": 4}})["warm"]["tasks"]
     4
     >>> try:
     ...     check(document={"warm": {"least": 7, "lots": 1}, "worm": {}})
-    ... except StartupError as err:
-    ...     [str(f) for f in err.findings]
+    ... except SettingsError as error:
+    ...     [str(finding) for finding in error.findings]
     ['warm.least: not a number from 0 to 1', 'warm.lots: unknown', 'worm: unknown']
     """
-    bad: list[Finding] = []
-    out: dict[str, dict[str, Any]] = {"learn": dict(SHIPPED["learn"]), "warm": dict(SHIPPED["warm"])}
+    findings = [finding for table, rows in document.items() for finding in _table_findings(table=table, rows=rows)]
+    if findings:
+        raise SettingsError(text="; ".join(str(finding) for finding in findings), findings=findings)
+    merged: dict[str, dict[str, Any]] = {"learn": dict(SHIPPED["learn"]), "warm": dict(SHIPPED["warm"])}
     for table, rows in document.items():
-        keys = _KEYS.get(table)
-        if keys is None or not isinstance(rows, dict):
-            bad.append(Finding(place=table, text="unknown" if keys is None else "not a table"))
-            continue
-        for key, val in rows.items():
-            place = f"{table}.{key}"
-            if key not in keys:
-                bad.append(Finding(place=place, text="unknown"))
-                continue
-            span = keys[key]
-            if span is None:
-                if not isinstance(val, bool):
-                    bad.append(Finding(place=place, text="not true or false"))
-            elif isinstance(val, bool) or not isinstance(val, (int, float)) or not span[0] <= val <= span[1]:
-                bad.append(Finding(place=place, text=f"not a number from {span[0]:g} to {span[1]:g}"))
-            out[table][key.replace("-", "_")] = val
-    if bad:
-        raise StartupError(text="; ".join(str(f) for f in bad), findings=bad)
-    return out  # type: ignore[return-value]
+        merged[table].update((key.replace("-", "_"), value) for key, value in rows.items())
+    return merged  # type: ignore[return-value]
+
+
+def _table_findings(*, table: str, rows: object) -> list[Finding]:
+    keys = _KEYS.get(table)
+    if keys is None:
+        return [Finding(place=table, text="unknown")]
+    if not isinstance(rows, dict):
+        return [Finding(place=table, text="not a table")]
+    faults = {
+        key: _value_fault(value=value, bounds=keys[key]) if key in keys else "unknown" for key, value in rows.items()
+    }
+    return [Finding(place=f"{table}.{key}", text=fault) for key, fault in faults.items() if fault]
+
+
+def _value_fault(*, value: object, bounds: tuple[float, float] | None) -> str:
+    """What is wrong with a value; empty: nothing. Without bounds it is to be true or false."""
+    if bounds is None:
+        return "" if isinstance(value, bool) else "not true or false"
+    lowest, highest = bounds
+    if is_number(value) and lowest <= value <= highest:
+        return ""
+    return f"not a number from {lowest:g} to {highest:g}"
 
 
 def load(*, path: Path = PATH) -> Defaults:
-    """Read the file; without one, what ships."""
+    """Read the file; without one, the defaults that ship.
+
+    Raises:
+        SettingsError: The file cannot be read or holds findings.
+    """
     try:
         document = tomllib.loads(path.read_text())
     except FileNotFoundError:
         document = {}
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as err:
-        raise StartupError(text=f"{path.name}: {err}", findings=[Finding(place=path.name, text=str(err))]) from err
+        raise SettingsError(text=f"{path.name}: {err}", findings=[Finding(place=path.name, text=str(err))]) from err
     return check(document=document)
--- a/yarrowloom/common/errors.py
+++ b/yarrowloom/common/errors.py
@@ -1,17 +1,22 @@
-"""Exceptions with codes. A code is stable; the text may change."""
+"""The exceptions of the project: one hierarchy, each class with a stable code. Texts may change."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, kw_only=True)
 class Finding:
-    """One thing wrong, with the place where it stands."""
+    """One thing that is wrong in a checked document.
+
+    Attributes:
+        place: Where it stands, as a path of keys (`route-table[0].name`).
+        text: What was found, or what was expected.
+    """
 
     place: str
     text: str
 
     def __str__(self) -> str:
-        """Return one line.
+        """Place and text in one line.
 
         >>> str(Finding(place="route-table[0].name", text="missing"))
         'route-table[0].name: missing'
@@ -20,7 +25,15 @@
 
 
 class YarrowError(Exception):
-    """Base of all; `code` names the kind, `status` is its HTTP shape, `exit_code` the process's."""
+    """Base of all exceptions that this project raises on purpose.
+
+    Attributes:
+        code: Names the kind of error for programs; it never changes.
+        status: The HTTP status with which a call that raised it is answered.
+        exit_code: The exit code of a process that ends by it.
+        text: What went wrong, for a person.
+        findings: All that is wrong in a checked document, if the error is about one.
+    """
 
     code = "internal"
     status = 500
@@ -32,35 +45,35 @@
         self.findings = findings or []
 
 
-class StartupError(YarrowError):
-    """The settings file cannot be used."""
+class SettingsError(YarrowError):
+    """The settings file, or the project's own defaults, cannot be used."""
 
     code = "startup-invalid"
     exit_code = 78
 
 
-class InvalidError(YarrowError):
-    """A configuration or job is malformed."""
+class InvalidInputError(YarrowError):
+    """A configuration or a job is malformed; nothing of it was taken."""
 
     code = "invalid"
     status = 400
 
 
-class StampError(YarrowError):
-    """A change names a base other than the current stamp."""
+class StaleVersionError(YarrowError):
+    """A configuration change builds on a version other than the current one."""
 
     code = "stale-base"
     status = 412
 
 
-class UnclearError(YarrowError):
-    """Whether an order was taken, or may still be, can't be known here: it is to be sent again, not refused."""
+class UnknownOutcomeError(YarrowError):
+    """Whether a request was taken, or still may be, cannot be known here: the caller is to send it again."""
 
     code = "unclear"
     status = 503
 
 
-class StoreError(YarrowError):
+class StorageError(YarrowError):
     """The disk's content cannot be used."""
 
     code = "store-unusable"
--- a/yarrowloom/common/log.py
+++ b/yarrowloom/common/log.py
@@ -9,30 +9,31 @@
 _LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warn": logging.WARNING, "error": logging.ERROR}
 
 
-def pair(*, key: str, val: object) -> str:
+def pair(*, key: str, value: object) -> str:
     """Render one pair; values with blanks or quotes are quoted.
 
-    >>> pair(key="a", val="x y")
+    >>> pair(key="a", value="x y")
     'a="x y"'
-    >>> pair(key="n", val=3)
+    >>> pair(key="n", value=3)
     'n=3'
     """
-    txt = str(val)
-    if txt == "" or any(ch in txt for ch in ' "=\n'):
-        txt = '"' + txt.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n") + '"'
-    return f"{key}={txt}"
+    text = str(value)
+    if text == "" or any(char in text for char in ' "=\n'):
+        escaped = text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
+        text = f'"{escaped}"'
+    return f"{key}={text}"
 
 
 class PairFormatter(BaseJsonFormatter):
     """python-json-logger's record handling with key=value output in place of JSON."""
 
     def jsonify_log_record(self, log_data: dict[str, Any]) -> str:
-        """Return the line."""
-        return " ".join(pair(key=k, val=v) for k, v in log_data.items() if v is not None)
+        """The line of one event; fields without a value are left out."""
+        return " ".join(pair(key=key, value=value) for key, value in log_data.items() if value is not None)
 
 
 class Log:
-    """A named source of events; fields given at construction stand in each line."""
+    """Logs events under one name. An event is a noun and a verb in kebab-case; its details are fields."""
 
     def __init__(self, *, name: str, level: str = "info") -> None:
         self._log = logging.getLogger(f"yarrowloom.{name}")
@@ -48,15 +49,15 @@
             self._log.addHandler(handler)
 
     def info(self, event: str, **fields: object) -> None:
-        """Something an operator may want to know."""
+        """Log what an operator may want to know."""
         if self._log.isEnabledFor(logging.INFO):
             self._log.info(event, extra=fields)
 
     def warn(self, event: str, **fields: object) -> None:
-        """Something an operator should look at."""
+        """Log what an operator should look at."""
         self._log.warning(event, extra=fields)
 
     def debug(self, event: str, **fields: object) -> None:
-        """Detail for tracing."""
+        """Log a detail for tracing."""
         if self._log.isEnabledFor(logging.DEBUG):
             self._log.debug(event, extra=fields)
--- a/yarrowloom/common/records.py
+++ b/yarrowloom/common/records.py
@@ -16,9 +16,10 @@
     Subclasses repeat `frozen=True, kw_only=True`, as type checkers ask for it.
     """
 
-    def document(self) -> Any:
+    def document(self) -> dict[str, Any]:
         """The record as plain data, with the encoded keys."""
-        return msgspec.to_builtins(self, str_keys=True)
+        document: dict[str, Any] = msgspec.to_builtins(self, str_keys=True)
+        return document
 
     def encoded(self) -> bytes:
         """The record as JSON, with the encoded keys."""
@@ -35,7 +36,7 @@
 RecordType = TypeVar("RecordType")
 
 
-def decode(document: Any, *, into: type[RecordType]) -> RecordType:
+def decode(document: object, *, into: type[RecordType]) -> RecordType:
     """The record that parsed JSON stands for.
 
     Args:
--- a/yarrowloom/common/settings.py
+++ b/yarrowloom/common/settings.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from .errors import Finding, StartupError
+from .errors import Finding, SettingsError
 
 SETTINGS_FILE_VARIABLE = "YARROWLOOM_NODE_FILE"
 DEFAULT_PATH = "/etc/yarrowloom/local.json"
@@ -141,20 +141,20 @@
 )
 
 
-def check(*, document: Any) -> NodeSettings:
+def check(*, document: object) -> NodeSettings:
     """The settings that a parsed file holds.
 
     Raises:
-        StartupError: Something is missing or wrong; it holds every finding.
+        SettingsError: Something is missing or wrong; it holds every finding.
 
     >>> try:
     ...     check(document={"node-name": "a"})
-    ... except StartupError as error:
+    ... except SettingsError as error:
     ...     len(error.findings) > 3
     True
     """
     if not isinstance(document, dict):
-        raise StartupError(text="settings are not an object", findings=[Finding(place="(file)", text="not an object")])
+        raise SettingsError(text="settings are not an object", findings=[Finding(place="(file)", text="not an object")])
     values = {key: document.get(key, default) for key, _, default in _FIELDS}
     findings = [
         *_type_findings(document=document, values=values),
@@ -165,7 +165,7 @@
         *_storage_findings(document),
     ]
     if findings:
-        raise StartupError(text="; ".join(str(finding) for finding in findings), findings=findings)
+        raise SettingsError(text="; ".join(str(finding) for finding in findings), findings=findings)
     return _settings(document=document, values=values)
 
 
@@ -250,7 +250,7 @@
     """Read the file at `path`, else the one that the environment names.
 
     Raises:
-        StartupError: The file cannot be read, is no JSON, or holds findings.
+        SettingsError: The file cannot be read, is no JSON, or holds findings.
     """
     source = path or os.environ.get(SETTINGS_FILE_VARIABLE) or DEFAULT_PATH
     try:
@@ -258,7 +258,7 @@
             document = orjson.loads(file.read())
     except OSError as error:
         finding = Finding(place=source, text=str(error.strerror))
-        raise StartupError(text=f"{source}: {error.strerror}", findings=[finding]) from error
+        raise SettingsError(text=f"{source}: {error.strerror}", findings=[finding]) from error
     except orjson.JSONDecodeError as error:
-        raise StartupError(text=f"{source}: {error}", findings=[Finding(place=source, text=str(error))]) from error
+        raise SettingsError(text=f"{source}: {error}", findings=[Finding(place=source, text=str(error))]) from error
     return check(document=document)
--- a/yarrowloom/jobs/submission.py
+++ b/yarrowloom/jobs/submission.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from ..common.errors import Finding, InvalidError
+from ..common.errors import Finding, InvalidInputError
 from ..common.records import Record
 
 MAX_TASKS = 20_000
@@ -172,17 +172,17 @@
     2
     >>> try:
     ...     parse(body=b'{"stages":[{"task-count":0,"depends-on":[0]}]}')
-    ... except InvalidError as err:
+    ... except InvalidInputError as err:
     ...     [str(f) for f in err.findings][1]
     'stages[0].task-count: not from 1 to 20000'
     """
     try:
         document = orjson.loads(body)
     except orjson.JSONDecodeError as err:
-        raise InvalidError(text="unreadable", findings=[Finding(place="(body)", text=str(err))]) from err
+        raise InvalidInputError(text="unreadable", findings=[Finding(place="(body)", text=str(err))]) from err
     bad: list[Finding] = []
     if not isinstance(document, dict):
-        raise InvalidError(text="not an object", findings=[Finding(place="(body)", text="not an object")])
+        raise InvalidInputError(text="not an object", findings=[Finding(place="(body)", text="not an object")])
     spec = document.get("task-spec", "")
     if not isinstance(spec, str) or "task-spec" not in document:
         bad.append(Finding(place="task-spec", text="missing or not a text"))
@@ -205,7 +205,7 @@
             val = 0
         nums[key] = val
     if bad:
-        raise InvalidError(text="job is malformed", findings=bad)
+        raise InvalidInputError(text="job is malformed", findings=bad)
     return Submission(
         spec=spec,
         steps=steps,
--- a/yarrowloom/node/edge.py
+++ b/yarrowloom/node/edge.py
@@ -6,7 +6,7 @@
 from typing import Any
 from urllib.parse import urlsplit
 
-from ..common.errors import InvalidError
+from ..common.errors import InvalidInputError
 from ..common.log import Log
 from ..common.settings import NodeSettings
 from ..jobs.submission import Submission, group_of, is_job_id, parse
@@ -152,7 +152,7 @@
             return None
         try:
             way.job = parse(body=way.req.body)
-        except InvalidError as err:
+        except InvalidInputError as err:
             return Response.of(400, {"error": err.text, "findings": [str(f) for f in err.findings]})
         return None
 
--- a/yarrowloom/node/runtime.py
+++ b/yarrowloom/node/runtime.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from ..common.errors import StartupError
+from ..common.errors import SettingsError
 from ..common.log import Log
 from ..common.settings import load as load_settings
 from ..storage import Ring
@@ -278,7 +278,7 @@
         """Take up the settings file as it is now; one that can't be used is passed over."""
         try:
             settings = load_settings()
-        except StartupError as error:
+        except SettingsError as error:
             self.log.warn("settings-refused", why=error.text)
             return
         if settings != self.node.settings:
--- a/yarrowloom/node/startup.py
+++ b/yarrowloom/node/startup.py
@@ -7,7 +7,7 @@
 import trio
 
 from ..common.defaults import load as load_defaults
-from ..common.errors import StartupError
+from ..common.errors import SettingsError
 from ..common.log import Log
 from ..common.settings import NodeSettings
 from ..common.settings import load as load_settings
@@ -25,11 +25,11 @@
     """A core process, with the identity and state that its disk holds, or new ones.
 
     Raises:
-        StartupError: The settings name no data directory.
-        StoreError: The disk can't be used.
+        SettingsError: The settings name no data directory.
+        StorageError: The disk can't be used.
     """
     if settings.data_dir is None:
-        raise StartupError(text="a core needs data-dir")
+        raise SettingsError(text="a core needs data-dir")
     size, most = file_sizes(disk_mb=settings.disk_mb)
     ring = Ring(folder=settings.data_dir, size=size, most=most, file_system=file_system)
     records = until_taken(call=ring.load, ring=ring, log=log)
--- a/yarrowloom/storage/ring_journal.py
+++ b/yarrowloom/storage/ring_journal.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from ..common.errors import Finding, StoreError
+from ..common.errors import Finding, StorageError
 from .filesystem import FileSystem, OsFileSystem
 from .record_format import HEADER_BYTES, RECORD_BYTES, Header, Slot, pack_records
 
@@ -92,7 +92,7 @@
             self._judge(slots=slots)
             self._make_files(slots=slots)
         except OSError as err:
-            raise StoreError(text=str(err), findings=[Finding(place=self.folder, text=str(err))]) from err
+            raise StorageError(text=str(err), findings=[Finding(place=self.folder, text=str(err))]) from err
         return self._replay(slots=slots)
 
     def _read(self, *, slot: int) -> Slot:
--- a/yarrowloom/storage/startup_retry.py
+++ b/yarrowloom/storage/startup_retry.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-from ..common.errors import StoreError
+from ..common.errors import StorageError
 from ..common.log import Log
 from .ring_journal import Ring
 
@@ -21,8 +21,8 @@
     while True:
         try:
             return call()
-        except (OSError, StoreError) as err:
-            cause = err.__cause__ if isinstance(err, StoreError) else err
+        except (OSError, StorageError) as err:
+            cause = err.__cause__ if isinstance(err, StorageError) else err
             ring.close()
             if not isinstance(cause, OSError) or cause.errno not in _PASSING:
                 raise
--- a/yarrowloom/testbed/local.py
+++ b/yarrowloom/testbed/local.py
@@ -65,7 +65,7 @@
 def show(*, what: str, **fields: object) -> None:
     """One line of progress."""
     print(
-        " ".join([pair(key="event", val=what), *(pair(key=k.replace("_", "-"), val=v) for k, v in fields.items())]),
+        " ".join([pair(key="event", value=what), *(pair(key=k.replace("_", "-"), value=v) for k, v in fields.items())]),
         file=sys.stderr,
         flush=True,
     )
@@ -96,7 +96,7 @@
 
 def lines(*, out: dict[str, Any]) -> Iterable[str]:
     """One key=value line an item."""
-    return (pair(key=k, val=v) for k, v in out.items())
+    return (pair(key=k, value=v) for k, v in out.items())
 
 
 async def _progress(rows: dict[str, HollowLoad], judge: Judge, fleet: Fleet, cluster: Cluster) -> None:
--- a/yarrowloom/testbed/plan.py
+++ b/yarrowloom/testbed/plan.py
@@ -13,7 +13,7 @@
 NODE_MB, MINION_MB, SELF_MB = 120.0, 0.15, 150.0
 
 
-class PlanError(YarrowError):
+class InvalidPlanError(YarrowError):
     """The file cannot be used."""
 
     code = "experiment-invalid"
@@ -181,7 +181,7 @@
 
     >>> try:
     ...     check(document={"name": "a", "cluster": {"cores": 0, "size": 1}, "faults": [{"what": "flood"}]})
-    ... except PlanError as err:
+    ... except InvalidPlanError as err:
     ...     [f.place for f in err.findings]
     ['duration-s', 'cluster.size', 'cluster.cores', 'faults[0].at-s', 'faults[0].what']
     """
@@ -217,7 +217,7 @@
     if half_mb and need > half_mb:
         bad.append(Finding(place="cluster", text=f"may need {need:.0f} MB; half of this machine has {half_mb:.0f} MB"))
     if bad:
-        raise PlanError(text="the experiment cannot be run", findings=bad)
+        raise InvalidPlanError(text="the experiment cannot be run", findings=bad)
     return Plan(
         name=top["name"],
         about=top["about"],
@@ -250,8 +250,10 @@
         with open(path, "rb") as fh:
             document = tomllib.load(fh)
     except OSError as err:
-        raise PlanError(text=f"{path}: {err.strerror}", findings=[Finding(place=path, text=str(err.strerror))]) from err
+        raise InvalidPlanError(
+            text=f"{path}: {err.strerror}", findings=[Finding(place=path, text=str(err.strerror))]
+        ) from err
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as err:
-        raise PlanError(text=f"{path}: not TOML", findings=[Finding(place=path, text=str(err))]) from err
+        raise InvalidPlanError(text=f"{path}: not TOML", findings=[Finding(place=path, text=str(err))]) from err
     half = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / 2 / (1 << 20)
     return check(document=document, half_mb=half)
--- a/yarrowloom/transport/envelope.py
+++ b/yarrowloom/transport/envelope.py
@@ -144,7 +144,7 @@
     return out
 
 
-class MalformedFrame(ValueError):
+class MalformedFrameError(ValueError):
     """What cannot be read on a connection, which ends there; `frames` came whole before it."""
 
     def __init__(self, text: str, *, frames: list[Frame]) -> None:
@@ -153,7 +153,7 @@
 
 
 class Splitter:
-    """Cuts a byte stream into frames; raises MalformedFrame on anything malformed."""
+    """Cuts a byte stream into frames; raises MalformedFrameError on anything malformed."""
 
     def __init__(self) -> None:
         self._buf = bytearray()
@@ -197,13 +197,13 @@
         while len(self._buf) - pos >= 4:
             (size,) = _LEN.unpack_from(self._buf, pos)
             if size > MAX_FRAME:
-                raise MalformedFrame(f"frame of {size} bytes is too large", frames=out)
+                raise MalformedFrameError(f"frame of {size} bytes is too large", frames=out)
             if len(self._buf) - pos - 4 < size:
                 break
             try:
                 out.append(self._read(bytes(self._buf[pos + 4 : pos + 4 + size])))
             except Exception as err:
-                raise MalformedFrame(f"frame not readable: {err!r}", frames=out) from err
+                raise MalformedFrameError(f"frame not readable: {err!r}", frames=out) from err
             pos += 4 + size
         del self._buf[:pos]
         return out
--- a/yarrowloom/transport/peer_connections.py
+++ b/yarrowloom/transport/peer_connections.py
@@ -17,7 +17,7 @@
 
 from ..common.log import Log
 from . import listener as accept
-from .envelope import LANES, Frame, Kind, Lane, MalformedFrame, Sealer, Splitter, bundle, envelope_fault, unbundle
+from .envelope import LANES, Frame, Kind, Lane, MalformedFrameError, Sealer, Splitter, bundle, envelope_fault, unbundle
 
 _USER_TIMEOUT = 18  # TCP_USER_TIMEOUT, absent from the socket module on some builds
 QUEUE_MOST = 8000  # messages waiting for one peer in one lane; what comes beyond is dropped
@@ -311,7 +311,7 @@
             malformed = None
             try:
                 frames = cut.feed(data)
-            except MalformedFrame as err:
+            except MalformedFrameError as err:
                 frames, malformed = err.frames, str(err)
             for frm in frames:
                 self._deliver(frm, connection=connection)
