--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -5,9 +5,21 @@
 
 import orjson
 
-from yarrowloom.agent import Agent
+from yarrowloom.agent import Agent, AgentTiming
+from yarrowloom.agent.heartbeat import parse_heartbeat
+from yarrowloom.agent.messages import (
+    AttachMinion,
+    LeaseRequest,
+    LeaseReturn,
+    MinionLostAcknowledged,
+    StopTasks,
+    TaskEndsAcknowledged,
+    TaskOrders,
+)
+from yarrowloom.common.records import decode
 from yarrowloom.transport.envelope import Kind
 from yarrowloom.transport.http_server import Response
+from yarrowloom.transport.message import Message
 
 
 class FakeHub:
@@ -22,8 +34,8 @@
         self.shut: set[str] = set()
         self.lost: list[str] = []
 
-    def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
-        self.sent.append((node_id, kind, orjson.loads(orjson.dumps(body))))
+    def send_message(self, *, node_id: str, message: Message) -> None:
+        self.sent.append((node_id, message.KIND, orjson.loads(message.encoded())))
 
     def respond(self, *, call: Any, response: Response) -> None:
         self.answers[call] = response
@@ -62,10 +74,13 @@
 
     def __init__(self, *, cap: tuple[int, int, int] = (4000, 8000, 2)) -> None:
         self.environment = FakeHub()
-        self.agent = Agent(environment=self.environment, hold_ms=4000, stop_ms=400, lag_ms=1400)
+        self.agent = Agent(
+            environment=self.environment,
+            timing=AgentTiming(hold_ms=4000, stop_grace_ms=400, heartbeat_ms=1400, drain_ms=2000),
+        )
         self.cap = cap
         self.seq = 0
-        self.agent.own(minion_id="i", fence=5, info={})
+        self.agent.add_minion(minion_id="i", fence=5, service="", zone="", labels=[])
         self.beat()
         assert orjson.loads(self.environment.answers[1].body)["fence-no"] == 5
         assert "started" not in orjson.loads(self.environment.answers[1].body)
@@ -76,9 +91,7 @@
     def beat(self, *, running: list[Any] | None = None, ends: list[Any] | None = None, state: str = "ready") -> Any:
         self.seq += 1
         cpu, mem, gpu = self.cap
-        self.agent.beat(
-            minion_id="i",
-            call=self.seq,
+        heartbeat = parse_heartbeat(
             document={
                 "backend": "s",
                 "zone": "z",
@@ -88,8 +101,9 @@
                 "capacity": {"cpus": cpu, "mem-mb": mem, "gpus": gpu},
                 "running": running or [],
                 "finished": ends or [],
-            },
+            }
         )
+        self.agent.on_heartbeat(minion_id="i", heartbeat=heartbeat, call=self.seq)
         return self.wait()
 
     def wait(self) -> Any:
@@ -103,12 +117,18 @@
         raise AssertionError("never answered")
 
     def attach(self, *, group_id: int, x: list[Any] | None = None, seq: int = 1, n: int = 1) -> None:
-        self.agent.attach(node_id=f"p{group_id}", b={"g": group_id, "n": n, "seq": seq, "m": "i", "f": 5, "x": x or []})
+        self.take(
+            AttachMinion, {"g": group_id, "n": n, "seq": seq, "m": "i", "f": 5, "x": x or []}, node_id=f"p{group_id}"
+        )
+
+    def take(self, message_type: type[Message], document: dict[str, Any], *, node_id: str = "p") -> None:
+        """A message comes, as it is encoded."""
+        self.agent.on_message(node_id=node_id, message=decode(document, into=message_type))
 
     def ask(self, *, group_id: int, n: int = 1, cpu: int = 1000, gpu: int = 0) -> list[Any]:
-        self.agent.lease(
-            node_id=f"p{group_id}",
-            b={
+        self.take(
+            LeaseRequest,
+            {
                 "g": group_id,
                 "rid": 1,
                 "svc": "s",
@@ -121,7 +141,9 @@
                 "been": ["me"],
                 "apart": 0,
                 "avoid": {},
+                "on": [],
             },
+            node_id=f"p{group_id}",
         )
         rows: list[Any] = self.environment.last(Kind.LEASE_GRANT)["x"]
         return rows
@@ -129,14 +151,15 @@
     def order(
         self, *, lease_id: int, group_id: int = 2, task: str = TASK, run: int = 1, n: int = 1, seq: int = 1
     ) -> None:
-        self.agent.order(
-            node_id=f"p{group_id}",
-            b={
+        self.take(
+            TaskOrders,
+            {
                 "g": group_id,
                 "n": n,
                 "sp": {task.split(".")[0]: "spec"},
                 "x": [["i", seq, lease_id, task, run, "", 500]],
             },
+            node_id=f"p{group_id}",
         )
 
 
@@ -148,7 +171,7 @@
         group_id = rng.randint(1, 2)
         if held and rng.random() < 0.45:
             owner, lease_id, *_ = held.pop(rng.randrange(len(held)))
-            rig.agent.giveback(b={"g": owner, "x": [["i", lease_id]]})
+            rig.take(LeaseReturn, {"g": owner, "x": [["i", lease_id]]})
         else:
             cpu, gpu = rng.choice([500, 1500, 3000]), rng.choice([0, 0, 1])
             held += [
@@ -192,7 +215,7 @@
     ((lease_id, _, _),) = rig.ask(group_id=2)
     rig.order(lease_id=lease_id)
     assert "started" in rig.beat()
-    rig.agent.stop(b={"g": 2, "x": [["i", TASK, 1]]})
+    rig.take(StopTasks, {"g": 2, "x": [["i", TASK, 1]]})
     rig.beat()
     assert rig.environment.last(Kind.ORDERS_REJECTED)["x"] == [["i", 1, TASK, 1]]
     assert rig.agent.minions["i"].runs == {}
@@ -206,7 +229,7 @@
     rig.beat(running=[[TASK, 1, "", 50]])
     assert rig.beat(ends=[[1, TASK, 1, "done", ""]])["last-seen"] == 0
     assert rig.environment.last(Kind.TASK_ENDS)["x"] == [[1, TASK, 1, "done", ""]]
-    rig.agent.endsok(body={"m": "i", "f": 5, "x": [[1, TASK, 1]]})
+    rig.take(TaskEndsAcknowledged, {"g": 2, "m": "i", "f": 5, "x": [[1, TASK, 1]]})
     assert rig.beat()["last-seen"] == 1
 
 
@@ -237,7 +260,7 @@
     assert rig.environment.last(Kind.MINION_LOST)["m"] == "i"
     assert rig.environment.lost == []
     for group_id in (1, 2):
-        rig.agent.lostok(b={"g": group_id, "m": "i", "f": 5})
+        rig.take(MinionLostAcknowledged, {"g": group_id, "m": "i", "f": 5})
     rig.agent.tick()
     assert rig.environment.lost == ["i"]
 
@@ -246,7 +269,7 @@
     """A new agent sees only ends from 40 on: the earlier numbers were forgotten under its predecessor."""
     rig = Rig()
     rig.beat(ends=[[40, TASK, 1, "done", ""], [41, TASK, 2, "done", ""]])
-    rig.agent.endsok(body={"m": "i", "f": 5, "x": [[41, TASK, 2]]})
+    rig.take(TaskEndsAcknowledged, {"g": 2, "m": "i", "f": 5, "x": [[41, TASK, 2]]})
     assert rig.beat(ends=[[40, TASK, 1, "done", ""], [41, TASK, 2, "done", ""]])["last-seen"] == 0
-    rig.agent.endsok(body={"m": "i", "f": 5, "x": [[40, TASK, 1]]})
+    rig.take(TaskEndsAcknowledged, {"g": 2, "m": "i", "f": 5, "x": [[40, TASK, 1]]})
     assert rig.beat(ends=[[40, TASK, 1, "done", ""], [41, TASK, 2, "done", ""]])["last-seen"] == 41
--- a/tests/agent/test_draining_minions.py
+++ b/tests/agent/test_draining_minions.py
@@ -3,11 +3,11 @@
 from typing import Any
 
 from tests.agent.test_agent import TASK, Rig
-from yarrowloom.agent.failure_detector import CLOCK, SLACK_S
+from yarrowloom.agent.failure_detector import SLACK_S, SLOW_CLOCK_FACTOR
 from yarrowloom.agent.minion import Phase
 from yarrowloom.transport.envelope import Kind
 
-HOLD_S = 4.0 * CLOCK + SLACK_S
+HOLD_S = 4.0 * SLOW_CLOCK_FACTOR + SLACK_S
 
 
 def running(rig: Rig) -> list[Any]:
@@ -25,7 +25,7 @@
     rig = Rig()
     rows = running(rig)
     for n in range(2):  # sent again after a lost answer
-        rig.agent.leave(minion_id="i", call=f"delete-{n}")
+        rig.agent.on_leaving(minion_id="i", call=f"delete-{n}")
     minion = rig.agent.minions["i"]
     for percent in range(20, 90, 10):
         rig.environment.now += 0.5
@@ -47,7 +47,7 @@
     rig = Rig()
     rows = running(rig)
     rig.beat(running=rows, state="draining")
-    rig.agent.leave(minion_id="i", call="delete")
+    rig.agent.on_leaving(minion_id="i", call="delete")
     left = rig.environment.now
     while rig.agent.minions["i"].phase is not Phase.LOST:
         rig.environment.now += 0.05
@@ -57,11 +57,11 @@
 
 def test_a_late_beat_after_the_delete_makes_the_minion_no_candidate_again() -> None:
     rig = Rig()
-    rig.agent.leave(minion_id="i", call="delete")
+    rig.agent.on_leaving(minion_id="i", call="delete")
     rig.beat()
-    assert rig.agent.minions["i"].draining
+    assert rig.agent.minions["i"].is_draining
     assert rig.ask(group_id=2) == []
     rig.seq -= 1  # an earlier call that comes late
     rig.beat()
-    assert rig.agent.minions["i"].draining
+    assert rig.agent.minions["i"].is_draining
     assert rig.ask(group_id=2) == []
--- a/tests/mutants/test_agent_mutants.py
+++ b/tests/mutants/test_agent_mutants.py
@@ -7,11 +7,11 @@
 
 from tests.support.mutant_proof import proof, settle, stream
 from tests.support.simulated_work import Day, task
-from yarrowloom.agent import agent as agent_mod
-from yarrowloom.agent import failure_detector as care_mod
-from yarrowloom.agent import heartbeat_response as answer_mod
-from yarrowloom.agent.agent import Agent
+from yarrowloom.agent import failure_detector
+from yarrowloom.agent.heartbeat import MinionHeartbeat
+from yarrowloom.agent.messages import StoppedRun
 from yarrowloom.agent.minion import Minion
+from yarrowloom.agent.task_runs import TaskRuns
 from yarrowloom.node.core import CoreNode
 
 # -- LIMIT
@@ -19,7 +19,7 @@
 
 def test_limit_leases_count_against_room() -> None:
     def out(p: pytest.MonkeyPatch) -> None:
-        p.setattr(Minion, "free", lambda self: self.cap)
+        p.setattr(Minion, "free", lambda self: self.capacity)
 
     proof(rule="LIMIT", story=lambda: stream(day=Day(seed=4001, minions=4, work=1.0)), out=out)
 
@@ -37,18 +37,16 @@
         return day
 
     def out(p: pytest.MonkeyPatch) -> None:
-        real = Agent.stop
+        real = TaskRuns.request_stop
 
-        def stop(self: Agent, *, b: dict[str, Any]) -> None:
-            real(self, b=b)
-            for minion_id, one, run in b["x"]:
-                m = self.minions.get(minion_id)
-                r = m.runs.get(one) if m is not None else None
-                if m is not None and r is not None and r.run == run:
-                    m.reclaim(lease_id=r.lease_id)
-                    self.share.stale.add(minion_id)  # the placing node is told of the room too
+        def request_stop(self: TaskRuns, stopped: StoppedRun) -> Minion | None:
+            minion = real(self, stopped)
+            run = minion.runs.get(stopped.task) if minion is not None else None
+            if minion is not None and run is not None and run.run == stopped.run:
+                self._leases.remove(minion, lease_id=run.lease_id)  # the scheduler is told of the capacity too
+            return minion
 
-        p.setattr(Agent, "stop", stop)
+        p.setattr(TaskRuns, "request_stop", request_stop)
 
     proof(rule="LIMIT", story=story, out=out)
 
@@ -68,7 +66,7 @@
         return day
 
     def out(p: pytest.MonkeyPatch) -> None:
-        p.setattr(care_mod, "CLOCK", 0.3)
+        p.setattr(failure_detector, "SLOW_CLOCK_FACTOR", 0.3)
 
     proof(rule="TWICE", story=story, out=out)
 
@@ -82,10 +80,10 @@
 
     def out(p: pytest.MonkeyPatch) -> None:
         def note(self: Minion) -> None:
-            self.seen = max([self.seen, *self.ends])
+            self.last_acknowledged_end = max([self.last_acknowledged_end, *self.ends])
             self.ends.clear()
 
-        p.setattr(Minion, "note", note)
+        p.setattr(Minion, "skip_acknowledged_ends", note)
 
     proof(rule="TWICE", story=story, out=out)
 
@@ -133,7 +131,7 @@
         return day
 
     def out(p: pytest.MonkeyPatch) -> None:
-        p.setattr(Minion, "ended", lambda self, task, run: False)
+        p.setattr(Minion, "has_listed_end", lambda self, task, run: False)
 
     proof(rule="TWICE", story=story, out=out)
 
@@ -154,7 +152,7 @@
 
 def test_unasked_what_is_cancelled_is_stopped() -> None:
     def out(p: pytest.MonkeyPatch) -> None:
-        p.setattr(Agent, "stop", lambda self, b: None)
+        p.setattr(TaskRuns, "request_stop", lambda self, stopped: None)
 
     proof(rule="UNASKED", story=lambda: cancelled(seed=4008), out=out)
 
@@ -170,13 +168,13 @@
         return stream(day=day)
 
     def out(p: pytest.MonkeyPatch) -> None:
-        real = Minion.take
+        real = Minion.record_heartbeat
 
-        def take(self: Minion, *, document: dict[str, Any], now: float) -> None:
-            real(self, document=document, now=now)
-            self.draining = False
+        def record_heartbeat(self: Minion, *, heartbeat: MinionHeartbeat, now: float) -> None:
+            real(self, heartbeat=heartbeat, now=now)
+            self.is_draining = False
 
-        p.setattr(Minion, "take", take)
+        p.setattr(Minion, "record_heartbeat", record_heartbeat)
 
     proof(rule="DRAIN", story=story, out=out)
 
@@ -209,8 +207,12 @@
         return day
 
     def out(p: pytest.MonkeyPatch) -> None:
-        real = answer_mod.settle
-        p.setattr(agent_mod, "settle", lambda agent, m, beat: real(agent=agent, m=m, beat=False))
+        real = TaskRuns.reconcile
+
+        def reconcile(self: TaskRuns, minion: Minion, *, after_heartbeat: bool) -> None:
+            real(self, minion, after_heartbeat=False)
+
+        p.setattr(TaskRuns, "reconcile", reconcile)
 
     proof(rule="GANG", story=story, out=out)
 
--- a/tests/mutants/test_scheduling_mutants.py
+++ b/tests/mutants/test_scheduling_mutants.py
@@ -2,15 +2,16 @@
 
 from typing import Any
 
+import msgspec
 import pytest
 
 from tests.support.mutant_proof import proof, settle, stream
 from tests.support.simulated_work import Day, task
-from yarrowloom.agent import agent as agent_mod
-from yarrowloom.agent import lease_selection as choice
-from yarrowloom.agent.agent import Agent
+from yarrowloom.agent import lease_selection, leases
+from yarrowloom.agent.messages import LeaseRequest
 from yarrowloom.agent.minion import Minion
-from yarrowloom.scheduling import binding as binding_mod
+from yarrowloom.agent.minion_table import MinionTable
+from yarrowloom.jobs.model import Job
 from yarrowloom.scheduling import scheduling_cycle as cycle
 from yarrowloom.scheduling.binding import Binding
 from yarrowloom.scheduling.capacity import Room
@@ -25,18 +26,18 @@
 
 def blind(*, patch: pytest.MonkeyPatch, **more: Any) -> None:
     """The agent's own look at what the cycle chose passes over some of the metadata."""
-    real = choice.named
+    real = lease_selection.select_minions
 
-    def named(*, agent: Agent, b: dict[str, Any]) -> list[Minion]:
-        return real(agent=agent, b={**b, **more})
+    def select_minions(*, table: MinionTable, request: LeaseRequest) -> list[Minion]:
+        return real(table=table, request=msgspec.structs.replace(request, **more))
 
-    patch.setattr(agent_mod, "named", named)
+    patch.setattr(leases, "select_minions", select_minions)
 
 
 def test_route_a_task_goes_only_where_its_label_is() -> None:
     def out(p: pytest.MonkeyPatch) -> None:
         p.setattr(cycle, "FILTERS", without(name="label"))
-        blind(patch=p, req="")
+        blind(patch=p, required_label="")
 
     proof(rule="ROUTE", story=lambda: stream(day=Day(seed=4101, minions=9), requires="r1"), out=out)
 
@@ -45,7 +46,7 @@
     def out(p: pytest.MonkeyPatch) -> None:
         p.setattr(cycle, "FILTERS", without(name="spread"))
         p.setattr(cycle, "_spread", lambda snap, ask, spot: True)
-        blind(patch=p, apart=0)
+        blind(patch=p, max_per_minion=0)
 
     proof(rule="ROUTE", story=lambda: stream(day=Day(seed=4102, minions=9), anti_affinity=1), out=out)
 
@@ -119,7 +120,14 @@
         return day
 
     def out(p: pytest.MonkeyPatch) -> None:
-        p.setattr(binding_mod, "ENDED", frozenset())
+        real_orders = Binding.orders
+
+        def orders(self: Binding, rows: list[Any]) -> None:
+            with pytest.MonkeyPatch.context() as while_ordering:
+                while_ordering.setattr(Job, "has_ended", False)
+                real_orders(self, rows)
+
+        p.setattr(Binding, "orders", orders)
         real = Binding.stops
 
         def stops(self: Binding, rows: list[Any]) -> None:
--- a/tests/node/test_call_repeats.py
+++ b/tests/node/test_call_repeats.py
@@ -43,7 +43,7 @@
     gone = node.node_id.split("#")[0] + "#before"
     m = {"rid": 5, "to": gone, "g": -1, "op": op, "b": {"m": "i-0", "d": {}}}
     assert answers(sim, node, m=m) == [(503, {})]
-    assert not node.agent.minions["i-0"].draining
+    assert not node.agent.minions["i-0"].is_draining
 
 
 def test_a_node_that_does_not_hold_a_minion_does_not_say_that_it_has_left() -> None:
@@ -61,7 +61,7 @@
     for ip in sim.core_ips:
         status, _ = sim.ask(ip=ip, method="DELETE", path="/minions/i-0")
         assert status == 200
-        assert owner.agent.minions["i-0"].draining
+        assert owner.agent.minions["i-0"].is_draining
 
 
 def test_only_nodes_that_were_asked_answer_a_minion_that_leaves() -> None:
@@ -131,14 +131,14 @@
         "backend": "svc",
         "zone": "z0",
         "state": "draining",
-        "call-seq": minion.seq,
+        "call-seq": minion.last_call_number,
         "running": [["x.0.0.0", 9]],
         "capacity": {"cpus": 1, "mem-mb": 1, "gpus": 0},
     }
-    before = (minion.seq, dict(minion.running), minion.cap, minion.draining)
+    before = (minion.last_call_number, dict(minion.listed_runs), minion.capacity, minion.is_draining)
     m = {"rid": 15, "to": node.node_id, "g": -1, "op": "beat", "b": {"m": "i-0", "d": document}}
     got = answers(sim, node, m=m, wait=0.0)
-    assert (minion.seq, dict(minion.running), minion.cap, minion.draining) == before
+    assert (minion.last_call_number, dict(minion.listed_runs), minion.capacity, minion.is_draining) == before
     assert got == [(200, {"fence-no": minion.fence})]
 
 
--- a/tests/node/test_controller.py
+++ b/tests/node/test_controller.py
@@ -6,7 +6,7 @@
 import pytest
 
 import yarrowloom.node.controller as chief
-from yarrowloom.agent.minion import Phase, Run
+from yarrowloom.agent.minion import Phase, TaskRun
 from yarrowloom.cluster_state.minion_ownership import MinionMove, MinionOwnership, OwnerSelector, ownership_digest
 from yarrowloom.cluster_state.registry import Registry
 from yarrowloom.cluster_state.registry_events import MinionsAssigned, RegistryEvent
@@ -175,11 +175,11 @@
     node.now = sim.now
     minion_ids = sorted(node.agent.minions)[:5]
     leaving, silent, ordered, lost, well = (node.agent.minions[m] for m in minion_ids)
-    leaving.draining = True
-    silent.heard = sim.now - 9.0
-    ordered.runs["t"] = Run(task="t", run=1, group_id=1, lease_id=1)
+    leaving.is_draining = True
+    silent.last_heartbeat_at = sim.now - 9.0
+    ordered.runs["t"] = TaskRun(task="t", run=1, group_id=1, lease_id=1)
     lost.phase = Phase.LOST
-    well.runs["t"] = Run(task="t", run=1, group_id=1, lease_id=1, sent=True)
+    well.runs["t"] = TaskRun(task="t", run=1, group_id=1, lease_id=1, is_sent=True)
     node.let_go(minion_ids=[*minion_ids, "i-none"])
     assert [m in node.agent.minions for m in minion_ids] == [True, True, True, True, False]
 
--- a/tests/project/test_import_direction.py
+++ b/tests/project/test_import_direction.py
@@ -24,7 +24,6 @@
     ("cli",),
 )
 LAYER = {package: number for number, layer in enumerate(LAYERS) for package in layer}
-AGENT_CIRCLE = ("agent", "capacity_reports", "failure_detector", "heartbeat_response", "lease_selection")
 NODE_CIRCLE = ("controller", "core_environment", "http_routes")
 LEFT: dict[tuple[str, str], str] = {
     ("yarrowloom.jobs.state_machine", "yarrowloom.prediction"): (
@@ -32,7 +31,6 @@
     ),
 }
 LEFT_CIRCLES: dict[frozenset[str], str] = {
-    frozenset(f"yarrowloom.agent.{name}" for name in AGENT_CIRCLE): "the agent's parts call back into the agent",
     frozenset(f"yarrowloom.node.{name}" for name in NODE_CIRCLE): "the node's parts name the node's class",
     frozenset({"yarrowloom.replication.election", "yarrowloom.replication.replica"}): "an election names its replica",
 }
--- a/tests/scheduling/test_binding.py
+++ b/tests/scheduling/test_binding.py
@@ -5,6 +5,7 @@
 
 import pytest
 
+from yarrowloom.common.resources import NO_RESOURCES
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.machines.process import Proc
 from yarrowloom.simulator.minions import Oracle, SimCaller, cluster
@@ -124,11 +125,11 @@
     placer = core.placers[1]
     victim = fleet[0].minion_id
     agent = next(sim.core(ip).agent for ip in sim.core_ips if victim in sim.core(ip).agent.minions)
-    take = agent.minions[victim].cap
-    agent.minions[victim].cap = (0, 0, 0)  # known to the agent alone until its next word
+    take = agent.minions[victim].capacity
+    agent.minions[victim].capacity = NO_RESOURCES  # known to the agent alone until its next word
     job_id = caller.submit(stages=[{**TASK, "task-count": 3, "cpus": 4000, "gang": True}])
     sim.run(seconds=0.02)
-    agent.minions[victim].cap = take
+    agent.minions[victim].capacity = take
     assert not any(m.running for m in fleet)
     assert sim.until(cond=lambda: caller.state(job_id=job_id)[1] == "complete", limit=20.0)
     assert oracle.broken == []
--- a/tests/scheduling/test_binding_model.py
+++ b/tests/scheduling/test_binding_model.py
@@ -11,7 +11,9 @@
 from tests.support.binding_explorer import Found, Search, attached, choices, do, replay
 from tests.support.binding_model import ONE, TWO, Choice, Rep
 from yarrowloom.agent.agent import Agent
+from yarrowloom.agent.messages import AttachMinion
 from yarrowloom.agent.minion import Minion
+from yarrowloom.agent.task_runs import TaskRuns
 from yarrowloom.scheduling.lease_cache import Pool
 from yarrowloom.scheduling.scheduler import Placer
 
@@ -57,15 +59,15 @@
 
 
 def room_is_granted_twice(p: pytest.MonkeyPatch) -> None:
-    p.setattr(Minion, "free", lambda self: self.cap)
+    p.setattr(Minion, "free", lambda self: self.capacity)
 
 
 def an_end_is_noted_before_its_group_has_it(p: pytest.MonkeyPatch) -> None:
     def note(self: Minion) -> None:
-        self.seen = max([self.seen, *self.ends])
+        self.last_acknowledged_end = max([self.last_acknowledged_end, *self.ends])
         self.ends.clear()
 
-    p.setattr(Minion, "note", note)
+    p.setattr(Minion, "skip_acknowledged_ends", note)
 
 
 def an_order_leaves_before_its_start_is_durable(p: pytest.MonkeyPatch) -> None:
@@ -91,7 +93,7 @@
 
 
 def an_agent_takes_no_note_of_a_gap(p: pytest.MonkeyPatch) -> None:
-    p.setattr(Agent, "gap", lambda self, node_id: None)
+    p.setattr(Agent, "on_lost_messages", lambda self, node_id: None)
 
 
 def what_never_started_stays_in_the_record(p: pytest.MonkeyPatch) -> None:
@@ -99,14 +101,14 @@
 
 
 def a_sent_order_is_called_never_started(p: pytest.MonkeyPatch) -> None:
-    real = Agent.attach
+    real = TaskRuns.attach
 
-    def attach(self: Agent, *, node_id: str, b: dict[str, Any]) -> None:
-        for r in self.minions[b["m"]].runs.values():
-            r.sent = False
-        real(self, node_id=node_id, b=b)
+    def attach(self: TaskRuns, *, node_id: str, message: AttachMinion) -> Minion | None:
+        for run in self._table.minions[message.minion_id].runs.values():
+            run.is_sent = False
+        return real(self, node_id=node_id, message=message)
 
-    p.setattr(Agent, "attach", attach)
+    p.setattr(TaskRuns, "attach", attach)
 
 
 def idle_leases_are_kept_for_ever(p: pytest.MonkeyPatch) -> None:
@@ -150,14 +152,14 @@
     calm = after_death()
     assert calm.broken == []
     assert calm.states > 60
-    real = Agent.attach
+    real = TaskRuns.attach
 
-    def attach(self: Agent, *, node_id: str, b: dict[str, Any]) -> None:
-        for r in self.minions[b["m"]].runs.values():
-            r.sent = r.live = False
-        real(self, node_id=node_id, b=b)
+    def attach(self: TaskRuns, *, node_id: str, message: AttachMinion) -> Minion | None:
+        for run in self._table.minions[message.minion_id].runs.values():
+            run.is_sent = run.is_running = False
+        return real(self, node_id=node_id, message=message)
 
-    monkeypatch.setattr(Agent, "attach", attach)
+    monkeypatch.setattr(TaskRuns, "attach", attach)
     found = after_death()
     print(calm.states, found.broken)
     assert any(why.startswith("Broken TWICE") for why, _ in found.broken)
--- a/tests/scheduling/test_lease_identity.py
+++ b/tests/scheduling/test_lease_identity.py
@@ -54,7 +54,7 @@
         first = placer.replica.state_epoch << 32
         assert first < placer.request_id < first + 1000
         asks.append(placer.request_id >> 32)
-        leases.append((sim.core(ip).node_id, sim.core(ip).agent.next >> 32))
+        leases.append((sim.core(ip).node_id, sim.core(ip).agent.next_lease_id >> 32))
         sim.kill(ip=ip)
         sim.run(seconds=0.3)
         sim.boot(ip=ip)
--- a/tests/support/binding_explorer.py
+++ b/tests/support/binding_explorer.py
@@ -124,10 +124,8 @@
     """The invariants of every state."""
     for a in w.agents.values():
         for m in a.minions.values():
-            have = [
-                sum(part) for part in zip((0, 0, 0), *((x.cpu, x.mem, x.gpu) for x in m.leases.values()), strict=True)
-            ]
-            need(have == m.used, "LIMIT", m.minion_id, "used", m.used, "leases", have)
+            have = [sum(part) for part in zip((0, 0, 0), *(x.size for x in m.leases.values()), strict=True)]
+            need(have == list(m.leased), "LIMIT", m.minion_id, "used", m.leased, "leases", have)
             need(all(h <= c for h, c in zip(have, CAP, strict=True)), "LIMIT", m.minion_id, "leases", have)
             lids = [r.lease_id for r in m.runs.values() if r.lease_id]
             need(len(set(lids)) == len(lids), "LEASE", m.minion_id, "serves two runs at a time", lids)
@@ -153,7 +151,7 @@
         ]
     for a in w.agents.values():
         out += [f"lease {lease_id} on {m.minion_id}" for m in a.minions.values() for lease_id in m.leases]
-        out += [f"run {t} on {m.minion_id}" for m in a.minions.values() for t in (*m.runs, *m.strays)]
+        out += [f"run {t} on {m.minion_id}" for m in a.minions.values() for t in (*m.runs, *m.unknown_runs)]
     out += [
         f"{what} to {dst}"
         for (_, dst), rows in w.lines.items()
--- a/tests/support/binding_model.py
+++ b/tests/support/binding_model.py
@@ -6,8 +6,11 @@
 
 import orjson
 
-from yarrowloom.agent import Agent, AgentEnvironment
+from yarrowloom.agent import Agent, AgentEnvironment, AgentTiming
+from yarrowloom.agent.heartbeat import parse_heartbeat
+from yarrowloom.agent.messages import AGENT_MESSAGES
 from yarrowloom.common.defaults import SHIPPED
+from yarrowloom.common.records import decode
 from yarrowloom.jobs.model import TaskState
 from yarrowloom.jobs.state_machine import Jobs, task_name
 from yarrowloom.jobs.submission import parse
@@ -15,9 +18,10 @@
 from yarrowloom.scheduling.scheduler import Placer
 from yarrowloom.transport.envelope import Kind
 from yarrowloom.transport.http_server import Response
+from yarrowloom.transport.message import Message
 
 DT = 0.4  # one tick; every timer of the protocol is a few of them
-HOLD_MS, STOP_MS, LAG_MS = 4000, 400, 1400
+HOLD_MS, STOP_MS, LAG_MS, DRAIN_MS = 4000, 400, 1400, 2000
 ANSWER_S = 1.0  # a later answer is dropped
 CAP = (4000, 8000, 0)
 ONE, TWO = "0000000000000000", "0000000100000000"  # a job of group 1, one of group 2
@@ -97,6 +101,9 @@
     def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
         self.w.send(src=self.node_id, dst=node_id, kind=kind, body=body)
 
+    def send_message(self, *, node_id: str, message: Message) -> None:
+        self.send(node_id=node_id, kind=message.KIND, body=orjson.loads(message.encoded()))
+
     def respond(self, *, call: Any, response: Response) -> None:
         document = orjson.loads(response.body) if response.body else {}
         self.w.push(
@@ -161,9 +168,7 @@
         self.seq += 1
         self.sent = self.w.now
         cpu, mem, gpu = CAP
-        self.w.agents[self.agent].beat(
-            minion_id=self.minion_id,
-            call=(self.minion_id, self.seq),
+        heartbeat = parse_heartbeat(
             document={
                 "backend": "s",
                 "zone": "z",
@@ -173,7 +178,10 @@
                 "capacity": {"cpus": cpu, "mem-mb": mem, "gpus": gpu},
                 "running": [[t, row[0], "", 50] for t, row in self.running.items()],
                 "finished": [[n, *end] for n, end in sorted(self.ends.items())],
-            },
+            }
+        )
+        self.w.agents[self.agent].on_heartbeat(
+            minion_id=self.minion_id, heartbeat=heartbeat, call=(self.minion_id, self.seq)
         )
 
     def answer(self, *, b: dict[str, Any]) -> None:
@@ -240,9 +248,10 @@
                 w=self, node_id=m.agent, prims={group_id: (self.node_id(group_id=group_id), 1) for group_id in (1, 2)}
             )
             self.agents[m.agent] = Agent(
-                environment=cast(AgentEnvironment, environment), hold_ms=HOLD_MS, stop_ms=STOP_MS, lag_ms=LAG_MS
+                environment=cast(AgentEnvironment, environment),
+                timing=AgentTiming(hold_ms=HOLD_MS, stop_grace_ms=STOP_MS, heartbeat_ms=LAG_MS, drain_ms=DRAIN_MS),
             )
-            self.agents[m.agent].own(minion_id=m.minion_id, fence=5, info={})
+            self.agents[m.agent].add_minion(minion_id=m.minion_id, fence=5, service="", zone="", labels=[])
 
     # -- placing nodes
 
@@ -354,7 +363,7 @@
 
     def gap(self, *, src: str, dst: str) -> None:
         if dst in self.agents:
-            self.agents[dst].gap(node_id=src)
+            self.agents[dst].on_lost_messages(node_id=src)
         for p in self.placers.values():
             if p.environment.node_id == dst:
                 p.gap(node_id=src)
@@ -377,26 +386,19 @@
     def agent(self, *, a: Agent, src: str, kind: Kind, b: dict[str, Any]) -> None:
         if kind is Kind.TASK_ORDERS:
             was = {(m.minion_id, r.task, r.run) for m in a.minions.values() for r in m.runs.values()}
-            a.order(node_id=src, b=b)
+            self.to_agent(a=a, src=src, kind=kind, b=b)
             for minion_id, _, lease_id, task, run, _, _ in b["x"]:
                 r = a.minions[minion_id].runs.get(task)
                 if r is not None and r.run == run and (minion_id, task, run) not in was:
                     self.holds(node_id=src, agent=a.environment.node_id, lease_id=lease_id)
                     need(src == a.environment.primary(group_id=b["g"])[0], "LEASE", src, "is no primary")  # type: ignore[index]
-        elif kind is Kind.ATTACH_MINION:
-            a.attach(node_id=src, b=b)
-        elif kind is Kind.LEASE_REQUEST:
-            a.lease(node_id=src, b=b)
-        elif kind is Kind.LEASE_RETURN:
-            a.giveback(b=b)
-        elif kind is Kind.STOP_TASKS:
-            a.stop(b=b)
-        elif kind is Kind.CAPACITY_REPORT_REQUEST:
-            a.share.roomget(node_id=src, group_id=b["g"])
-        elif kind is Kind.TASK_ENDS_ACK:
-            a.endsok(body=b)
         else:
-            need(False, "KIND", kind.name)
+            need(kind in AGENT_MESSAGES, "KIND", kind.name)
+            self.to_agent(a=a, src=src, kind=kind, b=b)
+
+    @staticmethod
+    def to_agent(*, a: Agent, src: str, kind: Kind, b: dict[str, Any]) -> None:
+        a.on_message(node_id=src, message=decode(b, into=AGENT_MESSAGES[kind]))
 
     def placer(self, *, p: Placer, src: str, kind: Kind, b: dict[str, Any]) -> None:
         if kind is Kind.CLAIM_MINIONS:
--- a/yarrowloom/agent/environment.py
+++ b/yarrowloom/agent/environment.py
@@ -1,40 +1,50 @@
 """What an agent asks of the node that it is a part of."""
 
-from typing import Any, Protocol
+from typing import Protocol
 
-from ..transport.envelope import Kind
 from ..transport.http_server import Response
+from ..transport.message import Message
 
 
 class AgentEnvironment(Protocol):
-    """What an agent needs of its node."""
+    """The node, as its agent sees it.
 
-    now: float
-    node_id: str
+    Attributes:
+        now: Monotonic clock in seconds; rises.
+        node_id: The node's own identity.
+    """
 
-    def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
-        """To another node, or to itself."""
+    @property
+    def now(self) -> float:
+        """Monotonic clock in seconds; rises."""
 
-    def respond(self, *, call: Any, response: Response) -> None:
-        """Answer a beat."""
+    @property
+    def node_id(self) -> str:
+        """The node's own identity."""
+
+    def send_message(self, *, node_id: str, message: Message) -> None:
+        """Send a message to another node, or to itself."""
+
+    def respond(self, *, call: object, response: Response) -> None:
+        """Respond to a heartbeat, or to a minion that says that it ends."""
 
     def trusted(self) -> bool:
-        """Group 0's primary still counts this agent in."""
+        """Whether group 0's primary still counts this agent in, so that it may act for its minions."""
 
     def primary(self, *, group_id: int) -> tuple[str, int] | None:
-        """Uid of a group's primary and its epoch's number."""
+        """The node that serves a group, with the number of its epoch; None: not known."""
 
     def evacuated(self, *, zone: str) -> bool:
-        """Nothing may start there."""
+        """Whether nothing may start in a zone."""
 
     def groups(self) -> range:
-        """Job groups."""
+        """All job groups."""
 
     def cores(self) -> list[str]:
-        """All core nodes."""
+        """All core nodes, this one included."""
 
     def note(self, *, event: str, **fields: object) -> None:
-        """Log."""
+        """Log an event."""
 
     def gone(self, *, minion_id: str, fence: int) -> None:
-        """Tell group 0 that a minion is no more."""
+        """Tell group 0 that a minion is no more; the node then removes it from the agent."""
--- a/yarrowloom/agent/failure_detector.py
+++ b/yarrowloom/agent/failure_detector.py
@@ -1,111 +1,75 @@
-"""What an agent does as time goes on: looks after its minions, claims them of groups, calls the silent ones lost."""
+"""Declares minions lost that were silent for longer than they may hold on to their runs."""
 
-from typing import TYPE_CHECKING, Any
-
-from ..transport.envelope import Kind
-from .heartbeat_response import answer
+from .attachment_claims import MOST_UNANSWERED, pause_s
+from .messages import MinionLostAcknowledged, MinionLostReport
 from .minion import Minion, Phase
+from .minion_table import MinionTable
 
-if TYPE_CHECKING:
-    from .agent import Agent
-
-CLOCK = 1.02  # a minion's clock may be this much slow
+SLOW_CLOCK_FACTOR = 1.02  # a minion's clock may be this much slow
 SLACK_S = 0.3
-CLAIM_S = 0.3
-THAW_S = 0.5
-SCAN_S = 0.2  # how often every minion is looked at; what is due sooner is looked at each tick
+STALL_S = 0.5  # a process that stood still for longer has not heard what minions sent meanwhile
 
 
-def care(*, agent: "Agent") -> None:
-    """Called several times a second."""
-    now, environment = agent.environment.now, agent.environment
-    gap, agent.ticked = now - agent.ticked, now
-    if gap > THAW_S or not agent.trust:  # beats may lie unread, or were turned away: no silence of theirs
-        for m in agent.minions.values():
-            m.heard = max(m.heard, min(now, m.heard + gap))
-    agent.trust = environment.trusted()
-    if not agent.trust:
-        return
-    claims: dict[int, list[Any]] = {}
-    primaries = {
-        group_id: primary
-        for group_id in agent.groups
-        if (primary := environment.primary(group_id=group_id)) is not None
-    }
-    whole = now - agent.scanned > SCAN_S
-    if whole:
-        agent.scanned = now
-        look, agent.watch = list(agent.minions.values()), set()
-        agent.share.refresh()
-    else:
-        look = [agent.minions[minion_id] for minion_id in sorted(agent.watch) if minion_id in agent.minions]
-    for m in look:
-        if not whole and m.phase is Phase.KNOWN and len(m.att) == len(agent.groups):
-            if m.ends:
-                agent.tell(m=m)
-            if m.call is not None and now >= m.call.horizon:
-                answer(agent=agent, m=m)
-            if not m.ends and m.call is None:
-                agent.watch.discard(m.minion_id)
-            continue
-        if m.phase is not Phase.LOST and (
-            now - m.heard > agent.hold_ms / 1000 * CLOCK + SLACK_S or (m.losing and now > m.losing)
-        ):
-            m.move(Phase.LOST)
-            m.asked = 0
-            agent.share.stale.add(m.minion_id)
-            environment.note(event="minion-lost", minion=m.minion_id, runs=len(m.runs), left=bool(m.losing))
-        if m.phase is Phase.LOST:
-            _lose(agent=agent, m=m)
-        elif m.phase is Phase.KNOWN:
-            _keep(agent=agent, m=m, claims=claims, primaries=primaries)
-    for group_id, rows in claims.items():
-        environment.send(node_id=primaries[group_id][0], kind=Kind.CLAIM_MINIONS, body={"g": group_id, "x": rows})
-    agent.share.tell()
+class FailureDetector:
+    """Watches for silence, and reports lost minions to all groups until each has acknowledged it.
 
+    Invariant: a minion counts as lost only once its own hold on its runs is over, by a clock as slow as allowed.
+    """
 
-def _keep(*, agent: "Agent", m: Minion, claims: dict[int, list[Any]], primaries: dict[int, tuple[str, int]]) -> None:
-    """Look after a minion that answers. `primaries`: uid and epoch of each group's primary, as far as known."""
-    now = agent.environment.now
-    for group_id, (_, epoch) in primaries.items():
-        if group_id in m.att and m.att[group_id][0] < epoch:
-            del m.att[group_id]
-        if group_id not in m.att and now - m.claimed.get(group_id, -9.0) > CLAIM_S * (1 + m.asked):
-            m.claimed[group_id] = now
-            m.asked = min(m.asked + 1, 4)
-            claims.setdefault(group_id, []).append([m.minion_id, m.fence, m.service, m.zone, m.labels, list(m.cap)])
-    for lease_id, les in list(m.leases.items()):
-        if les.until and not les.task and now > les.until:
-            m.reclaim(lease_id=lease_id)
-            agent.share.stale.add(m.minion_id)
-    if (m.minion_id in agent.share.shown) != agent.open(m=m):
-        agent.share.stale.add(m.minion_id)
-    if m.runs and agent.overdue(m=m):  # what was never sent goes elsewhere, long before the minion counts as lost
-        for r in [r for r in m.runs.values() if not r.sent and not r.live]:
-            agent.refuse(m=m, r=r)
-    if m.ends:
-        agent.tell(m=m)
-    if m.call is not None and now >= m.call.horizon:
-        answer(agent=agent, m=m)
-    if m.ends or m.call is not None or len(m.att) < len(agent.groups):
-        agent.watch.add(m.minion_id)
+    def __init__(self, *, table: MinionTable) -> None:
+        self._table = table
+        self._ticked_at = table.environment.now
+        self._was_trusted = True
 
+    def begin_tick(self) -> bool:
+        """Excuse silence that was this process's own; whether the agent may act for its minions now."""
+        now = self._table.environment.now
+        pause_s, self._ticked_at = now - self._ticked_at, now
+        if pause_s > STALL_S or not self._was_trusted:  # heartbeats may lie unread, or were turned away
+            for minion in self._table.minions.values():
+                last = minion.last_heartbeat_at
+                minion.last_heartbeat_at = max(last, min(now, last + pause_s))
+        self._was_trusted = self._table.environment.trusted()
+        return self._was_trusted
 
-def _lose(*, agent: "Agent", m: Minion) -> None:
-    now = agent.environment.now
-    left = [group_id for group_id in agent.groups if group_id not in m.lostok]
-    agent.watch.add(m.minion_id)
-    if not left:
-        agent.environment.gone(minion_id=m.minion_id, fence=m.fence)
-    elif now - m.claimed.get(-1, -9.0) > CLAIM_S * (1 + m.asked):
-        m.claimed[-1] = now
-        m.asked = min(m.asked + 1, 4)
-        saved = {t: v for t, (_, v, _) in m.running.items() if v}
-        for group_id in left:
-            prim = agent.environment.primary(group_id=group_id)
-            if prim is not None:
-                agent.environment.send(
-                    node_id=prim[0],
-                    kind=Kind.MINION_LOST,
-                    body={"g": group_id, "m": m.minion_id, "f": m.fence, "v": saved},
+    def check(self, minion: Minion) -> None:
+        """Declare the minion lost if it was silent for too long, or has said that it is gone."""
+        now = self._table.environment.now
+        limit_s = self._table.timing.hold_ms / 1000 * SLOW_CLOCK_FACTOR + SLACK_S
+        is_silent = now - minion.last_heartbeat_at > limit_s
+        if minion.phase is Phase.LOST or not (is_silent or (minion.gone_at and now > minion.gone_at)):
+            return
+        minion.move(Phase.LOST)
+        minion.unanswered_requests = 0
+        self._table.capacity_changed.add(minion.minion_id)
+        self._table.environment.note(
+            event="minion-lost", minion=minion.minion_id, runs=len(minion.runs), left=bool(minion.gone_at)
+        )
+
+    def report_loss(self, minion: Minion) -> None:
+        """Report a lost minion to the groups that have not acknowledged its loss; then have it removed."""
+        environment = self._table.environment
+        now = environment.now
+        group_ids = [group_id for group_id in self._table.group_ids if group_id not in minion.loss_acknowledged_by]
+        self._table.watched.add(minion.minion_id)
+        if not group_ids:
+            environment.gone(minion_id=minion.minion_id, fence=minion.fence)
+            return
+        if now - minion.loss_reported_at <= pause_s(minion):
+            return
+        minion.loss_reported_at = now
+        minion.unanswered_requests = min(minion.unanswered_requests + 1, MOST_UNANSWERED)
+        checkpoints = {task: listed.checkpoint for task, listed in minion.listed_runs.items() if listed.checkpoint}
+        for group_id in group_ids:
+            primary = environment.primary(group_id=group_id)
+            if primary is not None:
+                message = MinionLostReport(
+                    group_id=group_id, minion_id=minion.minion_id, fence=minion.fence, checkpoints=checkpoints
                 )
+                environment.send_message(node_id=primary[0], message=message)
+
+    def acknowledge(self, message: MinionLostAcknowledged) -> None:
+        """A group has the loss of a minion in its record."""
+        minion = self._table.find(minion_id=message.minion_id, fence=message.fence)
+        if minion is not None and minion.phase is Phase.LOST:
+            minion.loss_acknowledged_by.add(message.group_id)
--- a/yarrowloom/agent/heartbeat_response.py
+++ b/yarrowloom/agent/heartbeat_response.py
@@ -1,131 +1,116 @@
-"""What a beat is answered, and when: at once, or a little later if orders are about to come."""
-
-from typing import TYPE_CHECKING, Any
-
-from ..transport.http_server import Response
-from .minion import Minion, Phase, Run
-
-if TYPE_CHECKING:
-    from .agent import Agent
-
-IDLE_WAIT_S = 0.6  # a minion that runs nothing has nothing to tell: its beat may wait for an order
-ENDS_WAIT_S = 0.08  # a beat with ends waits this long for their acknowledgement and the next orders
-LATE_S = 0.85  # an answer later than a second would be dropped
-GONE_BEATS = 4
-STILL_S = 1.5  # a run without progress this long, and STILL_X times a percent's time, is moved
-STILL_X = 5.0
-GREY_S = 3.0  # and its minion gets nothing new for this long
-BUSY_MS = 200
-FULL_MS = 500
-
-
-def settle(*, agent: "Agent", m: Minion, beat: bool) -> None:
-    """Compare what the beat lists with what is owed. Only a beat that has just come tells of orders sent before it."""
-    now = agent.environment.now
-    for r in list(m.runs.values()):
-        row = m.running.get(r.task)
-        if row is not None and row[0] == r.run:
-            if not r.live:
-                r.live, r.since, r.spec, r.first = True, now, "", row[2]
-            if row[2] != r.pct or not r.moved:
-                r.moved = now
-            r.miss, r.pct = 0, row[2]
-            if beat and stands_still(r=r, now=now):
-                r.stop = True  # it goes on elsewhere
-                m.grey = now + GREY_S
-            if row[1]:
-                r.saved = row[1]
-        elif m.ended(task=r.task, run=r.run):
-            r.miss = 0
-        elif r.live:
-            r.miss += beat
-        elif beat and r.stop:
-            agent.refuse(m=m, r=r)  # neither carried out nor wanted any more
-        elif beat:
-            r.sent = False  # the order was not carried out: it goes out once more
-        if r.miss >= GONE_BEATS and len(m.ends) < 400:
-            agent.refuse(m=m, r=r)  # it ran, and runs no more, and no end of it is listed
-    attached = agent.attached(m=m)
-    m.strays = {t: row[0] for t, row in m.running.items() if t not in m.runs} if attached else {}
-    if m.draining:
-        _drain(agent=agent, m=m)
-
-
-def stands_still(*, r: Run, now: float) -> bool:
-    """No progress for several times as long as a percent took so far; the wait grows with each run of the task, so
-    that work whose percents take long is not moved for ever.
-
-    >>> stands_still(r=Run(task="t", run=1, group_id=1, lease_id=1, since=1.0, pct=50.0, moved=2.0), now=3.0)
-    False
-    >>> stands_still(r=Run(task="t", run=1, group_id=1, lease_id=1, since=1.0, pct=50.0, moved=2.0), now=4.0)
-    True
-    >>> slow = Run(task="t", run=1, group_id=1, lease_id=1, since=1.0, pct=50.0, first=50.0, est=200000)
-    >>> stands_still(r=slow, now=4.0)
-    False
+"""What a heartbeat is answered, and when: at once, or a little later if orders are about to come."""
+
+from msgspec import UNSET
+
+from .heartbeat import UNAVAILABLE, HeartbeatResponse, TaskToStart, TaskToStop
+from .minion import Minion, PendingHeartbeat, Phase, TaskRun
+from .minion_table import MinionTable
+from .task_runs import TaskRuns
+from .timing import LATEST_RESPONSE_S
+
+IDLE_WAIT_S = 0.6  # a minion that runs nothing has nothing to tell: its heartbeat may wait for an order
+ENDS_WAIT_S = 0.08  # a heartbeat with ends waits this long for their acknowledgement and the next orders
+IDLE_RETRY_MS = 1  # the wait of an idle minion is spent before the response, where an order can end it
+UNATTACHED_RETRY_MS = 50
+CHANGING_RETRY_MS = 150  # a minion that drains, or was told to stop a run
+FREE_RETRY_MS = 200  # a minion with at least an eighth of its cores and a sixteenth of its memory free
+FULL_RETRY_MS = 500
+
+
+class HeartbeatResponder:
+    """Answers the heartbeats of minions.
+
+    Invariant: a heartbeat gets one response.
     """
-    if not 0 < r.pct < 100 or r.est < 0:
-        return False
-    gained = r.pct - r.first
-    each = (r.moved - r.since) / gained if gained > 0 else r.est / 100_000 or 1.0
-    return now - max(r.moved, r.since) > max(STILL_S, STILL_X * each) * r.run
-
-
-def _drain(*, agent: "Agent", m: Minion) -> None:
-    """Stop what cannot end before the minion leaves, so that it goes on elsewhere."""
-    now = agent.environment.now
-    left = m.leave - now - agent.stop_ms / 1000 - 0.4
-    for r in m.runs.values():
-        if r.live and not r.stop:
-            ran = max(now - r.since, 0.05)
-            rest = ran * (100 - r.pct) / r.pct if r.pct > 0 else 1e9
-            if rest > left:
-                r.stop = True
-
-
-def answer(*, agent: "Agent", m: Minion, fresh: bool = False) -> None:
-    """Answer the waiting beat if it is time or if there is something to say."""
-    environment, call = agent.environment, m.call
-    if call is None:
-        return
-    now = environment.now
-    if not environment.trusted() or m.phase is not Phase.KNOWN:
-        m.call = None
-        environment.respond(call=call.key, response=Response(status=503))
-        return
-    shut = m.draining or environment.evacuated(zone=m.zone)
-    attached = agent.attached(m=m)
-    if shut:
-        for r in [r for r in m.runs.values() if not r.sent and not r.live]:
-            agent.refuse(m=m, r=r)
-    todo = [r for r in m.runs.values() if not r.sent and not r.live and not r.stop] if attached else []
-    stops = [[r.task, r.run] for r in m.runs.values() if r.stop and r.sent]
-    stops += [[t, run] for t, run in m.strays.items()]
-    owed = any(n > m.seen and n not in m.acked for n in m.ends)
-    if fresh:
-        if owed:
-            call.horizon = call.at + ENDS_WAIT_S
-        elif not m.running and not m.draining:
-            call.horizon = call.at + IDLE_WAIT_S
-    if now < call.horizon and not todo and not stops and (owed or fresh or not m.ends):
-        return
-    m.call = None
-    if now - call.at > LATE_S:
-        environment.respond(call=call.key, response=Response(status=503))
-        return
-    out: dict[str, Any] = {"hold-ms": agent.hold_ms, "fence-no": m.fence, "last-seen": m.seen}
-    if todo:
-        out["started"] = [[r.task, r.run, r.spec, r.saved] for r in todo]
-        for r in todo:
-            r.sent = True
-    if stops:
-        out["stopped"] = stops
-    if not m.running and not todo:
-        wait = 1 if attached else 50
-    elif m.draining or stops:
-        wait = 150
-    else:
-        cpu, mem, gpu = m.free()
-        wait = BUSY_MS if cpu * 8 > m.cap[0] and mem * 16 > m.cap[1] else FULL_MS
-    out["retry-after-ms"] = wait
-    m.pause = now + wait / 1000 - m.heard
-    environment.respond(call=call.key, response=Response.of(200, out))
+
+    def __init__(self, *, table: MinionTable, runs: TaskRuns) -> None:
+        self._table = table
+        self._runs = runs
+
+    def respond_unavailable(self, minion: Minion) -> None:
+        """Send the minion, if its heartbeat waits, to another node."""
+        pending = minion.pending_heartbeat
+        if pending is not None:
+            minion.pending_heartbeat = None
+            self._table.environment.respond(call=pending.call, response=UNAVAILABLE)
+
+    def respond_if_due(self, minion: Minion, *, is_new: bool = False) -> None:
+        """Answer the minion's waiting heartbeat, if it is time or if there is something to tell.
+
+        `is_new` says that the heartbeat has just come.
+        """
+        environment, pending = self._table.environment, minion.pending_heartbeat
+        if pending is None:
+            return
+        if not environment.trusted() or minion.phase is not Phase.KNOWN:
+            self.respond_unavailable(minion)
+            return
+        if minion.is_draining or environment.evacuated(zone=minion.zone):
+            self._runs.reject_unsent(minion)
+        starts = self._runs_to_start(minion)
+        stops = _runs_to_stop(minion)
+        has_open_ends = minion.has_unacknowledged_end()
+        if is_new:
+            _set_wait(minion, pending=pending, has_open_ends=has_open_ends)
+        may_wait = is_new or has_open_ends or not minion.ends
+        if environment.now < pending.respond_at and may_wait and not starts and not stops:
+            return
+        if environment.now - pending.received_at > LATEST_RESPONSE_S:
+            self.respond_unavailable(minion)
+        else:
+            self._respond(minion, pending=pending, starts=starts, stops=stops)
+
+    def _runs_to_start(self, minion: Minion) -> list[TaskRun]:
+        """Orders for the minion; none before every group has told what it has there."""
+        if not minion.runs or not self._table.was_attached_by_all(minion):
+            return []
+        return [run for run in minion.runs.values() if run.is_unsent and not run.is_stop_requested]
+
+    def _respond(
+        self, minion: Minion, *, pending: PendingHeartbeat, starts: list[TaskRun], stops: list[TaskToStop]
+    ) -> None:
+        now = self._table.environment.now
+        retry_after_ms = self._retry_after_ms(minion, has_starts=bool(starts), has_stops=bool(stops))
+        response = HeartbeatResponse(
+            fence=minion.fence,
+            hold_ms=self._table.timing.hold_ms,
+            last_acknowledged_end=minion.last_acknowledged_end,
+            started=[_start(run) for run in starts] if starts else UNSET,
+            stopped=stops or UNSET,
+            retry_after_ms=retry_after_ms,
+        )
+        for run in starts:
+            run.is_sent = True
+        minion.pending_heartbeat = None
+        minion.retry_after_s = now + retry_after_ms / 1000 - minion.last_heartbeat_at
+        self._table.environment.respond(call=pending.call, response=response.http_response())
+
+    def _retry_after_ms(self, minion: Minion, *, has_starts: bool, has_stops: bool) -> int:
+        if not minion.listed_runs and not has_starts:
+            return IDLE_RETRY_MS if self._table.was_attached_by_all(minion) else UNATTACHED_RETRY_MS
+        if minion.is_draining or has_stops:
+            return CHANGING_RETRY_MS
+        free, capacity = minion.free(), minion.capacity
+        has_room = free.millicores * 8 > capacity.millicores and free.memory_mb * 16 > capacity.memory_mb
+        return FREE_RETRY_MS if has_room else FULL_RETRY_MS
+
+
+def _set_wait(minion: Minion, *, pending: PendingHeartbeat, has_open_ends: bool) -> None:
+    """How long the response to a new heartbeat may wait for something to tell."""
+    if has_open_ends:
+        pending.respond_at = pending.received_at + ENDS_WAIT_S
+    elif not minion.listed_runs and not minion.is_draining:
+        pending.respond_at = pending.received_at + IDLE_WAIT_S
+
+
+def _runs_to_stop(minion: Minion) -> list[TaskToStop]:
+    """Sent runs that are to be stopped, then runs that no group's record has."""
+    stops = [
+        TaskToStop(task=run.task, run=run.run) for run in minion.runs.values() if run.is_stop_requested and run.is_sent
+    ]
+    stops += [TaskToStop(task=task, run=run) for task, run in minion.unknown_runs.items()]
+    return stops
+
+
+def _start(run: TaskRun) -> TaskToStart:
+    return TaskToStart(task=run.task, run=run.run, spec=run.spec, checkpoint=run.checkpoint)
--- a/yarrowloom/agent/lease_selection.py
+++ b/yarrowloom/agent/lease_selection.py
@@ -1,116 +1,102 @@
-"""Which minions a request for room gets: pure functions of the agent's own table."""
+"""Which minions a lease request gets: pure functions of the agent's own table."""
 
-from typing import TYPE_CHECKING, Any
+from ..common.resources import Resources
+from .messages import LeaseRequest, SummaryRow
+from .minion import Minion
+from .minion_table import MinionTable
 
-if TYPE_CHECKING:
-    from .agent import Agent
-    from .minion import Minion
 
+def has_room(*, row: SummaryRow, request: LeaseRequest) -> bool:
+    """Whether a minion in another agent's summary could take one lease.
 
-def fits(*, row: list[Any], b: dict[str, Any]) -> bool:
-    """Whether a minion's row of a room view could take one task.
-
-    >>> fits(row=[4000, 100, 0, ["a", "r1"], [4000, 100, 0], "m"], b={"cpu": 500, "mem": 10, "gpu": 0, "req": "a"})
+    >>> row = SummaryRow(millicores=4000, memory_mb=100, gpus=0, labels=["a", "r1"],
+    ...     capacity=Resources(4000, 100, 0), minion_id="m")
+    >>> request = LeaseRequest(group_id=1, request_id=1, service="s", millicores=500, memory_mb=10, gpus=0,
+    ...     required_label="a", preferred_label="", count=1, asked_agents=[], max_per_minion=0,
+    ...     members_by_minion={}, minions=[])
+    >>> has_room(row=row, request=request)
     True
-    >>> fits(row=[4000, 100, 0, ["b", "r1"], [4000, 100, 0], "m"], b={"cpu": 500, "mem": 10, "gpu": 0, "req": "a"})
+    >>> import msgspec
+    >>> has_room(row=msgspec.structs.replace(row, labels=["b", "r1"]), request=request)
     False
     """
-    return bool(
-        row[0] >= b["cpu"]
-        and row[1] >= b["mem"]
-        and row[2] >= b["gpu"]
-        and (not b["req"] or b["req"] in row[3])
-        and (not b.get("strict") or b["near"] in row[3])
-        and row[5] not in b.get("off", ())
-        and not any(label in row[3] for label in b.get("shun", ()))
+    return (
+        row.millicores >= request.millicores
+        and row.memory_mb >= request.memory_mb
+        and row.gpus >= request.gpus
+        and (not request.required_label or request.required_label in row.labels)
+    )
+
+
+def select_minions(*, table: MinionTable, request: LeaseRequest) -> list[Minion]:
+    """Minions for up to `count` leases, one entry a lease; all or none where `all_or_nothing` is asked."""
+    selected = (
+        _select_named(table=table, request=request)
+        if request.minions
+        else _select_best_fit(table=table, request=request)
     )
+    return [] if request.all_or_nothing and len(selected) < request.count else selected
+
 
+def _may_lease(minion: Minion, *, table: MinionTable, request: LeaseRequest) -> bool:
+    """Whether the group may have leases on a minion, whatever is free there."""
+    return (
+        minion.service == request.service
+        and (not request.required_label or request.required_label in minion.labels)
+        and request.group_id in minion.attachments
+        and table.is_open(minion)
+    )
 
-def rack(*, labels: list[str]) -> str:
-    """The rack label: by the published order, a minion's kind comes first and its rack second."""
-    return labels[1] if len(labels) > 1 else ""
 
+def _select_named(*, table: MinionTable, request: LeaseRequest) -> list[Minion]:
+    """Of the minions that a scheduling cycle chose, those that can take what was planned.
 
-def named(*, agent: "Agent", b: dict[str, Any]) -> list["Minion"]:
-    """Of the minions that a cycle chose, those that can take what was planned (one entry a lease); all or none where
-    `all` is asked. The agent decides by its own table: the cycle's snapshot may be old.
+    The agent decides by its own table: the cycle's snapshot may be out of date.
     """
-    out: list[Minion] = []
-    for minion_id, n in b["on"]:
-        m = agent.minions.get(minion_id)
-        if (
-            m is None
-            or m.service != b["svc"]
-            or (b["req"] and b["req"] not in m.labels)
-            or b["g"] not in m.att
-            or (not agent.open(m=m))
-        ):
+    selected: list[Minion] = []
+    for wanted in request.minions:
+        minion = table.minions.get(wanted.minion_id)
+        if minion is None or not _may_lease(minion, table=table, request=request):
             continue
-        free = m.free()
-        for need, have in ((b["cpu"], free[0]), (b["mem"], free[1]), (b["gpu"], free[2])):
-            n = min(n, have // need) if need else n if have >= 0 else 0
-        if b["apart"]:
-            n = min(n, b["apart"] - b["avoid"].get(minion_id, 0))
-        out += [m] * n
-    return [] if b.get("all") and len(out) < b["n"] else out
-
-
-def pick(*, agent: "Agent", b: dict[str, Any]) -> list["Minion"]:
-    """Minions for up to n leases (one entry a lease), best first; all or none where `all` is asked."""
-    free: dict[str, list[int]] = {}
-    rows: list[Minion] = []
-    for m in agent.minions.values():
-        if m.service == b["svc"] and (not b["req"] or b["req"] in m.labels) and b["g"] in m.att and agent.open(m=m):
-            cpu, mem, gpu = m.free()
-            if cpu >= b["cpu"] and mem >= b["mem"] and gpu >= b["gpu"]:
-                free[m.minion_id] = [cpu, mem, gpu]
-                rows.append(m)
-    if b.get("off"):
-        rows = [m for m in rows if m.minion_id not in b["off"]]
-    if b.get("shun"):
-        rows = [m for m in rows if not any(label in m.labels for label in b["shun"])]
-    if b.get("near") and b.get("strict"):
-        rows = [m for m in rows if b["near"] in m.labels]
-    if b.get("tight"):
-        by: dict[str, list[Minion]] = {}
-        for m in rows:
-            by.setdefault(rack(labels=m.labels), []).append(m)
-        best: list[Minion] = []
-        for name in sorted(by):
-            got = _fill(rows=by[name], free={m.minion_id: list(free[m.minion_id]) for m in by[name]}, b=b)
-            if len(got) >= b["n"]:
-                return got
-            if len(got) > len(best):
-                best = got
-        return [] if b.get("all") else best
-    got = _fill(rows=rows, free=free, b=b)
-    return [] if b.get("all") and len(got) < b["n"] else got
-
-
-def _fill(*, rows: list["Minion"], free: dict[str, list[int]], b: dict[str, Any]) -> list["Minion"]:
-    """Spread or pack: near data first, then the minion whose free room is the tightest fit."""
-    gpu_job = b["gpu"] > 0
-    used: dict[str, int] = {}
-    out: list[Minion] = []
-
-    def cost(m: "Minion") -> tuple[Any, ...]:
-        cpu, _, gpu = free[m.minion_id]
-        far = bool(b.get("near")) and b["near"] not in m.labels
-        # Work without GPUs keeps off minions that have them free.
-        return (far, 0 if gpu_job else gpu, gpu if gpu_job else 0, cpu, m.minion_id)
-
-    order = sorted(rows, key=cost)
-    for m in order:
-        room = free[m.minion_id]
-        limit = b.get("apart") or 0
-        while len(out) < b["n"] and room[0] >= b["cpu"] and room[1] >= b["mem"] and room[2] >= b["gpu"]:
-            if limit and b["avoid"].get(m.minion_id, 0) + used.get(m.minion_id, 0) >= limit:
-                break
-            room[0] -= b["cpu"]
-            room[1] -= b["mem"]
-            room[2] -= b["gpu"]
-            used[m.minion_id] = used.get(m.minion_id, 0) + 1
-            out.append(m)
-            if b["cpu"] == b["mem"] == b["gpu"] == 0 and used[m.minion_id] >= 64:
-                break
-    return out
+        count = wanted.count
+        for need, have in zip(request.size, minion.free(), strict=True):
+            if need:
+                count = min(count, have // need)
+            elif have < 0:
+                count = 0
+        if request.max_per_minion:
+            count = min(count, request.max_per_minion - request.members_by_minion.get(wanted.minion_id, 0))
+        selected += [minion] * count
+    return selected
+
+
+def _select_best_fit(*, table: MinionTable, request: LeaseRequest) -> list[Minion]:
+    """Minions with the preferred label first, then those whose free capacity is the tightest fit."""
+    candidates = [
+        (minion, free)
+        for minion in table.minions.values()
+        if _may_lease(minion, table=table, request=request) and (free := minion.free()).holds(request.size)
+    ]
+    candidates.sort(key=lambda candidate: _cost(candidate[0], free=candidate[1], request=request))
+    selected: list[Minion] = []
+    for minion, free in candidates:
+        missing = request.count - len(selected)
+        if missing <= 0:
+            break
+        selected += [minion] * min(missing, _most_on(minion, free=free, request=request))
+    return selected
+
+
+def _cost(minion: Minion, *, free: Resources, request: LeaseRequest) -> tuple[bool, int, int, int, str]:
+    """The order of candidates, the best one first. Work without GPUs keeps off minions that have them free."""
+    lacks_label = bool(request.preferred_label) and request.preferred_label not in minion.labels
+    without_gpus, with_gpus = (0, free.gpus) if request.gpus > 0 else (free.gpus, 0)
+    return lacks_label, without_gpus, with_gpus, free.millicores, minion.minion_id
+
+
+def _most_on(minion: Minion, *, free: Resources, request: LeaseRequest) -> int:
+    """How many leases a minion can take."""
+    most = free.copies(request.size)
+    if request.max_per_minion:
+        most = min(most, request.max_per_minion - request.members_by_minion.get(minion.minion_id, 0))
+    return max(most, 0)
--- a/yarrowloom/agent/messages.py
+++ b/yarrowloom/agent/messages.py
@@ -229,6 +229,11 @@
     memory_mb: int
     gpus: int
 
+    @classmethod
+    def of(cls, *, minion_id: str, free: Resources) -> "FreeCapacity":
+        """The row of a minion with this much free."""
+        return cls(minion_id=minion_id, millicores=free.millicores, memory_mb=free.memory_mb, gpus=free.gpus)
+
 
 class LeaseGrant(
     Message,
@@ -374,7 +379,7 @@
     task: str
     run: int
     outcome: str
-    checkpoint: str
+    checkpoint: str = ""
 
 
 class TaskEndsReport(
@@ -501,3 +506,19 @@
     KIND: ClassVar[Kind] = Kind.CAPACITY_REPORT_REQUEST
 
     group_id: int
+
+
+# What an agent takes from schedulers, by kind.
+AGENT_MESSAGES: dict[Kind, type[Message]] = {
+    message_type.KIND: message_type
+    for message_type in (
+        AttachMinion,
+        LeaseRequest,
+        LeaseReturn,
+        TaskOrders,
+        StopTasks,
+        TaskEndsAcknowledged,
+        MinionLostAcknowledged,
+        CapacityRequest,
+    )
+}
--- a/yarrowloom/node/core.py
+++ b/yarrowloom/node/core.py
@@ -3,10 +3,12 @@
 from collections.abc import Callable
 from typing import Any
 
+from ..agent.messages import AGENT_MESSAGES, CapacitySummary
 from ..cluster_state.minion_ownership import ownership_digest
 from ..common.defaults import Defaults
 from ..common.effects import AnyEffect, Effect, NoEffect
 from ..common.log import Log
+from ..common.records import decode
 from ..common.settings import NodeSettings
 from ..replication.handover import copied_elsewhere, may_end
 from ..replication.log_replay import ReplayError
@@ -164,7 +166,7 @@
 
     def _room(self, *, m: dict[str, Any]) -> None:
         if "v" in m:
-            self.agent.share.views[m["u"]] = (self.now, m["v"])
+            self.agent.on_capacity_summary(decode(m, into=CapacitySummary))
         elif m["g"] in self.placers:
             placer = self.placers[m["g"]]
             placer.room.report(node_id=m["u"], rows=m["x"], shut=m["shut"], now=self.now)
@@ -229,22 +231,8 @@
             )
 
     def _jobs(self, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
-        if kind is Kind.ATTACH_MINION:
-            self.agent.attach(node_id=node_id, b=m)
-        elif kind is Kind.LEASE_REQUEST:
-            self.agent.lease(node_id=node_id, b=m)
-        elif kind is Kind.LEASE_RETURN:
-            self.agent.giveback(b=m)
-        elif kind is Kind.TASK_ORDERS:
-            self.agent.order(node_id=node_id, b=m)
-        elif kind is Kind.STOP_TASKS:
-            self.agent.stop(b=m)
-        elif kind is Kind.CAPACITY_REPORT_REQUEST:
-            self.agent.share.roomget(node_id=node_id, group_id=m["g"])
-        elif kind is Kind.TASK_ENDS_ACK:
-            self.agent.endsok(body=m)
-        elif kind is Kind.MINION_LOST_ACK:
-            self.agent.lostok(b=m)
+        if kind in AGENT_MESSAGES:
+            self.agent.on_message(node_id=node_id, message=decode(m, into=AGENT_MESSAGES[kind]))
         elif m["g"] in self.placers and self.replicas[m["g"]].is_serving():
             p = self.placers[m["g"]]
             if kind is Kind.CLAIM_MINIONS:
@@ -293,9 +281,15 @@
             ):  # with all evacuations that the primary knew of
                 self.lease = max(self.lease, m["t"] + LEASE_S)
         for minion_id, fence, info in m.get("own", []):
-            self.agent.own(minion_id=minion_id, fence=fence, info=info)
+            self.agent.add_minion(
+                minion_id=minion_id,
+                fence=fence,
+                service=info.get("svc", ""),
+                zone=info.get("site", ""),
+                labels=info.get("labels", []),
+            )
         for minion_id in m.get("dis", []):
-            self.agent.disown(minion_id=minion_id)
+            self.agent.remove_minion(minion_id=minion_id)
         if m.get("list") or m.get("shed"):
             self.let_go(minion_ids=m.get("shed", []))
             self.listing, self.hearted = True, -9.0
@@ -309,7 +303,7 @@
         """Perhaps what a placing node wanted, or answers."""
         self.calls.lost(node_id=node_id)
         self.lost_from(node_id=node_id)
-        self.agent.gap(node_id=node_id)
+        self.agent.on_lost_messages(node_id=node_id)
 
     def gap_place(self, *, node_id: str) -> None:
         """Perhaps what an agent told."""
--- a/yarrowloom/node/core_environment.py
+++ b/yarrowloom/node/core_environment.py
@@ -3,13 +3,15 @@
 from collections.abc import Sequence
 from typing import Any
 
-from ..agent import Agent
+from ..agent import Agent, AgentTiming
+from ..agent.heartbeat import parse_heartbeat
 from ..cluster_state.registry import Registry
 from ..cluster_state.registry_events import MinionRemoved, RegistryEvent
 from ..common.defaults import SHIPPED, Defaults
 from ..common.effects import AnyEffect
 from ..common.errors import YarrowError
 from ..common.log import Log
+from ..common.records import MalformedRecordError
 from ..common.settings import NodeSettings
 from ..jobs.state_machine import Jobs
 from ..replication import Epoch, Replica
@@ -58,11 +60,13 @@
         hold = min(settings.max_hold_ms, max(3.0 * settings.heartbeat_interval_ms, 4000.0))
         self.agent = Agent(
             environment=self,
-            hold_ms=int(hold),
-            lag_ms=settings.heartbeat_interval_ms,
-            stop_ms=int(settings.stop_grace_ms),
-            drain_ms=int(settings.drain_ms),
-            first_lease=first_number(incarnation=incarnation) + 1,
+            timing=AgentTiming(
+                hold_ms=int(hold),
+                stop_grace_ms=int(settings.stop_grace_ms),
+                heartbeat_ms=settings.heartbeat_interval_ms,
+                drain_ms=int(settings.drain_ms),
+            ),
+            first_lease_id=first_number(incarnation=incarnation) + 1,
         )
         self.lease = -9.0
         self.echo: list[Any] = []  # epoch and time of the last answer that came from group 0's primary
@@ -146,8 +150,8 @@
         """
         for minion_id in minion_ids:
             m = self.agent.minions.get(minion_id)
-            if m is not None and self.agent.open(m=m) and all(r.sent or r.live for r in m.runs.values()):
-                self.agent.disown(minion_id=minion_id)
+            if m is not None and self.agent.is_open(m) and not any(run.is_unsent for run in m.runs.values()):
+                self.agent.remove_minion(minion_id=minion_id)
 
     def evacuated(self, *, zone: str) -> bool:
         """Nothing may start there."""
@@ -163,7 +167,7 @@
 
     def gone(self, *, minion_id: str, fence: int) -> None:
         """A minion is no more."""
-        self.agent.disown(minion_id=minion_id)
+        self.agent.remove_minion(minion_id=minion_id)
         self.calls.start(group_id=0, op="gone", b={"m": minion_id, "f": fence}, done=("none",), ttl=30.0)
 
     def reply(self, *, node_id: str, request_id: int, status: int, document: Any) -> None:
@@ -261,10 +265,12 @@
     def agent_beat(self, *, minion_id: str, document: dict[str, Any], call: Any) -> None:
         """A beat of an owned minion; what cannot be read is refused."""
         try:
-            self.agent.beat(minion_id=minion_id, document=document, call=call)
-        except (ValueError, TypeError, KeyError, IndexError, AttributeError) as err:
-            self.log.warn("beat-malformed", minion=minion_id, why=repr(err))
-            self.respond(call=call, response=Response.of(400, {"error": "not a beat"}))
+            heartbeat = parse_heartbeat(document=document)
+        except MalformedRecordError as error:
+            self.log.warn("heartbeat-malformed", minion=minion_id, why=error.text)
+            self.respond(call=call, response=Response.of(400, {"error": "not a beat", "text": error.text}))
+            return
+        self.agent.on_heartbeat(minion_id=minion_id, heartbeat=heartbeat, call=call)
 
     def beat_elsewhere(self, *, minion_id: str, document: dict[str, Any], call: Any) -> None:
         """Hand a beat to the minion's agent."""
@@ -337,7 +343,7 @@
         if status == 200 and owner is None:
             self.respond(call=call, response=Response.of(200, {}))
         elif owner == self.node_id and minion_id in self.agent.minions and self.trusted():
-            self.agent.leave(minion_id=minion_id, call=call)
+            self.agent.on_leaving(minion_id=minion_id, call=call)
         elif owner and owner != self.node_id and until > self.now:
             self.calls.start(
                 group_id=-1, to=owner, op="leave", b={"m": minion_id}, done=("http", call), ttl=until - self.now
@@ -361,7 +367,7 @@
         if b["m"] not in self.agent.minions or not self.trusted():
             self.reply(node_id=node_id, request_id=request_id, status=503, document={})
         elif op == "leave":
-            self.agent.leave(minion_id=b["m"], call=("far", node_id, request_id))
+            self.agent.on_leaving(minion_id=b["m"], call=("far", node_id, request_id))
         else:
             self.agent_beat(minion_id=b["m"], document=b["d"], call=("far", node_id, request_id))
 
@@ -387,7 +393,7 @@
                 for group_id, r in self.replicas.items()
             },
             "minions": {
-                m.minion_id: {"phase": m.phase.value, "free": m.free(), "runs": len(m.runs)}
+                m.minion_id: {"phase": m.phase.value, "free": list(m.free()), "runs": len(m.runs)}
                 for m in self.agent.minions.values()
             },
             "backlog": {str(group_id): len(p.backlog) for group_id, p in self.placers.items()},
--- a/yarrowloom/node/http_routes.py
+++ b/yarrowloom/node/http_routes.py
@@ -69,7 +69,7 @@
 def leave(node: "CoreEnvironment", call: Any, req: Request, minion_id: str) -> None:
     """A minion ends."""
     if minion_id in node.agent.minions and node.trusted():
-        node.agent.leave(minion_id=minion_id, call=call)
+        node.agent.on_leaving(minion_id=minion_id, call=call)
     else:
         node.calls.start(
             group_id=0,
--- a/yarrowloom/simulator/minion_population.py
+++ b/yarrowloom/simulator/minion_population.py
@@ -45,7 +45,7 @@
         node.now = sim.now
         if node.trusted():
             for m in node.agent.minions.values():
-                if m.phase is Phase.KNOWN and all(group_id in m.att for group_id in node.groups()):
+                if m.phase is Phase.KNOWN and all(group_id in m.attachments for group_id in node.groups()):
                     out[m.minion_id] = ip
     return out
 
