--- a/tests/cluster_state/test_config_delta.py
+++ b/tests/cluster_state/test_config_delta.py
@@ -7,7 +7,6 @@
 import pytest
 from msgspec import UNSET
 
-from yarrowloom.cluster_state.config import Table
 from yarrowloom.cluster_state.config_delta import (
     ConfigDelta,
     ConfigHistory,
@@ -17,6 +16,7 @@
     is_small,
 )
 from yarrowloom.cluster_state.registry import Registry
+from yarrowloom.cluster_state.routing_table import Route, RoutingTable
 from yarrowloom.common.errors import SettingsError, StaleVersionError
 from yarrowloom.common.records import decode
 from yarrowloom.common.settings import check
@@ -162,18 +162,19 @@
             seen.add((host.lower(), prefix))
             rows.append({**route(i, host=host), "path-prefix": prefix})
     document = {**whole(version=1, routes=0), "route-table": rows}
-    table = Table(document=document)
+    table = RoutingTable(document=document)
     for _ in range(400):
         host = rng.choice(["h.example", "h.other:80", "X", "none", ""])
         path = piece() + rng.choice(["", piece(), "b"])
-        assert table.select(host=host, path=path) == scan(document=document, host=host, path=path)
+        row = scan(document=document, host=host, path=path)
+        assert table.select(host=host, path=path) == (None if row is None else Route.from_document(row=row))
 
 
 def test_a_look_up_costs_one_step_for_each_length_of_prefix() -> None:
-    table = Table(document=whole(version=1, routes=510))
-    rows, sizes = table.hosts["h.example"]
-    assert len(rows) == 510
-    assert sizes == [6, 5, 4]
+    table = RoutingTable(document=whole(version=1, routes=510))
+    host = table.hosts["h.example"]
+    assert len(host.by_prefix) == 510
+    assert host.prefix_lengths == [6, 5, 4]
 
 
 @pytest.mark.parametrize("seed", range(8))
--- a/tests/integration/test_large_clusters.py
+++ b/tests/integration/test_large_clusters.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.agent.test_agent import JOB, TASK, Rig
-from yarrowloom.cluster_state.config import Table
+from yarrowloom.cluster_state.routing_table import RoutingTable
 from yarrowloom.node.core import OVERLOADED, CoreNode
 from yarrowloom.node.edge_relays import FANOUT, LOOK_S, EdgeRelays
 from yarrowloom.scheduling import scheduling_cycle as cycle
@@ -145,7 +145,7 @@
     assert ranked == []
     document = config(version=9, more=2)
     document["route-table"][1]["rank"] = 0
-    sim.core(ip).table = Table(document=document)
+    sim.core(ip).table = RoutingTable(document=document)
     placer.configured()
     waiting = {job_id for job_id, _ in placer.backlog.groups}
     assert set(ranked) == waiting <= set(job_ids)
--- a/tests/mutants/test_operator_request_mutants.py
+++ b/tests/mutants/test_operator_request_mutants.py
@@ -101,7 +101,7 @@
 
 
 def any_body_is_good(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr("yarrowloom.cluster_state.config._route", lambda **_: None)
+    patch.setattr("yarrowloom.cluster_state.config._route_findings", lambda **_: [])
 
 
 def no_fence_for_evacuations(patch: pytest.MonkeyPatch) -> None:
--- a/tests/support/binding_model.py
+++ b/tests/support/binding_model.py
@@ -9,6 +9,7 @@
 from yarrowloom.agent import Agent, AgentEnvironment, AgentTiming
 from yarrowloom.agent.heartbeat import parse_heartbeat
 from yarrowloom.agent.messages import AGENT_MESSAGES
+from yarrowloom.cluster_state.routing_table import Route
 from yarrowloom.common.defaults import SHIPPED
 from yarrowloom.common.records import decode
 from yarrowloom.jobs.model import TaskState
@@ -27,6 +28,17 @@
 ANSWER_S = 1.0  # a later answer is dropped
 CAP = (4000, 8000, 0)
 ONE, TWO = "0000000000000000", "0000000100000000"  # a job of group 1, one of group 2
+ROUTE = Route(
+    name="q",
+    host_name="h",
+    path_prefix="/q/",
+    deadline_ms=3000.0,
+    backend="s",
+    max_attempts=3,
+    target_ms=2000.0,
+    rank=0,
+    stretch=2.0,
+)
 Choice = tuple[Any, ...]
 
 
@@ -137,8 +149,8 @@
     def gone(self, *, minion_id: str, fence: int) -> None:
         need(False, "LOST", minion_id, "was called lost, but minions never fall silent here")
 
-    def route(self, *, name: str) -> dict[str, Any] | None:
-        return {"backend": "s", "max-tries": 3, "target-ms": 2000, "rank": 0, "stretch": 2.0}
+    def route(self, *, name: str) -> Route | None:
+        return ROUTE
 
     def reply(self, *, node_id: str, request_id: int, status: int, document: Any) -> None:
         need(status == 200, "REFUSED", status, document)
--- a/tests/transport/test_codec.py
+++ b/tests/transport/test_codec.py
@@ -8,6 +8,7 @@
 
 from yarrowloom.cluster_state import config
 from yarrowloom.cluster_state.registry import Registry
+from yarrowloom.cluster_state.routing_table import RoutingTable
 from yarrowloom.common.errors import InvalidInputError, SettingsError, StaleVersionError, YarrowError
 from yarrowloom.common.settings import check as check_startup
 from yarrowloom.jobs.submission import parse
@@ -124,10 +125,10 @@
     except InvalidInputError as err:
         assert err.findings
         return
-    table = config.Table(document=good)
+    table = RoutingTable(document=good)
     names = {s["name"] for s in good["service-table"]}
-    assert all(r["backend"] in names and r["deadline-ms"] > 0 for r in table.routes.values())
-    assert len({(r["host-name"], r["path-prefix"]) for r in table.routes.values()}) == len(table.routes)
+    assert all(route.backend in names and route.deadline_ms > 0 for route in table.routes.values())
+    assert len({(route.host_name, route.path_prefix) for route in table.routes.values()}) == len(table.routes)
 
 
 @pytest.mark.parametrize(
--- a/yarrowloom/cluster_state/config.py
+++ b/yarrowloom/cluster_state/config.py
@@ -1,90 +1,186 @@
-"""The operator's configuration: typed dictionaries and a small checker that reports all findings together."""
+"""The operator's configuration as published JSON: the check of a whole one, and what a PATCH makes of it.
 
-from typing import Any, TypedDict
+All findings are reported together, each with its place in the document.
+"""
+
+from collections.abc import Callable, Iterable, Iterator
+from dataclasses import dataclass
+from typing import Any
 
 from ..common.errors import Finding, InvalidInputError
 
+MAX_NUMBER = 2**53 - 1  # every JSON reader takes it for the same whole number, and every writer writes it
+MAX_NESTING_DEPTH = 64  # of lists and objects: what can be read can be written again
+_TABLES = frozenset({"route-table", "service-table"})
+_CHANGE_FIELDS = frozenset({"config-version", "upserts", "removals", "limits"})
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class FieldCheck:
+    """One rule for one field of an object.
+
+    Attributes:
+        key: The field's name.
+        is_valid: Whether a value keeps the rule; a field that is missing though required counts as None.
+        text: The finding if it doesn't.
+        is_required: If not, the rule holds only where the field is present.
+    """
+
+    key: str
+    is_valid: Callable[[Any], bool]
+    text: str
+    is_required: bool = False
+
+    def finding(self, *, row: dict[str, Any], place: str) -> Finding | None:
+        """What is wrong with the field of an object that stands at `place`, if anything is."""
+        if not self.is_required and self.key not in row:
+            return None
+        if self.is_valid(row.get(self.key)):
+            return None
+        return Finding(place=f"{place}.{self.key}" if place else self.key, text=self.text)
+
+
+def _findings(*, checks: Iterable[FieldCheck], row: dict[str, Any], place: str) -> list[Finding]:
+    findings = (check.finding(row=row, place=place) for check in checks)
+    return [finding for finding in findings if finding is not None]
+
+
+def _is_number(value: object) -> bool:
+    return isinstance(value, (int, float)) and not isinstance(value, bool)
+
+
+def _is_whole_number(value: object) -> bool:
+    return isinstance(value, int) and not isinstance(value, bool)
 
-class Route(TypedDict, total=False):
-    """A queue. Invariant: host and prefix together are unique in a configuration."""
 
-    name: str
-    host_name: str
-    path_prefix: str
-    deadline_ms: int
-    target_ms: int
-    rank: int
-    backend: str
-    max_tries: int
-    stretch: float
+def _is_text(value: object) -> bool:
+    return isinstance(value, str) and value != ""
 
 
-_TABLES = {"route-table", "service-table"}
-NUMBER_MOST = 2**53 - 1  # every JSON reader takes it for the same whole number, and every writer writes it
-DEPTH_MOST = 64  # of nested lists and objects: what can be read can be written again
-_LIMITS = ("max-header-bytes", "max-body-bytes", "header-timeout-ms", "idle-timeout-ms")
+def _starts_with_slash(value: object) -> bool:
+    return not isinstance(value, str) or value.startswith("/")
 
 
-def _num(val: object) -> bool:
-    return isinstance(val, (int, float)) and not isinstance(val, bool)
+def _is_positive(value: Any) -> bool:
+    return _is_number(value) and 0 < value <= MAX_NUMBER
+
+
+def _is_not_negative(value: Any) -> bool:
+    return _is_number(value) and 0 <= value <= MAX_NUMBER
+
+
+def _is_at_least_one(value: Any) -> bool:
+    return _is_number(value) and 1 <= value <= MAX_NUMBER
+
+
+def _is_version(value: Any) -> bool:
+    return _is_whole_number(value) and 1 <= value <= MAX_NUMBER
+
+
+_VERSION_CHECK = FieldCheck(
+    key="config-version",
+    is_valid=_is_version,
+    text=f"missing or not a whole number from 1 to {MAX_NUMBER}",
+    is_required=True,
+)
+_ROUTE_CHECKS = (
+    *(
+        FieldCheck(key=key, is_valid=_is_text, text="missing or not a text", is_required=True)
+        for key in ("host-name", "path-prefix", "backend")
+    ),
+    FieldCheck(key="path-prefix", is_valid=_starts_with_slash, text="does not begin with /"),
+)
+_ROUTE_NUMBER_CHECKS = (
+    FieldCheck(key="deadline-ms", is_valid=_is_positive, text="must be above 0, and at most 2^53", is_required=True),
+    *(
+        FieldCheck(key=key, is_valid=_is_not_negative, text="not a number from 0 to 2^53")
+        for key in ("target-ms", "rank", "max-tries", "stretch")
+    ),
+)
+_LIMIT_CHECKS = tuple(
+    FieldCheck(key=key, is_valid=_is_at_least_one, text="not a number from 1 to 2^53")
+    for key in ("max-header-bytes", "max-body-bytes", "header-timeout-ms", "idle-timeout-ms")
+)
+
+
+def _is_deeper(*, value: Any, depth: int) -> bool:
+    """Whether lists and objects are nested in more than `depth` levels.
+
+    >>> _is_deeper(value={"a": [[1]]}, depth=3), _is_deeper(value={"a": [[1]]}, depth=2)
+    (False, True)
+    """
+    level = [value]
+    for _ in range(depth + 1):
+        containers = [item for item in level if isinstance(item, (dict, list))]
+        if not containers:
+            return False
+        level = [
+            item
+            for container in containers
+            for item in (container.values() if isinstance(container, dict) else container)
+        ]
+    return True
 
 
-def _table(*, document: dict[str, Any], key: str, bad: list[Finding]) -> list[dict[str, Any]]:
-    rows = document.get(key)
+def _table_rows(*, document: dict[str, Any], table: str, findings: list[Finding]) -> list[dict[str, Any]]:
+    """The objects in a table; adds what is wrong with the table and with the names of its rows to `findings`."""
+    rows = document.get(table)
     if not isinstance(rows, list):
-        bad.append(Finding(place=key, text="missing or not a list"))
+        findings.append(Finding(place=table, text="missing or not a list"))
         return []
-    out: list[dict[str, Any]] = []
+    objects: list[dict[str, Any]] = []
     names: set[str] = set()
-    for i, row in enumerate(rows):
-        place = f"{key}[{i}]"
+    for index, row in enumerate(rows):
+        place = f"{table}[{index}]"
         if not isinstance(row, dict):
-            bad.append(Finding(place=place, text="not an object"))
+            findings.append(Finding(place=place, text="not an object"))
             continue
+        objects.append(row)
         name = row.get("name")
         if not isinstance(name, str) or not name:
-            bad.append(Finding(place=f"{place}.name", text="missing or not a text"))
+            findings.append(Finding(place=f"{place}.name", text="missing or not a text"))
         elif name in names:
-            bad.append(Finding(place=f"{place}.name", text=f"{name!r} stands twice"))
+            findings.append(Finding(place=f"{place}.name", text=f"{name!r} stands twice"))
         else:
             names.add(name)
-        out.append(row)
-    return out
-
-
-def _route(*, row: dict[str, Any], place: str, backends: set[str], bad: list[Finding]) -> None:
-    for key in ("host-name", "path-prefix", "backend"):
-        if not isinstance(row.get(key), str) or not row[key]:
-            bad.append(Finding(place=f"{place}.{key}", text="missing or not a text"))
-    prefix = row.get("path-prefix")
-    if isinstance(prefix, str) and not prefix.startswith("/"):
-        bad.append(Finding(place=f"{place}.path-prefix", text="does not begin with /"))
-    if isinstance(row.get("backend"), str) and row["backend"] not in backends:
-        bad.append(Finding(place=f"{place}.backend", text=f"unknown service {row['backend']!r}"))
-    if not _num(row.get("deadline-ms")) or not 0 < row["deadline-ms"] <= NUMBER_MOST:
-        bad.append(Finding(place=f"{place}.deadline-ms", text="must be above 0, and at most 2^53"))
-    for key in ("target-ms", "rank", "max-tries", "stretch"):
-        if key in row and (not _num(row[key]) or not 0 <= row[key] <= NUMBER_MOST):
-            bad.append(Finding(place=f"{place}.{key}", text="not a number from 0 to 2^53"))
-
-
-def _deeper(*, value: Any, most: int) -> bool:
-    """Whether lists and objects are nested in more than `most` levels.
-
-    >>> _deeper(value={"a": [[1]]}, most=3), _deeper(value={"a": [[1]]}, most=2)
-    (False, True)
-    """
-    level = [value]
-    for _ in range(most + 1):
-        holders = [item for item in level if isinstance(item, (dict, list))]
-        if not holders:
-            return False
-        level = [item for holder in holders for item in (holder.values() if isinstance(holder, dict) else holder)]
-    return True
+    return objects
+
+
+def _route_findings(*, row: dict[str, Any], place: str, services: set[str]) -> list[Finding]:
+    """What is wrong with a route, its name apart. `services`: the names that it may give as its backend."""
+
+    def is_known_service(backend: object) -> bool:
+        return not isinstance(backend, str) or backend in services
+
+    unknown_service = FieldCheck(
+        key="backend", is_valid=is_known_service, text=f"unknown service {row.get('backend')!r}"
+    )
+    return _findings(checks=(*_ROUTE_CHECKS, unknown_service, *_ROUTE_NUMBER_CHECKS), row=row, place=place)
+
+
+def _routes_findings(*, routes: list[dict[str, Any]], services: set[str]) -> Iterator[Finding]:
+    """What is wrong with the routes, each by itself and together."""
+    first_indexes: dict[tuple[str, str], int] = {}
+    for index, row in enumerate(routes):
+        place = f"route-table[{index}]"
+        yield from _route_findings(row=row, place=place, services=services)
+        host_and_prefix = (str(row.get("host-name")).lower(), str(row.get("path-prefix")))
+        first_index = first_indexes.setdefault(host_and_prefix, index)
+        if first_index != index:
+            yield Finding(place=place, text=f"shares host and prefix with [{first_index}]")
+
+
+def _limits_findings(*, limits: Any) -> list[Finding]:
+    if not isinstance(limits, dict):
+        return [Finding(place="limits", text="not an object")]
+    return _findings(checks=_LIMIT_CHECKS, row=limits, place="limits")
 
 
 def check(*, document: Any) -> dict[str, Any]:
-    """Return the document if it is a valid configuration, else raise with every finding.
+    """Return the document if it is a valid configuration.
+
+    Raises:
+        InvalidInputError: It isn't; with all findings.
 
     >>> try:
     ...     check(document={"config-version": 1, "route-table": [{"name": "r"}], "service-table": []})
@@ -92,102 +188,74 @@
     ...     [f.place for f in err.findings][:2]
     ['route-table[0].host-name', 'route-table[0].path-prefix']
     """
-    bad: list[Finding] = []
     if not isinstance(document, dict):
         raise InvalidInputError(text="not an object", findings=[Finding(place="(body)", text="not an object")])
-    if _deeper(value=document, most=DEPTH_MOST):
-        raise InvalidInputError(
-            text="nested too deeply",
-            findings=[Finding(place="(body)", text=f"more than {DEPTH_MOST} levels of lists and objects")],
-        )
-    version = document.get("config-version")
-    if not isinstance(version, int) or isinstance(version, bool) or not 1 <= version <= NUMBER_MOST:
-        bad.append(Finding(place="config-version", text=f"missing or not a whole number from 1 to {NUMBER_MOST}"))
-    services = _table(document=document, key="service-table", bad=bad)
-    routes = _table(document=document, key="route-table", bad=bad)
-    backends = {str(s.get("name")) for s in services}
-    places: dict[tuple[str, str], int] = {}
-    for i, row in enumerate(routes):
-        _route(row=row, place=f"route-table[{i}]", backends=backends, bad=bad)
-        key = (str(row.get("host-name")).lower(), str(row.get("path-prefix")))
-        if key in places:
-            bad.append(Finding(place=f"route-table[{i}]", text=f"shares host and prefix with [{places[key]}]"))
-        places.setdefault(key, i)
-    limits = document.get("limits", {})
-    if not isinstance(limits, dict):
-        bad.append(Finding(place="limits", text="not an object"))
-    else:
-        bad += [
-            Finding(place=f"limits.{k}", text="not a number from 1 to 2^53")
-            for k in _LIMITS
-            if k in limits and (not _num(limits[k]) or not 1 <= limits[k] <= NUMBER_MOST)
-        ]
-    if bad:
-        raise InvalidInputError(text="configuration is invalid", findings=bad)
+    if _is_deeper(value=document, depth=MAX_NESTING_DEPTH):
+        text = f"more than {MAX_NESTING_DEPTH} levels of lists and objects"
+        raise InvalidInputError(text="nested too deeply", findings=[Finding(place="(body)", text=text)])
+    findings = _findings(checks=(_VERSION_CHECK,), row=document, place="")
+    services = _table_rows(document=document, table="service-table", findings=findings)
+    routes = _table_rows(document=document, table="route-table", findings=findings)
+    service_names = {str(service.get("name")) for service in services}
+    findings += _routes_findings(routes=routes, services=service_names)
+    findings += _limits_findings(limits=document.get("limits", {}))
+    if findings:
+        raise InvalidInputError(text="configuration is invalid", findings=findings)
     return document
 
 
 def patch(*, base: dict[str, Any], change: Any) -> dict[str, Any]:
-    """The configuration that a PATCH makes of `base`; not yet checked as a whole.
+    """The configuration that a PATCH makes of `base`, which stays as it is; not yet checked as a whole.
+
+    Raises:
+        InvalidInputError: The change is malformed; with all findings.
 
     >>> old = {"config-version": 1, "route-table": [{"name": "a", "x": 1}, {"name": "b"}], "service-table": []}
     >>> patch(base=old, change={"config-version": 2, "upserts": {"route-table": [{"name": "a", "x": 2}]},
     ...       "removals": {"route-table": ["b"]}})["route-table"]
     [{'name': 'a', 'x': 2}]
     """
-    bad: list[Finding] = []
     if not isinstance(change, dict):
         raise InvalidInputError(text="not an object", findings=[Finding(place="(body)", text="not an object")])
-    out = {**base, "config-version": change.get("config-version")}
-    for part in ("upserts", "removals"):
+    findings: list[Finding] = []
+    result = {**base, "config-version": change.get("config-version")}
+    for part, apply_items in (("upserts", _upsert), ("removals", _remove)):
         tables = change.get(part, {})
         if not isinstance(tables, dict):
-            bad.append(Finding(place=part, text="not an object"))
+            findings.append(Finding(place=part, text="not an object"))
             continue
-        for key, items in tables.items():
-            if key not in _TABLES or not isinstance(items, list):
-                bad.append(Finding(place=f"{part}.{key}", text="unknown table or not a list"))
+        for table, items in tables.items():
+            if table not in _TABLES or not isinstance(items, list):
+                findings.append(Finding(place=f"{part}.{table}", text="unknown table or not a list"))
                 continue
-            rows = {r["name"]: r for r in out.get(key, [])}  # in order: what is replaced keeps its place
-            for i, item in enumerate(items):
-                name = item if part == "removals" else item.get("name") if isinstance(item, dict) else None
-                if not isinstance(name, str):
-                    bad.append(Finding(place=f"{part}.{key}[{i}]", text="no name"))
-                elif part == "removals":
-                    rows.pop(name, None)
-                else:
-                    rows[name] = item
-            out[key] = list(rows.values())
-    unknown = set(change) - {"config-version", "upserts", "removals", "limits"}
-    bad += [Finding(place=key, text="not part of a change") for key in sorted(unknown)]
+            rows = {row["name"]: row for row in result.get(table, [])}
+            findings += [
+                Finding(place=f"{part}.{table}[{index}]", text="no name") for index in apply_items(rows, items)
+            ]
+            result[table] = list(rows.values())
+    findings += [Finding(place=key, text="not part of a change") for key in sorted(set(change) - _CHANGE_FIELDS)]
     if "limits" in change:
-        out["limits"] = change["limits"]
-    if bad:
-        raise InvalidInputError(text="change is invalid", findings=bad)
-    return out
+        result["limits"] = change["limits"]
+    if findings:
+        raise InvalidInputError(text="change is invalid", findings=findings)
+    return result
 
 
-class Table:
-    """Routes by host and prefix, ready for look-ups; one is built for each configuration.
+def _upsert(rows: dict[str, Any], items: list[Any]) -> list[int]:
+    """Add rows or replace them where they stand; returns the indexes of items without a name."""
+    nameless: list[int] = []
+    for index, item in enumerate(items):
+        name = item.get("name") if isinstance(item, dict) else None
+        if isinstance(name, str):
+            rows[name] = item
+        else:
+            nameless.append(index)
+    return nameless
 
-    Invariant: `hosts` holds, by host, the routes by prefix and the prefixes' lengths, longest first.
-    """
 
-    def __init__(self, *, document: dict[str, Any]) -> None:
-        self.config_version: int = document["config-version"]
-        self.routes: dict[str, dict[str, Any]] = {r["name"]: r for r in document["route-table"]}
-        self.services: dict[str, dict[str, Any]] = {s["name"]: s for s in document["service-table"]}
-        self.limits: dict[str, Any] = document.get("limits", {})
-        hosts: dict[str, dict[str, dict[str, Any]]] = {}
-        for row in document["route-table"]:
-            hosts.setdefault(row["host-name"].lower(), {}).setdefault(row["path-prefix"], row)
-        self.hosts = {h: (rows, sorted({len(p) for p in rows}, reverse=True)) for h, rows in hosts.items()}
-
-    def select(self, *, host: str, path: str) -> dict[str, Any] | None:
-        """The route of the longest prefix, or None: one look-up for each length of prefix there is."""
-        rows, sizes = self.hosts.get(host.split(":", 1)[0].lower(), ({}, []))
-        for size in sizes:
-            row = rows.get(path[:size])
-            if row is not None:
-                return row
-        return None
+def _remove(rows: dict[str, Any], items: list[Any]) -> list[int]:
+    """Remove the rows of these names; returns the indexes of items that aren't names."""
+    for name in items:
+        if isinstance(name, str):
+            rows.pop(name, None)
+    return [index for index, name in enumerate(items) if not isinstance(name, str)]
--- /dev/null
+++ b/yarrowloom/cluster_state/routing_table.py
@@ -0,0 +1,127 @@
+"""What the code uses of a valid configuration, as typed records made once for each version."""
+
+from dataclasses import dataclass, field
+from typing import Any
+
+from ..common.records import Record
+
+DEFAULT_RANK = 9
+DEFAULT_MAX_ATTEMPTS = 1
+DEFAULT_TARGET_MS = 0.0
+DEFAULT_STRETCH = 1.0
+
+
+class Route(Record, frozen=True, kw_only=True):
+    """A queue: whose jobs it takes, and how these are scheduled.
+
+    Attributes:
+        name: Unique in a configuration.
+        host_name: The host of its URLs. Host, in any case, and prefix together are unique in a configuration.
+        path_prefix: How the paths of its URLs begin.
+        deadline_ms: How long a caller waits for a response at most; above 0.
+        backend: Name of the service whose minions run its tasks.
+        rank: Jobs of a lower rank are scheduled first.
+        max_attempts: How many failed runs of a task end its job.
+        target_ms: With `stretch`, the time within which a job earns its whole value.
+        stretch: By how much the length of a job's longest chain counts in that time.
+    """
+
+    name: str
+    host_name: str
+    path_prefix: str
+    deadline_ms: float
+    backend: str
+    rank: int = DEFAULT_RANK
+    max_attempts: int = DEFAULT_MAX_ATTEMPTS
+    target_ms: float = DEFAULT_TARGET_MS
+    stretch: float = DEFAULT_STRETCH
+
+    @classmethod
+    def from_document(cls, *, row: dict[str, Any]) -> "Route":
+        """The route of a valid row of the published route table."""
+        return cls(
+            name=row["name"],
+            host_name=row["host-name"],
+            path_prefix=row["path-prefix"],
+            deadline_ms=float(row["deadline-ms"]),
+            backend=row["backend"],
+            rank=int(row.get("rank", DEFAULT_RANK)),
+            max_attempts=int(row.get("max-tries", DEFAULT_MAX_ATTEMPTS)),
+            target_ms=float(row.get("target-ms", DEFAULT_TARGET_MS)),
+            stretch=float(row.get("stretch", DEFAULT_STRETCH)),
+        )
+
+
+class RequestLimits(Record, frozen=True, kw_only=True):
+    """Limits on requests of clients; None: the configuration says nothing of it."""
+
+    max_header_bytes: int | None = None
+    max_body_bytes: int | None = None
+    header_timeout_ms: int | None = None
+    idle_timeout_ms: int | None = None
+
+    @classmethod
+    def from_document(cls, *, limits: dict[str, Any]) -> "RequestLimits":
+        """The limits of a valid configuration; numbers are cut to whole ones."""
+
+        def whole_number(key: str) -> int | None:
+            return int(limits[key]) if key in limits else None
+
+        return cls(
+            max_header_bytes=whole_number("max-header-bytes"),
+            max_body_bytes=whole_number("max-body-bytes"),
+            header_timeout_ms=whole_number("header-timeout-ms"),
+            idle_timeout_ms=whole_number("idle-timeout-ms"),
+        )
+
+
+@dataclass(slots=True, kw_only=True)
+class HostRoutes:
+    """The routes of one host.
+
+    Attributes:
+        by_prefix: The routes by path prefix.
+        prefix_lengths: The lengths of these prefixes, each once, the longest first.
+    """
+
+    by_prefix: dict[str, Route] = field(default_factory=dict)
+    prefix_lengths: list[int] = field(default_factory=list)
+
+
+class RoutingTable:
+    """Routes by name, and by host and path, and the limits of one version of the configuration.
+
+    Attributes:
+        config_version: The version that it was made of.
+        routes: By name, in the order of the route table.
+        limits: Limits on requests of clients.
+        hosts: By host name in lower case, its routes.
+    """
+
+    def __init__(self, *, document: dict[str, Any]) -> None:
+        """Make the table of a valid configuration, which it does not keep."""
+        self.config_version: int = document["config-version"]
+        self.routes = {row["name"]: Route.from_document(row=row) for row in document["route-table"]}
+        self.limits = RequestLimits.from_document(limits=document.get("limits", {}))
+        self.hosts: dict[str, HostRoutes] = {}
+        for route in self.routes.values():
+            host = self.hosts.setdefault(route.host_name.lower(), HostRoutes())
+            host.by_prefix.setdefault(route.path_prefix, route)
+        for host in self.hosts.values():
+            host.prefix_lengths = sorted({len(prefix) for prefix in host.by_prefix}, reverse=True)
+
+    def select(self, *, host: str, path: str) -> Route | None:
+        """The route with the longest prefix of a path, or None: one look-up for each length of prefix there is.
+
+        Args:
+            host: The request's Host header; a port is passed over, as is case.
+            path: The request's path, without its query.
+        """
+        host_routes = self.hosts.get(host.split(":", 1)[0].lower())
+        if host_routes is None:
+            return None
+        for length in host_routes.prefix_lengths:
+            route = host_routes.by_prefix.get(path[:length])
+            if route is not None:
+                return route
+        return None
--- a/yarrowloom/node/core_environment.py
+++ b/yarrowloom/node/core_environment.py
@@ -166,7 +166,7 @@
 
     def ranks(self) -> dict[str, int]:
         """The queues of the newest configuration, with their ranks."""
-        return {name: int(row.get("rank", 9)) for name, row in self.table.routes.items()} if self.table else {}
+        return {name: route.rank for name, route in self.table.routes.items()} if self.table else {}
 
     def evacuations(self) -> frozenset[str]:
         """Sites to which nothing is to be sent."""
--- a/yarrowloom/node/edge.py
+++ b/yarrowloom/node/edge.py
@@ -6,6 +6,7 @@
 from typing import Any
 from urllib.parse import urlsplit
 
+from ..cluster_state.routing_table import Route
 from ..common.errors import InvalidInputError
 from ..common.log import Log
 from ..common.settings import NodeSettings
@@ -29,7 +30,7 @@
     call: Any
     req: Request
     path: str = ""
-    route: dict[str, Any] | None = None
+    route: Route | None = None
     rest: str = ""
     job: Submission | None = None
     ttl: float = 0.0  # seconds until it must be answered
@@ -65,11 +66,11 @@
     def configured(self) -> None:
         """The operator's limits hold for callers from now on."""
         assert self.table is not None
-        lim = self.table.limits
-        self.limits.header_bytes = int(lim.get("max-header-bytes", self.limits.header_bytes))
-        self.limits.body_bytes = int(lim.get("max-body-bytes", self.limits.body_bytes))
-        self.limits.header_ms = int(lim.get("header-timeout-ms", self.limits.header_ms))
-        self.limits.idle_ms = int(lim.get("idle-timeout-ms", self.limits.idle_ms))
+        configured = self.table.limits  # each is at least 1 where it is set
+        self.limits.header_bytes = configured.max_header_bytes or self.limits.header_bytes
+        self.limits.body_bytes = configured.max_body_bytes or self.limits.body_bytes
+        self.limits.header_ms = configured.header_timeout_ms or self.limits.header_ms
+        self.limits.idle_ms = configured.idle_timeout_ms or self.limits.idle_ms
 
     def ready(self) -> bool:
         """Can serve: configured, with a proof of contact with a primary that is young enough, and knows who keeps the
@@ -114,7 +115,7 @@
         way.route = self.table.select(host=way.req.headers.get("host", ""), path=way.path)
         if way.route is None:
             return self._by_table(response=Response.of(404, {"error": "no such queue"}))
-        way.rest = way.path[len(way.route["path-prefix"]) :].strip("/")
+        way.rest = way.path[len(way.route.path_prefix) :].strip("/")
         return None
 
     def _named(self, way: Way) -> Response | None:
@@ -131,7 +132,7 @@
     def _timely(self, way: Way) -> Response | None:
         """How long the caller waits: by the route, or less by its own word."""
         assert way.route is not None
-        left = float(way.route["deadline-ms"])
+        left = way.route.deadline_ms
         try:
             said = float(way.req.headers.get("x-deadline-ms", left))
         except ValueError:
@@ -158,7 +159,7 @@
 
     def _forward(self, way: Way) -> None:
         assert way.route is not None
-        name, method = way.route["name"], way.req.method
+        name, method = way.route.name, way.req.method
         ttl, size = way.ttl, len(way.req.body)
         self.hand += size
         seen = self._seen(way)
@@ -172,7 +173,7 @@
         b: dict[str, Any] = {"id": way.rest, "q": name, **seen}
         if method == "POST":
             assert way.job is not None
-            b["j"] = {**way.job.document(), "svc": way.route["backend"], "mt": int(way.route.get("max-tries", 1))}
+            b["j"] = {**way.job.document(), "svc": way.route.backend, "mt": way.route.max_attempts}
         op = {"POST": "put", "GET": "get", "DELETE": "del"}[method]
         self.calls.start(group_id=group_id, op=op, b=b, done=(op, way.call, size), ttl=ttl)
 
--- a/yarrowloom/node/node_base.py
+++ b/yarrowloom/node/node_base.py
@@ -5,8 +5,8 @@
 
 import orjson
 
-from ..cluster_state.config import Table
 from ..cluster_state.config_delta import ConfigDelta, ConfigHistory
+from ..cluster_state.routing_table import Route, RoutingTable
 from ..common.log import Log
 from ..common.records import decode
 from ..common.settings import NodeSettings
@@ -45,7 +45,7 @@
         self.wall_now = 0.0
         self.out = Outbox()
         self.config: dict[str, Any] | None = None
-        self.table: Table | None = None
+        self.table: RoutingTable | None = None
         self.past = ConfigHistory()
         self.torn = False  # a change did not give what it should: the whole is wanted
         self.registry_version = -1
@@ -172,7 +172,7 @@
 
     def _configure(self, *, document: dict[str, Any]) -> None:
         self.config = self.past.add(document=document)
-        self.table, self.torn, self.behind = Table(document=self.config), False, -1.0
+        self.table, self.torn, self.behind = RoutingTable(document=self.config), False, -1.0
         self.note(event="config-applied", config_version=self.table.config_version, routes=len(self.table.routes))
         self.configured()
 
@@ -207,7 +207,7 @@
         """A call of this node has ended."""
         raise NotImplementedError
 
-    def route(self, *, name: str) -> dict[str, Any] | None:
+    def route(self, *, name: str) -> Route | None:
         """A route by name."""
         return self.table.routes.get(name) if self.table is not None else None
 
@@ -218,7 +218,7 @@
     def select(self, *, host: str, path: str) -> str:
         """The queue that a path belongs to by the configuration in force here; empty: none."""
         route = self.table.select(host=host, path=path) if self.table is not None else None
-        return str(route["name"]) if route is not None else ""
+        return route.name if route is not None else ""
 
     def proof_age_ms(self) -> int | None:
         """How old the proof of contact with group 0's primary is; None: there was none yet."""
--- a/yarrowloom/scheduling/environment.py
+++ b/yarrowloom/scheduling/environment.py
@@ -2,6 +2,7 @@
 
 from typing import Any, Protocol
 
+from ..cluster_state.routing_table import Route
 from ..transport.envelope import Kind
 
 
@@ -15,7 +16,7 @@
     def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
         """To another node, or to itself."""
 
-    def route(self, *, name: str) -> dict[str, Any] | None:
+    def route(self, *, name: str) -> Route | None:
         """The queue's route in the newest configuration."""
 
     def config_version(self) -> int:
--- a/yarrowloom/scheduling/job_queue.py
+++ b/yarrowloom/scheduling/job_queue.py
@@ -7,6 +7,7 @@
 
 from msgspec import UNSET
 
+from ..cluster_state.routing_table import DEFAULT_RANK, DEFAULT_STRETCH, DEFAULT_TARGET_MS
 from ..jobs.effects import JobEffect, JobEnded, JobTimed, StopTask, UnitReady
 from ..jobs.model import RUNNING, WAITING, Job
 from ..jobs.state_machine import Jobs
@@ -22,7 +23,6 @@
 LIVE_MOST = 5000  # jobs in hand; what comes beyond is refused at once and never runs
 LATE = 3.0  # past this many aims a job earns nothing any more
 STOP_AGAIN_S = 1.0
-RANKING_KEYS = ("backend", "rank", "target-ms", "stretch")  # of a route: what a group's service and place rest on
 AGAIN_S = 1.0  # a claim repeated sooner gets the same attachment once more
 
 
@@ -92,25 +92,27 @@
         """The queue's limit on failed runs."""
         route = self.environment.route(name=job.queue)
         if route is not None:
-            return int(route.get("max-tries", 1))
+            return route.max_attempts
         return job.max_attempts if job.max_attempts is not UNSET else 1
 
     def service(self, *, job: Job) -> str:
         """Where the queue's tasks run now."""
         route = self.environment.route(name=job.queue)
-        return str(route["backend"]) if route is not None else job.service
+        return route.backend if route is not None else job.service
 
     def rank(self, *, job: Job) -> int:
         """The queue's rank; 0 goes first."""
-        return int((self.environment.route(name=job.queue) or {}).get("rank", 9))
+        route = self.environment.route(name=job.queue)
+        return route.rank if route is not None else DEFAULT_RANK
 
     # -- groups
 
     def aim(self, *, job: Job) -> float:
         """Milliseconds within which a job earns all its worth."""
-        route = self.environment.route(name=job.queue) or {}
+        route = self.environment.route(name=job.queue)
+        target_ms, stretch = (route.target_ms, route.stretch) if route else (DEFAULT_TARGET_MS, DEFAULT_STRETCH)
         chain = sum(s.estimate_ms for s in job.steps)
-        return max(float(route.get("target-ms", 0)) + float(route.get("stretch", 1)) * chain, 500.0)
+        return max(target_ms + stretch * chain, 500.0)
 
     def prio(self, *, job_id: str, key: str, seen: float) -> tuple[Prio, float]:
         """A group's place: what can still earn, the queue's rank, the latest start within the aim, first seen; and
@@ -177,8 +179,9 @@
             self.backlog.remove(job_id=job_id, key=key)
 
     def _ranking(self, *, queue: str) -> tuple[Any, ...]:
-        route = self.environment.route(name=queue) or {}
-        return tuple(route.get(key) for key in RANKING_KEYS)
+        """What a group's service and place in the order rest on; empty where the queue is no more."""
+        route = self.environment.route(name=queue)
+        return (route.backend, route.rank, route.target_ms, route.stretch) if route is not None else ()
 
     def configured(self) -> None:
         """A newer configuration: ranks, aims and services of some queues may differ; their groups move."""
--- a/yarrowloom/testbed/state_cost.py
+++ b/yarrowloom/testbed/state_cost.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from ..cluster_state.config import Table
+from ..cluster_state.routing_table import RoutingTable
 from ..jobs.state_machine import Jobs
 from ..jobs.submission import parse
 from ..prediction import History
@@ -93,11 +93,11 @@
     """A configuration: bytes a route in memory and on disk, and the time to build its table."""
     document = config(version=1, more=count)
     raw = orjson.dumps(document)
-    _, held = memory_bytes(lambda: Table(document=orjson.loads(raw)))
-    table = Table(document=document)
+    _, held = memory_bytes(lambda: [loaded := orjson.loads(raw), RoutingTable(document=loaded)])
+    table = RoutingTable(document=document)
     return {
         "bytes-a-route": len(raw) / count,
         "memory-a-route": held / count,
-        "build-us-a-route": clock_us(lambda: Table(document=document), times=5) / count,
+        "build-us-a-route": clock_us(lambda: RoutingTable(document=document), times=5) / count,
         "select-us": clock_us(lambda: table.select(host="rig.example", path="/idle-7/x"), times=2000),
     }
