--- a/docs/experiments/growth_state.py
+++ b/docs/experiments/growth_state.py
@@ -17,7 +17,7 @@
 
 from yarrowloom.jobs.state_machine import Jobs
 from yarrowloom.storage import Ring
-from yarrowloom.transport.envelope import Frame, Kind, Splitter, dump, pack
+from yarrowloom.transport.envelope import Frame, FrameDecoder, Kind, dump, pack_frame
 
 
 def fill(*, live: int, ended: int, tasks: int) -> Jobs:
@@ -92,14 +92,16 @@
     for live in map(int, arg.live.split(",")):
         jobs = fill(live=live, ended=arg.ended, tasks=arg.tasks)
         t_dump, body = ms(lambda: dump(body={"g": 1, "st": jobs.dump()}))  # noqa: B023
-        t_pack, raw = ms(
-            lambda: pack(frame=Frame(kind=int(Kind.SNAPSHOT), src="a:1", node_id="u", boot=1, seq=1, body=body))  # noqa: B023
+        t_pack, encoded = ms(
+            lambda: pack_frame(
+                frame=Frame(kind=int(Kind.SNAPSHOT), source="a:1", node_id="u", boot=1, sequence=1, body=body)
+            )  # noqa: B023
         )
 
         def cut() -> Any:
-            s, got = Splitter(), []
-            for at in range(0, len(raw), 65536):  # noqa: B023
-                got += list(s.feed(raw[at : at + 65536]))  # noqa: B023
+            s, got = FrameDecoder(), []
+            for at in range(0, len(encoded), 65536):  # noqa: B023
+                got += list(s.feed(encoded[at : at + 65536]))  # noqa: B023
             return got
 
         t_cut, _ = ms(cut)
@@ -117,7 +119,7 @@
                 ring.append(bodies=[body])
             t_ring, _ = ms(lambda: Ring(folder=folder, size=8 << 20).load())
             ring.close()
-        link = len(raw) * 8 / 100e6 * 1e3
+        link = len(encoded) * 8 / 100e6 * 1e3
         print(
             f"live={live} ended={arg.ended} tasks={arg.tasks}: {len(body) / 1e6:.2f} MB, "
             f"larger than a ring file: {full}; ms: "
--- a/tests/transport/test_codec.py
+++ b/tests/transport/test_codec.py
@@ -12,7 +12,7 @@
 from yarrowloom.common.errors import InvalidInputError, SettingsError, StaleVersionError, YarrowError
 from yarrowloom.common.settings import check as check_startup
 from yarrowloom.jobs.submission import parse
-from yarrowloom.transport.envelope import Frame, Lane, Sealer, Splitter, pack
+from yarrowloom.transport.envelope import Frame, FrameDecoder, FrameEncoder, Lane, pack_frame
 
 
 def noise(*, rng: random.Random, document: Any, depth: int = 0) -> Any:
@@ -55,25 +55,25 @@
     sent = [
         Frame(
             lane=rng.randint(1, 3),
-            src=f"a{i}",
+            source=f"a{i}",
             node_id="u#1",
             incarnation=rng.getrandbits(50),
-            seq=i + 1,
+            sequence=i + 1,
             body=rng.randbytes(rng.randint(0, 2000)),
         )
         for i in range(8)
     ]
-    raw = b"".join(pack(frame=f) for f in sent)
-    cut, got, at = Splitter(), [], 0
-    while at < len(raw):
+    encoded = b"".join(pack_frame(frame=f) for f in sent)
+    cut, got, at = FrameDecoder(), [], 0
+    while at < len(encoded):
         n = rng.randint(1, 700)
-        got += cut.feed(raw[at : at + n])
+        got += cut.feed(encoded[at : at + n])
         at += n
     assert got == sent
-    torn = bytearray(raw)
+    torn = bytearray(encoded)
     torn[rng.randrange(len(torn))] ^= 1 << rng.randint(0, 7)
     try:
-        Splitter().feed(bytes(torn))
+        FrameDecoder().feed(bytes(torn))
     except ValueError:
         pass
 
@@ -81,21 +81,28 @@
 @pytest.mark.parametrize("seed", range(60))
 def test_the_short_way_reads_and_writes_frames_as_the_long_way_does(seed: int) -> None:
     rng = random.Random(seed)
-    cut, num = Splitter(), 0
+    cut, number = FrameDecoder(), 0
     for _ in range(6):
-        lane, src, incarnation = rng.choice(list(Lane)), rng.choice(["a", "", "b:1"]), rng.choice([0, 7, 1 << 50])
-        sealer = Sealer(lane=lane, src=src, node_id=src + "#0", incarnation=incarnation)
+        lane, source, incarnation = rng.choice(list(Lane)), rng.choice(["a", "", "b:1"]), rng.choice([0, 7, 1 << 50])
+        sealer = FrameEncoder(lane=lane, source=source, node_id=source + "#0", incarnation=incarnation)
         for _ in range(rng.randint(1, 4)):
-            num += rng.choice([1, 1, 200, 1 << 40])
+            number += rng.choice([1, 1, 200, 1 << 40])
             body = rng.randbytes(rng.choice([1, 126, 127, 128, 20000]))
-            want = Frame(lane=int(lane), src=src, node_id=src + "#0", incarnation=incarnation, seq=num, body=body)
-            raw = sealer.seal(seq=num, body=body)
-            assert raw == pack(frame=want)
-            assert cut.feed(raw) == [want]
-    torn = bytearray(raw)
+            want = Frame(
+                lane=int(lane),
+                source=source,
+                node_id=source + "#0",
+                incarnation=incarnation,
+                sequence=number,
+                body=body,
+            )
+            encoded = sealer.encode(sequence=number, body=body)
+            assert encoded == pack_frame(frame=want)
+            assert cut.feed(encoded) == [want]
+    torn = bytearray(encoded)
     torn[rng.randrange(4, len(torn))] ^= 1 << rng.randint(0, 7)
     try:
-        fresh, known = Splitter().feed(bytes(torn)), cut.feed(bytes(torn))
+        fresh, known = FrameDecoder().feed(bytes(torn)), cut.feed(bytes(torn))
     except ValueError:
         return
     assert known == fresh
--- a/tests/transport/test_http_server.py
+++ b/tests/transport/test_http_server.py
@@ -13,8 +13,8 @@
 from yarrowloom.transport.http_server import Limits, Request, Response, Server
 
 
-async def echo(req: Request) -> Response:
-    return Response.of(200, {"n": len(req.body)})
+async def echo(request: Request) -> Response:
+    return Response.of(200, {"n": len(request.body)})
 
 
 def talk(*, data: bytes, wait: float = 0.0, closing: bool = False, limits: Limits | None = None) -> tuple[bytes, float]:
@@ -22,11 +22,11 @@
 
     async def main() -> tuple[bytes, float]:
         ours, theirs = trio.testing.memory_stream_pair()
-        srv = Server(handler=echo, limits=limits or Limits(), closing=closing)
+        server = Server(handler=echo, limits=limits or Limits(), closing=closing)
         begun = trio.current_time()
         got = b""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(srv.serve, cast(trio.SocketStream, theirs))
+            nursery.start_soon(server.serve, cast(trio.SocketStream, theirs))
             await ours.send_all(data)
             while chunk := await ours.receive_some(65536):
                 got += chunk
@@ -51,14 +51,14 @@
 
 
 def test_oversized_head_and_body() -> None:
-    lim = Limits(header_bytes=2048, body_bytes=10)
-    got, _ = talk(data=b"GET /a HTTP/1.1\r\nHost: h\r\nX: " + b"y" * 9000 + b"\r\n\r\n", limits=lim)
+    limits = Limits(header_bytes=2048, body_bytes=10)
+    got, _ = talk(data=b"GET /a HTTP/1.1\r\nHost: h\r\nX: " + b"y" * 9000 + b"\r\n\r\n", limits=limits)
     assert got.startswith(b"HTTP/1.1 431")
-    got, _ = talk(data=b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 11\r\n\r\n", limits=lim)
+    got, _ = talk(data=b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 11\r\n\r\n", limits=limits)
     assert got.startswith(b"HTTP/1.1 413")
     got, _ = talk(
         data=b"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nb\r\nhello world\r\n0\r\n\r\n",
-        limits=lim,
+        limits=limits,
     )
     assert got.startswith(b"HTTP/1.1 413")
 
@@ -76,10 +76,10 @@
     assert took < 1
 
 
-async def mirror(req: Request) -> Response:
+async def mirror(request: Request) -> Response:
     return Response.of(
-        200 if req.body else 404,
-        [req.method, req.path, sorted(req.headers.items()), len(req.body)],
+        200 if request.body else 404,
+        [request.method, request.path, sorted(request.headers.items()), len(request.body)],
         headers=(("retry-after", "1"),),
     )
 
@@ -89,7 +89,7 @@
 
     async def main() -> tuple[bytes, float]:
         ours, theirs = trio.testing.memory_stream_pair()
-        srv = Server(handler=mirror, limits=Limits(header_bytes=2048, body_bytes=500))
+        server = Server(handler=mirror, limits=Limits(header_bytes=2048, body_bytes=500))
         got = b""
 
         async def push() -> None:
@@ -104,7 +104,7 @@
 
         begun = trio.current_time()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(srv.serve, cast(trio.SocketStream, theirs))
+            nursery.start_soon(server.serve, cast(trio.SocketStream, theirs))
             nursery.start_soon(push)
             while chunk := await ours.receive_some(65536):
                 got += chunk
--- a/tests/transport/test_incarnations_wire.py
+++ b/tests/transport/test_incarnations_wire.py
@@ -16,77 +16,84 @@
 from yarrowloom.node.identity import last_life
 from yarrowloom.node.startup import open_core, open_edge
 from yarrowloom.storage import Ring
-from yarrowloom.transport.envelope import Frame, Kind, Lane, bundle, pack
-from yarrowloom.transport.peer_connections import CHALLENGE_BYTES, RETIRED_MOST, Peers, Seen
+from yarrowloom.transport.envelope import Frame, Kind, Lane, join_messages, pack_frame
+from yarrowloom.transport.peer_connections import CHALLENGE_BYTES, PeerConnections
+from yarrowloom.transport.sequence_tracker import MAX_RETIRED, SequenceTracker
 
 SRC = "10.0.0.1:7000"
 LOG = Log(name="t", level="error")
 
 
 def take(
-    seen: Seen, *, node_id: str = "#0", incarnation: int = 1, seq: int = 1, connection: int = 1, lane: int = 2
+    seen: SequenceTracker,
+    *,
+    node_id: str = "#0",
+    incarnation: int = 1,
+    sequence: int = 1,
+    connection: int = 1,
+    lane: int = 2,
 ) -> bool:
     return seen.take(
-        src=SRC, lane=lane, node_id=SRC + node_id, incarnation=incarnation, seq=seq, connection=connection
+        source=SRC, lane=lane, node_id=SRC + node_id, incarnation=incarnation, sequence=sequence, connection=connection
     )[0]
 
 
 def test_frames_of_an_earlier_life_on_a_connection_that_a_cut_held_up_are_dropped() -> None:
-    seen = Seen()
-    assert take(seen, node_id="#a", seq=5, connection=1)
-    assert take(seen, node_id="#b", seq=1, connection=2)
-    assert not take(seen, node_id="#a", seq=6, connection=1)
-    assert not take(seen, node_id="#a", seq=1, connection=1, lane=1)
-    assert take(seen, node_id="#b", seq=2, connection=2)
+    seen = SequenceTracker()
+    assert take(seen, node_id="#a", sequence=5, connection=1)
+    assert take(seen, node_id="#b", sequence=1, connection=2)
+    assert not take(seen, node_id="#a", sequence=6, connection=1)
+    assert not take(seen, node_id="#a", sequence=1, connection=1, lane=1)
+    assert take(seen, node_id="#b", sequence=2, connection=2)
 
 
 def test_a_retired_life_does_not_count_again_whatever_its_connection() -> None:
-    seen = Seen()
+    seen = SequenceTracker()
     assert take(seen, node_id="#a", connection=1)
     assert take(seen, node_id="#b", connection=2)
-    assert not take(seen, node_id="#a", seq=9, connection=3)
-    for life in range(3, 3 * RETIRED_MOST):  # the set is bounded; the numbers of connections hold beyond it
+    assert not take(seen, node_id="#a", sequence=9, connection=3)
+    for life in range(3, 3 * MAX_RETIRED):  # the set is bounded; the numbers of connections hold beyond it
         assert take(seen, node_id=f"#{life}", connection=life)
-    assert not take(seen, node_id="#a", seq=9, connection=1)
+    assert not take(seen, node_id="#a", sequence=9, connection=1)
     sender = seen._senders[SRC]
-    assert len(sender.retired) == RETIRED_MOST
+    assert len(sender.retired) == MAX_RETIRED
 
 
 def test_a_life_goes_on_over_new_connections_and_whatever_their_order() -> None:
-    seen = Seen()
-    assert take(seen, seq=1, connection=4)
-    assert take(seen, seq=2, connection=9)  # a reconnect
-    assert take(seen, seq=3, connection=4)  # what the old connection still held
-    assert not take(seen, seq=2, connection=9)
-    assert take(seen, seq=1, connection=3, lane=1)  # another lane's older connection is read later
+    seen = SequenceTracker()
+    assert take(seen, sequence=1, connection=4)
+    assert take(seen, sequence=2, connection=9)  # a reconnect
+    assert take(seen, sequence=3, connection=4)  # what the old connection still held
+    assert not take(seen, sequence=2, connection=9)
+    assert take(seen, sequence=1, connection=3, lane=1)  # another lane's older connection is read later
 
 
 def test_of_one_uid_the_higher_incarnation_wins() -> None:
-    seen = Seen()
-    assert take(seen, incarnation=4, seq=70, connection=1)
-    assert take(seen, incarnation=5, seq=1, connection=2)
-    assert not take(seen, incarnation=4, seq=71, connection=1)
+    seen = SequenceTracker()
+    assert take(seen, incarnation=4, sequence=70, connection=1)
+    assert take(seen, incarnation=5, sequence=1, connection=2)
+    assert not take(seen, incarnation=4, sequence=71, connection=1)
     assert not take(
-        seen, incarnation=4, seq=71, connection=3
+        seen, incarnation=4, sequence=71, connection=3
     )  # its disk went back: what it promised since is forgotten
-    assert take(seen, incarnation=5, seq=2, connection=2)
+    assert take(seen, incarnation=5, sequence=2, connection=2)
 
 
 def test_a_core_that_lost_its_disk_begins_at_one_and_is_heard() -> None:
-    seen = Seen()
-    assert take(seen, incarnation=40, seq=9, connection=1)
-    assert take(seen, node_id="#77", incarnation=1, seq=1, connection=2)
-    assert not take(seen, incarnation=40, seq=10, connection=1)
+    seen = SequenceTracker()
+    assert take(seen, incarnation=40, sequence=9, connection=1)
+    assert take(seen, node_id="#77", incarnation=1, sequence=1, connection=2)
+    assert not take(seen, incarnation=40, sequence=10, connection=1)
 
 
 def test_a_receiver_that_stood_still_reads_two_lives_in_any_order() -> None:
     """Both lives' connections were accepted and numbered; their tasks then run in any order."""
     for order in ([1, 2], [2, 1]):
-        seen = Seen()
-        took = [take(seen, node_id=f"#{life}", seq=1, connection=life) for life in order]
+        seen = SequenceTracker()
+        took = [take(seen, node_id=f"#{life}", sequence=1, connection=life) for life in order]
         assert took == ([True, True] if order == [1, 2] else [True, False])
-        assert take(seen, node_id="#2", seq=2, connection=2)
-        assert not take(seen, node_id="#1", seq=2, connection=1)
+        assert take(seen, node_id="#2", sequence=2, connection=2)
+        assert not take(seen, node_id="#1", sequence=2, connection=1)
 
 
 @pytest.mark.parametrize("seed", range(60))
@@ -104,16 +111,16 @@
                 seqs[lane] += rng.choice([1, 1, 2])
                 rows.append((life, len(queues) + 1, lane, seqs[lane]))
             queues.append(rows)
-    seen, last, heads = Seen(), 0, dict[tuple[int, int], int]()
+    seen, last, heads = SequenceTracker(), 0, dict[tuple[int, int], int]()
     while any(queues):
-        life, connection, lane, seq = rng.choice([rows for rows in queues if rows]).pop(0)
+        life, connection, lane, sequence = rng.choice([rows for rows in queues if rows]).pop(0)
         node_id, incarnation = lives[life]
-        if take(seen, node_id=node_id, incarnation=incarnation, seq=seq, connection=connection, lane=lane):
+        if take(seen, node_id=node_id, incarnation=incarnation, sequence=sequence, connection=connection, lane=lane):
             assert life >= last
-            assert seq > heads.get((life, lane), 0)
-            last, heads[life, lane] = life, seq
+            assert sequence > heads.get((life, lane), 0)
+            last, heads[life, lane] = life, sequence
         else:
-            assert life < last or seq <= heads.get((life, lane), 0)
+            assert life < last or sequence <= heads.get((life, lane), 0)
 
 
 class Receiver:
@@ -121,7 +128,9 @@
 
     def __init__(self, nursery: trio.Nursery) -> None:
         self.got: list[tuple[str, Any]] = []
-        self.peers = Peers(address="10.0.0.9:7000", node_id="10.0.0.9:7000#0", incarnation=1, sink=self.sink, log=LOG)
+        self.peers = PeerConnections(
+            address="10.0.0.9:7000", node_id="10.0.0.9:7000#0", incarnation=1, sink=self.sink, log=LOG
+        )
         self.nursery = nursery
 
     def sink(self, node_id: str, lane: Lane, rows: list[tuple[Kind, Any]], lost: bool) -> None:
@@ -129,14 +138,16 @@
 
     async def connect(self) -> trio.StapledStream[Any, Any]:
         ours, theirs = trio.testing.memory_stream_pair()
-        self.nursery.start_soon(self.peers._take, cast(trio.SocketStream, theirs))
+        self.nursery.start_soon(self.peers._receive_connection, cast(trio.SocketStream, theirs))
         await trio.testing.wait_all_tasks_blocked()
         return ours
 
 
-def frame(*, node_id: str, seq: int, m: int, incarnation: int = 1) -> bytes:
-    body = bundle(rows=[(int(Kind.TASK_ORDERS), b"%d" % m)])
-    return pack(frame=Frame(lane=2, src=SRC, node_id=SRC + node_id, incarnation=incarnation, seq=seq, body=body))
+def frame(*, node_id: str, sequence: int, m: int, incarnation: int = 1) -> bytes:
+    body = join_messages(rows=[(int(Kind.TASK_ORDERS), b"%d" % m)])
+    return pack_frame(
+        frame=Frame(lane=2, source=SRC, node_id=SRC + node_id, incarnation=incarnation, sequence=sequence, body=body)
+    )
 
 
 def test_a_dead_life_s_frames_come_late_on_the_connection_it_had() -> None:
@@ -145,16 +156,18 @@
             to = Receiver(nursery)
             old = await to.connect()
             await old.send_all(
-                await Peers._challenge(stream=cast(trio.SocketStream, old)) + frame(node_id="#a", seq=1, m=1)
+                await PeerConnections._read_challenge(stream=cast(trio.SocketStream, old))
+                + frame(node_id="#a", sequence=1, m=1)
             )
             new = await to.connect()
             await new.send_all(
-                await Peers._challenge(stream=cast(trio.SocketStream, new)) + frame(node_id="#b", seq=1, m=2)
+                await PeerConnections._read_challenge(stream=cast(trio.SocketStream, new))
+                + frame(node_id="#b", sequence=1, m=2)
             )
             await trio.testing.wait_all_tasks_blocked()
-            await old.send_all(frame(node_id="#a", seq=2, m=3))
+            await old.send_all(frame(node_id="#a", sequence=2, m=3))
             await trio.testing.wait_all_tasks_blocked()
-            await new.send_all(frame(node_id="#b", seq=2, m=4))
+            await new.send_all(frame(node_id="#b", sequence=2, m=4))
             await trio.testing.wait_all_tasks_blocked()
             assert to.got == [(SRC + "#a", 1), (SRC + "#b", 2), (SRC + "#b", 4)]
             nursery.cancel_scope.cancel()
@@ -170,7 +183,7 @@
         async with trio.open_nursery() as nursery:
             to = Receiver(nursery)
             ghost = await to.connect()
-            await ghost.send_all(opening + frame(node_id="#a", seq=1, m=1))
+            await ghost.send_all(opening + frame(node_id="#a", sequence=1, m=1))
             await trio.testing.wait_all_tasks_blocked()
             assert to.got == []
             assert await ghost.receive_some(CHALLENGE_BYTES)
@@ -185,9 +198,11 @@
         async with trio.open_nursery() as nursery:
             to = Receiver(nursery)
             ours = await to.connect()
-            raw = await Peers._challenge(stream=cast(trio.SocketStream, ours)) + frame(node_id="#a", seq=1, m=1)
-            for at in range(0, len(raw), 3):
-                await ours.send_all(raw[at : at + 3])
+            encoded = await PeerConnections._read_challenge(stream=cast(trio.SocketStream, ours)) + frame(
+                node_id="#a", sequence=1, m=1
+            )
+            for at in range(0, len(encoded), 3):
+                await ours.send_all(encoded[at : at + 3])
                 await trio.testing.wait_all_tasks_blocked()
             assert to.got == [(SRC + "#a", 1)]
             nursery.cancel_scope.cancel()
@@ -231,7 +246,7 @@
         for _, message in rows:
             arrived.send_nowait((node_id, message))
 
-    async def live(*, peers: Peers, to: str, messages: range) -> list[tuple[str, Any]]:
+    async def live(*, peers: PeerConnections, to: str, messages: range) -> list[tuple[str, Any]]:
         """Send all and wait until they have arrived; the nursery is left once all tasks of this life have ended."""
         async with trio.open_nursery() as life:
             await life.start(peers.run)
@@ -244,12 +259,12 @@
     async def main() -> None:
         with reserved_ports(2) as ports, trio.fail_after(20):
             here, there = (f"{HOST}:{port}" for port in ports)
-            receiver = Peers(address=there, node_id=f"{there}#0", incarnation=1, sink=sink, log=LOG)
+            receiver = PeerConnections(address=there, node_id=f"{there}#0", incarnation=1, sink=sink, log=LOG)
             async with trio.open_nursery() as receiving:
                 await receiving.start(receiver.run)
                 for number, node_id in enumerate((f"{here}#a", f"{here}#b", f"{here}#c")):
                     messages = range(100 * number, 100 * number + 20)
-                    peers = Peers(address=here, node_id=node_id, incarnation=1, sink=lambda *_: None, log=LOG)
+                    peers = PeerConnections(address=here, node_id=node_id, incarnation=1, sink=lambda *_: None, log=LOG)
                     assert await live(peers=peers, to=there, messages=messages) == [(node_id, m) for m in messages]
                 receiving.cancel_scope.cancel()
 
--- a/tests/transport/test_malformed_frames.py
+++ b/tests/transport/test_malformed_frames.py
@@ -14,11 +14,11 @@
 from yarrowloom.node.runtime import Runtime
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.minions import cluster
-from yarrowloom.transport.envelope import MAX_FRAME, Frame, Kind, Lane, bundle, pack
-from yarrowloom.transport.peer_connections import Peers
+from yarrowloom.transport.envelope import MAX_FRAME, Frame, Kind, Lane, join_messages, pack_frame
+from yarrowloom.transport.peer_connections import PeerConnections
 
 SRC = "10.0.0.1:7000"
-BODY = bundle(rows=[(int(Kind.TASK_ORDERS), b'"bad"')])
+BODY = join_messages(rows=[(int(Kind.TASK_ORDERS), b'"bad"')])
 
 
 class Lines(Log):
@@ -32,17 +32,24 @@
         self.rows.append((event, fields))
 
 
-def field(*, num: int, wire: int, data: bytes) -> bytes:
-    return bytes([num << 3 | wire]) + data
+def field(*, number: int, wire: int, data: bytes) -> bytes:
+    return bytes([number << 3 | wire]) + data
 
 
-def framed(raw: bytes) -> bytes:
-    return struct.pack(">I", len(raw)) + raw
+def framed(encoded: bytes) -> bytes:
+    return struct.pack(">I", len(encoded)) + encoded
 
 
 def envelope(**changed: Any) -> bytes:
-    good: dict[str, Any] = {"lane": 2, "src": SRC, "node_id": SRC + "#0", "incarnation": 1, "seq": 1, "body": BODY}
-    return pack(frame=Frame(**{**good, **changed}))
+    good: dict[str, Any] = {
+        "lane": 2,
+        "source": SRC,
+        "node_id": SRC + "#0",
+        "incarnation": 1,
+        "sequence": 1,
+        "body": BODY,
+    }
+    return pack_frame(frame=Frame(**{**good, **changed}))
 
 
 GOOD = envelope()
@@ -51,17 +58,17 @@
     "lane 0": envelope(lane=0),
     "lane 9": envelope(lane=9),
     "lane huge": envelope(lane=(1 << 32) - 1),
-    "no source": envelope(src=""),
+    "no source": envelope(source=""),
     "uid of another address": envelope(node_id="10.0.0.2:7000#0"),
     "uid without a life": envelope(node_id=SRC),
     "incarnation 0": envelope(incarnation=0),
-    "sequence 0": envelope(seq=0),
-    "uid a number": framed(HEAD + field(num=3, wire=0, data=b"\x07")),
-    "source not text": framed(HEAD + field(num=2, wire=2, data=b"\x02\xff\xfe")),
-    "sequence a text": framed(HEAD + field(num=5, wire=2, data=b"\x01a")),
-    "lane a text": framed(HEAD + field(num=1, wire=2, data=b"\x01a")),
-    "boot a float": framed(HEAD + field(num=4, wire=1, data=bytes(8))),
-    "wire type 7": framed(HEAD + field(num=6, wire=7, data=b"")),
+    "sequence 0": envelope(sequence=0),
+    "uid a number": framed(HEAD + field(number=3, wire=0, data=b"\x07")),
+    "source not text": framed(HEAD + field(number=2, wire=2, data=b"\x02\xff\xfe")),
+    "sequence a text": framed(HEAD + field(number=5, wire=2, data=b"\x01a")),
+    "lane a text": framed(HEAD + field(number=1, wire=2, data=b"\x01a")),
+    "boot a float": framed(HEAD + field(number=4, wire=1, data=bytes(8))),
+    "wire type 7": framed(HEAD + field(number=6, wire=7, data=b"")),
     "length above the most": struct.pack(">I", MAX_FRAME + 1) + GOOD[4:],
     "length of all ones": b"\xff" * 4 + GOOD[4:],
     "empty frame": framed(b""),
@@ -84,7 +91,7 @@
     def __init__(self, nursery: trio.Nursery) -> None:
         self.got: list[Any] = []
         self.log = Lines()
-        self.peers = Peers(
+        self.peers = PeerConnections(
             address="10.0.0.9:7000", node_id="10.0.0.9:7000#0", incarnation=1, sink=self.sink, log=self.log
         )
         self.nursery = nursery
@@ -95,9 +102,9 @@
     async def bring(self, *, data: bytes, pieces: random.Random | None = None) -> None:
         """A connection that brings these bytes and ends."""
         ours, theirs = trio.testing.memory_stream_pair()
-        self.nursery.start_soon(self.peers._take, cast(trio.SocketStream, theirs))
+        self.nursery.start_soon(self.peers._receive_connection, cast(trio.SocketStream, theirs))
         await trio.testing.wait_all_tasks_blocked()
-        data = await Peers._challenge(stream=cast(trio.SocketStream, ours)) + data
+        data = await PeerConnections._read_challenge(stream=cast(trio.SocketStream, ours)) + data
         with contextlib.suppress(trio.BrokenResourceError):  # the receiver has ended it
             while data:
                 size = pieces.randint(1, 200) if pieces is not None else len(data)
@@ -116,8 +123,8 @@
     trio.run(main)
 
 
-def good(*, seq: int, m: int) -> bytes:
-    return envelope(seq=seq, body=bundle(rows=[(int(Kind.TASK_ORDERS), b"%d" % m)]))
+def good(*, sequence: int, m: int) -> bytes:
+    return envelope(sequence=sequence, body=join_messages(rows=[(int(Kind.TASK_ORDERS), b"%d" % m)]))
 
 
 @pytest.mark.parametrize("name", BAD)
@@ -128,7 +135,7 @@
         event, fields = wire.log.rows[0]
         assert event in ("peer-malformed", "frame-malformed", "frame-kind-unknown")
         assert fields
-        await wire.bring(data=good(seq=2, m=7))
+        await wire.bring(data=good(sequence=2, m=7))
         assert wire.got == [7]
 
     play(script)
@@ -141,20 +148,20 @@
     async def script(wire: Wire) -> None:
         want = []
         for turn in range(6):
-            raw = bytearray(good(seq=2 * turn + 2, m=turn))
+            encoded = bytearray(good(sequence=2 * turn + 2, m=turn))
             for _ in range(rng.randint(1, 4)):
-                raw[rng.randrange(len(raw))] = rng.randrange(256)
+                encoded[rng.randrange(len(encoded))] = rng.randrange(256)
             noise = rng.choice(
                 [
-                    bytes(raw),
+                    bytes(encoded),
                     rng.randbytes(rng.randint(1, 60)),
-                    bytes(raw)[: rng.randint(1, len(raw))],
+                    bytes(encoded)[: rng.randint(1, len(encoded))],
                     rng.choice(list(BAD.values())),
                 ]
             )
             want.append(turn)
-            await wire.bring(data=good(seq=2 * turn + 1, m=turn) + noise, pieces=rng if seed % 2 else None)
-            wire.peers._seen._senders.clear()  # noise may have passed for a frame with a number far ahead
+            await wire.bring(data=good(sequence=2 * turn + 1, m=turn) + noise, pieces=rng if seed % 2 else None)
+            wire.peers._tracker._senders.clear()  # noise may have passed for a frame with a number far ahead
         assert set(want) <= {m for m in wire.got if type(m) is int}
 
     play(script)
--- a/yarrowloom/node/runtime.py
+++ b/yarrowloom/node/runtime.py
@@ -17,7 +17,7 @@
 from ..storage import Ring
 from ..transport.envelope import Kind, Lane
 from ..transport.http_server import Limits, Request, Response, Server, listen
-from ..transport.peer_connections import Peers, Rows
+from ..transport.peer_connections import Messages, PeerConnections
 from .admission_deadline import admission_deadline_s
 from .core import CoreNode
 from .counters import Counters
@@ -60,7 +60,7 @@
     def __init__(self, *, node: Node, log: Log, ring: Ring | None, port: int) -> None:
         self.node = node
         self.log = log
-        self.peers = Peers(
+        self.peers = PeerConnections(
             address=f"{node.settings.ip}:{port}",
             node_id=node.node_id,
             incarnation=node.incarnation,
@@ -151,7 +151,7 @@
 
     # -- frames from other nodes
 
-    def receive_frames(self, node_id: str, lane: Lane, rows: Rows, lost: bool) -> None:
+    def receive_frames(self, node_id: str, lane: Lane, rows: Messages, lost: bool) -> None:
         """Queue the messages of a frame; `lost`: frames of that lane before this one did not arrive."""
         if lost:
             self._report_loss(node_id=node_id, lane=lane)
--- a/yarrowloom/simulator/cluster.py
+++ b/yarrowloom/simulator/cluster.py
@@ -10,7 +10,8 @@
 from ..node.input_scheduler import InputClass, classify_message
 from ..transport.envelope import LANES, Kind, Lane
 from ..transport.http_server import Request, Response
-from ..transport.peer_connections import MARK_S, OWED
+from ..transport.peer_connections import PROBE_INTERVAL_S
+from ..transport.send_queue import PROBES_AFTER_LOSS
 from .digest import NO_KIND
 from .errors import SimError
 from .machines.frames import Header
@@ -38,7 +39,7 @@
         if ip != dst and ((ip, dst) in self.cuts or self.rng.random() < self.loss):
             if lane is Lane.WORK and dst not in proc.owing:
                 proc.owing.add(dst)
-                self.at(delay=MARK_S, fn=lambda: self._mark(ip, proc, dst, OWED))
+                self.at(delay=PROBE_INTERVAL_S, fn=lambda: self._mark(ip, proc, dst, PROBES_AFTER_LOSS))
             return
         due = self.now if ip == dst else self.now + 0.001 + self.rng.random() * 0.002
         due = self.last[ip, dst, lane] = max(due, self.last.get((ip, dst, lane), 0.0) + 1e-7)  # in order
@@ -97,7 +98,7 @@
         if proc.up and self.procs.get(ip) is proc and left > 0:
             if (ip, dst) in self.cuts:
                 proc.owing.add(dst)
-                self.at(delay=MARK_S, fn=lambda: self._mark(ip, proc, dst, left - 1))
+                self.at(delay=PROBE_INTERVAL_S, fn=lambda: self._mark(ip, proc, dst, left - 1))
             else:
                 self._digest_frame(ip=ip, dst=dst, kind=NO_KIND, body=b"")
                 self._send(ip, proc, dst, None, b"")
--- a/yarrowloom/simulator/machines/frames.py
+++ b/yarrowloom/simulator/machines/frames.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from ...transport.envelope import Lane
-from ...transport.peer_connections import Seen
+from ...transport.sequence_tracker import SequenceTracker
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -17,13 +17,13 @@
     lane: Lane
     seq: int
 
-    def taken(self, *, seen: Seen) -> tuple[bool, bool]:
+    def taken(self, *, seen: SequenceTracker) -> tuple[bool, bool]:
         """Whether a receiver takes the frame, and whether others before it are missing."""
         return seen.take(
-            src=self.ip,
+            source=self.ip,
             lane=self.lane,
             node_id=self.node_id,
             incarnation=self.incarnation,
-            seq=self.seq,
+            sequence=self.seq,
             connection=self.connection,
         )
--- a/yarrowloom/simulator/machines/process.py
+++ b/yarrowloom/simulator/machines/process.py
@@ -6,7 +6,7 @@
 from ...node.core import CoreNode
 from ...node.edge import EdgeNode
 from ...node.input_scheduler import DuplicateFilter, InputScheduler
-from ...transport.peer_connections import Seen
+from ...transport.sequence_tracker import SequenceTracker
 
 
 class Disk:
@@ -34,5 +34,5 @@
         self.woken = 0.0
         self.spent = 0.0
         self.mark = (0, 0, 0)  # messages, bytes and HTTP calls that came with the step that runs
-        self.seen = Seen()
+        self.seen = SequenceTracker()
         self.owing: set[str] = set()  # peers that are still to learn of a loss
--- a/yarrowloom/transport/header_rules.py
+++ b/yarrowloom/transport/header_rules.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 
 
-class Act(enum.Enum):
+class Action(enum.Enum):
     """What is done."""
 
     KEEP = "keep"
@@ -18,12 +18,12 @@
 
 
 # Invariant: the first rule whose prefix fits decides; the last one fits all.
-RULES: dict[Rule, tuple[tuple[str, Act], ...]] = {
+RULES: dict[Rule, tuple[tuple[str, Action], ...]] = {
     Rule.RESPONSE: (
-        ("content-length", Act.DROP),
-        ("transfer-encoding", Act.DROP),
-        ("keep-alive", Act.DROP),
-        ("", Act.KEEP),
+        ("content-length", Action.DROP),
+        ("transfer-encoding", Action.DROP),
+        ("keep-alive", Action.DROP),
+        ("", Action.KEEP),
     ),
 }
 
@@ -35,8 +35,8 @@
     [('retry-after', '1')]
     """
     out = []
-    for key, val in headers:
+    for key, value in headers:
         act = next(a for p, a in RULES[rule] if key.lower().startswith(p))
-        if act is Act.KEEP:
-            out.append((key, val))
+        if act is Action.KEEP:
+            out.append((key, value))
     return out
--- a/yarrowloom/transport/http_head.py
+++ b/yarrowloom/transport/http_head.py
@@ -26,21 +26,21 @@
     end: int
 
 
-def read_head(*, buf: bytearray, most: int) -> Head | None | bool:
+def read_head(*, buffer: bytearray, most: int) -> Head | None | bool:
     """A plain head of at most `most` bytes; None: not whole yet; False: h11 is to judge.
 
-    >>> read_head(buf=bytearray(b"PUT /a HTTP/1.1\\r\\nHost: h\\r\\nContent-Length: 3\\r\\n\\r\\nabcd"), most=999)
+    >>> read_head(buffer=bytearray(b"PUT /a HTTP/1.1\\r\\nHost: h\\r\\nContent-Length: 3\\r\\n\\r\\nabcd"), most=999)
     Head(method='PUT', path='/a', headers={'host': 'h', 'content-length': '3'}, start=47, end=50)
-    >>> read_head(buf=bytearray(b"PUT /a HTTP/1.1\\r\\nHo"), most=999) is None
+    >>> read_head(buffer=bytearray(b"PUT /a HTTP/1.1\\r\\nHo"), most=999) is None
     True
-    >>> read_head(buf=bytearray(b"GET /a HTTP/1.1\\r\\nHost: h\\r\\nConnection: close\\r\\n\\r\\n"), most=999)
+    >>> read_head(buffer=bytearray(b"GET /a HTTP/1.1\\r\\nHost: h\\r\\nConnection: close\\r\\n\\r\\n"), most=999)
     False
     """
-    at = buf.find(b"\r\n\r\n", 0, most)
+    at = buffer.find(b"\r\n\r\n", 0, most)
     if at < 0:
-        odd = len(buf) >= most or buf[0] < 0x21 or b"\n\n" in buf or b"\n\r\n" in buf
+        odd = len(buffer) >= most or buffer[0] < 0x21 or b"\n\n" in buffer or b"\n\r\n" in buffer
         return False if odd else None
-    lines = bytes(buf[:at]).split(b"\r\n")
+    lines = bytes(buffer[:at]).split(b"\r\n")
     hit = _LINE.fullmatch(lines[0])
     if hit is None:
         return False
--- a/yarrowloom/transport/http_server.py
+++ b/yarrowloom/transport/http_server.py
@@ -80,26 +80,26 @@
 
 class _Conn:
     def __init__(self, *, server: Server, stream: trio.SocketStream) -> None:
-        self.srv = server
+        self.server = server
         self.stream = stream
-        lim = server.limits
-        self.conn = h11.Connection(h11.SERVER, max_incomplete_event_size=max(lim.header_bytes, 1024))
-        self.buf = bytearray()  # received and not yet used on the short way
-        self.horizon = 0.0  # of the request that is being read there
+        limits = server.limits
+        self.connection = h11.Connection(h11.SERVER, max_incomplete_event_size=max(limits.header_bytes, 1024))
+        self.buffer = bytearray()  # received and not yet used on the short way
+        self.deadline = 0.0  # of the request that is being read there
 
     async def run(self) -> None:
         first = True
         while True:
-            req = await self._plain(first=first)
-            if req is None:
+            request = await self._plain(first=first)
+            if request is None:
                 break
             first = False
-            self.srv.busy += 1
+            self.server.busy += 1
             try:
-                response = await self.srv.handler(req)
+                response = await self.server.handler(request)
             finally:
-                self.srv.busy -= 1
-            closing = self.srv.closing
+                self.server.busy -= 1
+            closing = self.server.closing
             head = write_head(
                 status=response.status, headers=response.headers, closing=closing, size=len(response.body)
             )
@@ -107,110 +107,110 @@
                 await self.stream.send_all(head + response.body)
             if closing or ("connection", "close") in response.headers:
                 return
-        if self.buf:
-            self.conn.receive_data(bytes(self.buf))
+        if self.buffer:
+            self.connection.receive_data(bytes(self.buffer))
             await self._judged(first=first)
 
     async def _plain(self, *, first: bool) -> Request | None:
         """The next plain request; None: the connection is over, or what is in `buf` is for h11."""
-        lim = self.srv.limits
-        began = first or bool(self.buf)
-        self.horizon = trio.current_time() + (lim.header_ms if began else lim.idle_ms) / 1000
+        limits = self.server.limits
+        began = first or bool(self.buffer)
+        self.deadline = trio.current_time() + (limits.header_ms if began else limits.idle_ms) / 1000
         head: Head | bool | None = None
         while True:
-            if self.buf:
+            if self.buffer:
                 if head is None:
-                    head = read_head(buf=self.buf, most=lim.header_bytes)
+                    head = read_head(buffer=self.buffer, most=limits.header_bytes)
                     if isinstance(head, Head):
-                        self.horizon = trio.current_time() + max(lim.header_ms, lim.idle_ms) / 1000
-                if head is False or (isinstance(head, Head) and head.end - head.start > lim.body_bytes):
+                        self.deadline = trio.current_time() + max(limits.header_ms, limits.idle_ms) / 1000
+                if head is False or (isinstance(head, Head) and head.end - head.start > limits.body_bytes):
                     return None
-                if isinstance(head, Head) and len(self.buf) >= head.end:
-                    body = bytes(self.buf[head.start : head.end])
-                    del self.buf[: head.end]
+                if isinstance(head, Head) and len(self.buffer) >= head.end:
+                    body = bytes(self.buffer[head.start : head.end])
+                    del self.buffer[: head.end]
                     return Request(method=head.method, path=head.path, headers=head.headers, body=body)
-            with trio.move_on_at(self.horizon) as scope:
+            with trio.move_on_at(self.deadline) as scope:
                 data = await self.stream.receive_some(65536)
             if scope.cancelled_caught:
-                if self.buf:
+                if self.buffer:
                     await self._refuse(status=408)
-                    self.buf.clear()
+                    self.buffer.clear()
                 return None
             if not data:
                 return None  # h11 says what is wrong with half a request
             if not began:
                 began = True
-                self.horizon = trio.current_time() + lim.header_ms / 1000
-            self.buf += data
+                self.deadline = trio.current_time() + limits.header_ms / 1000
+            self.buffer += data
 
     async def _judged(self, *, first: bool) -> None:
         while True:
-            req = await self._read(first=first)
+            request = await self._read(first=first)
             first = False
-            if req is None:
+            if request is None:
                 return
-            self.srv.busy += 1
+            self.server.busy += 1
             try:
-                response = await self.srv.handler(req)
+                response = await self.server.handler(request)
             finally:
-                self.srv.busy -= 1
+                self.server.busy -= 1
             await self._send(response)
-            if self.conn.our_state is h11.MUST_CLOSE or self.conn.our_state is h11.CLOSED:
+            if self.connection.our_state is h11.MUST_CLOSE or self.connection.our_state is h11.CLOSED:
                 return
             try:
-                self.conn.start_next_cycle()
+                self.connection.start_next_cycle()
             except h11.LocalProtocolError:
                 return
 
     async def _read(self, *, first: bool) -> Request | None:
-        lim = self.srv.limits
+        limits = self.server.limits
         head: h11.Request | None = None
         body = bytearray()
-        wait = lim.header_ms if first else lim.idle_ms
-        horizon = trio.current_time() + wait / 1000
+        wait = limits.header_ms if first else limits.idle_ms
+        deadline = trio.current_time() + wait / 1000
         began = first
-        if self.buf:  # handed over: time goes on
-            self.buf.clear()
-            horizon, began = self.horizon, True
+        if self.buffer:  # handed over: time goes on
+            self.buffer.clear()
+            deadline, began = self.deadline, True
         while True:
             try:
-                event = self.conn.next_event()
+                event = self.connection.next_event()
             except h11.RemoteProtocolError as err:
                 await self._refuse(status=err.error_status_hint or 400)
                 return None
             if event is h11.NEED_DATA:
-                if not began and self.conn.trailing_data[0]:
+                if not began and self.connection.trailing_data[0]:
                     began = True
-                    horizon = trio.current_time() + lim.header_ms / 1000
-                if self.conn.they_are_waiting_for_100_continue:
+                    deadline = trio.current_time() + limits.header_ms / 1000
+                if self.connection.they_are_waiting_for_100_continue:
                     await self.stream.send_all(
-                        self.conn.send(h11.InformationalResponse(status_code=100, headers=[])) or b""
+                        self.connection.send(h11.InformationalResponse(status_code=100, headers=[])) or b""
                     )
-                with trio.move_on_at(horizon) as scope:
+                with trio.move_on_at(deadline) as scope:
                     data = await self.stream.receive_some(65536)
                 if scope.cancelled_caught:
-                    if began and (head is not None or self.conn.trailing_data[0]):
+                    if began and (head is not None or self.connection.trailing_data[0]):
                         await self._refuse(status=408)
                     return None
                 if not began and data:
                     began = True
-                    horizon = trio.current_time() + lim.header_ms / 1000
-                self.conn.receive_data(data)
+                    deadline = trio.current_time() + limits.header_ms / 1000
+                self.connection.receive_data(data)
             elif isinstance(event, h11.Request):
                 head = event
-                horizon = trio.current_time() + max(lim.header_ms, lim.idle_ms) / 1000
+                deadline = trio.current_time() + max(limits.header_ms, limits.idle_ms) / 1000
                 size = dict(event.headers).get(b"content-length")
-                if size is not None and int(size) > lim.body_bytes:
+                if size is not None and int(size) > limits.body_bytes:
                     await self._refuse(status=413)
                     return None
             elif isinstance(event, h11.Data):
                 body += event.data
-                if len(body) > lim.body_bytes:
+                if len(body) > limits.body_bytes:
                     await self._refuse(status=413)
                     return None
             elif isinstance(event, h11.EndOfMessage):
                 assert head is not None
-                if sum(len(k) + len(v) + 4 for k, v in head.headers) > lim.header_bytes:
+                if sum(len(k) + len(v) + 4 for k, v in head.headers) > limits.header_bytes:
                     await self._refuse(status=431)
                     return None
                 return Request(
@@ -223,20 +223,20 @@
                 return None
 
     async def _refuse(self, *, status: int) -> None:
-        if self.conn.our_state in (h11.IDLE, h11.SEND_RESPONSE):
+        if self.connection.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             await self._send(Response(status=status, headers=(("connection", "close"),)))
 
     async def _send(self, response: Response) -> None:
-        if self.conn.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
+        if self.connection.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         headers = screen(headers=response.headers, rule=Rule.RESPONSE)
-        if self.srv.closing and not any(k == "connection" for k, _ in headers):
+        if self.server.closing and not any(k == "connection" for k, _ in headers):
             headers.append(("connection", "close"))
         headers.append(("content-length", str(len(response.body))))
-        data = self.conn.send(h11.Response(status_code=response.status, headers=headers)) or b""
+        data = self.connection.send(h11.Response(status_code=response.status, headers=headers)) or b""
         if response.body:
-            data += self.conn.send(h11.Data(data=response.body)) or b""
-        data += self.conn.send(h11.EndOfMessage()) or b""
+            data += self.connection.send(h11.Data(data=response.body)) or b""
+        data += self.connection.send(h11.EndOfMessage()) or b""
         with trio.fail_after(10):
             await self.stream.send_all(data)
 
