--- a/docs/experiments/growth_state.py
+++ b/docs/experiments/growth_state.py
@@ -94,8 +94,8 @@
         t_dump, body = ms(lambda: dump(body={"g": 1, "st": jobs.dump()}))  # noqa: B023
         t_pack, encoded = ms(
             lambda: pack_frame(
-                frame=Frame(kind=int(Kind.SNAPSHOT), source="a:1", node_id="u", boot=1, sequence=1, body=body)
-            )  # noqa: B023
+                frame=Frame(kind=int(Kind.SNAPSHOT), source="a:1", node_id="u", boot=1, sequence=1, body=body)  # noqa: B023
+            )
         )
 
         def cut() -> Any:
--- a/yarrowloom/transport/envelope.py
+++ b/yarrowloom/transport/envelope.py
@@ -88,7 +88,8 @@
     """Writes the frames of one lane to one peer. All but the last two fields stay, so they are encoded once.
 
     >>> one = Frame(lane=2, source="a", node_id="a#0", incarnation=7, sequence=300, body=b"[]")
-    >>> FrameEncoder(lane=Lane.WORK, source="a", node_id="a#0", incarnation=7).encode(sequence=300, body=b"[]") == pack_frame(frame=one)
+    >>> encoder = FrameEncoder(lane=Lane.WORK, source="a", node_id="a#0", incarnation=7)
+    >>> encoder.encode(sequence=300, body=b"[]") == pack_frame(frame=one)
     True
     """
 
--- a/yarrowloom/transport/sequence_tracker.py
+++ b/yarrowloom/transport/sequence_tracker.py
@@ -59,7 +59,8 @@
             connection: The number of the connection that brought it; they are numbered as they are accepted.
 
         >>> tracker = SequenceTracker()
-        >>> [tracker.take(source="a", lane=2, node_id="a#0", incarnation=1, sequence=n, connection=1) for n in (1, 2, 2, 4)]
+        >>> sender = {"source": "a", "lane": 2, "node_id": "a#0", "incarnation": 1, "connection": 1}
+        >>> [tracker.take(sequence=sequence, **sender) for sequence in (1, 2, 2, 4)]
         [(True, True), (True, False), (False, False), (True, True)]
         >>> tracker.take(source="a", lane=2, node_id="a#7", incarnation=1, sequence=1, connection=2)
         (True, True)
