--- a/yarrowloom/agent/agent.py
+++ b/yarrowloom/agent/agent.py
@@ -235,8 +235,7 @@
 
     def _serve(self, minion: Minion) -> None:
         """What is due soonest: reports of ends, and the response to a heartbeat that waited long enough."""
-        if minion.ends:
-            self._ends.report(minion)
+        self._ends.report(minion)
         pending = minion.pending_heartbeat
         if pending is not None and self.environment.now >= pending.respond_at:
             self._responder.respond_if_due(minion)
--- a/yarrowloom/agent/heartbeat_response.py
+++ b/yarrowloom/agent/heartbeat_response.py
@@ -13,7 +13,7 @@
 IDLE_RETRY_MS = 1  # the wait of an idle minion is spent before the response, where an order can end it
 UNATTACHED_RETRY_MS = 50
 CHANGING_RETRY_MS = 150  # a minion that drains, or was told to stop a run
-FREE_RETRY_MS = 200  # a minion with at least an eighth of its cores and a sixteenth of its memory free
+FREE_RETRY_MS = 200
 FULL_RETRY_MS = 500
 
 
@@ -64,7 +64,11 @@
         """Orders for the minion; none before every group has told what it has there."""
         if not minion.runs or not self._table.was_attached_by_all(minion):
             return []
-        return [run for run in minion.runs.values() if run.is_unsent and not run.is_stop_requested]
+        return [
+            run
+            for run in minion.runs.values()
+            if not (run.is_sent or run.is_running or run.is_stop_requested)  # spelled out: each heartbeat comes by
+        ]
 
     def _respond(
         self, minion: Minion, *, pending: PendingHeartbeat, starts: list[TaskRun], stops: list[TaskToStop]
@@ -90,9 +94,7 @@
             return IDLE_RETRY_MS if self._table.was_attached_by_all(minion) else UNATTACHED_RETRY_MS
         if minion.is_draining or has_stops:
             return CHANGING_RETRY_MS
-        free, capacity = minion.free(), minion.capacity
-        has_room = free.millicores * 8 > capacity.millicores and free.memory_mb * 16 > capacity.memory_mb
-        return FREE_RETRY_MS if has_room else FULL_RETRY_MS
+        return FULL_RETRY_MS if minion.is_nearly_full() else FREE_RETRY_MS
 
 
 def _set_wait(minion: Minion, *, pending: PendingHeartbeat, has_open_ends: bool) -> None:
--- a/yarrowloom/agent/minion.py
+++ b/yarrowloom/agent/minion.py
@@ -203,6 +203,15 @@
             return NO_RESOURCES
         return self.capacity.plus(self.leased, -1)
 
+    def is_nearly_full(self) -> bool:
+        """Whether at most an eighth of the cores or a sixteenth of the memory is free."""
+        capacity, leased = self.capacity, self.leased
+        return (
+            bool(self.unknown_runs)
+            or (capacity.millicores - leased.millicores) * 8 <= capacity.millicores
+            or (capacity.memory_mb - leased.memory_mb) * 16 <= capacity.memory_mb
+        )
+
     def add_lease(self, lease: Lease) -> None:
         """Count a lease against the minion."""
         self.leases[lease.lease_id] = lease
--- a/yarrowloom/agent/run_progress.py
+++ b/yarrowloom/agent/run_progress.py
@@ -33,7 +33,7 @@
     >>> stands_still(at_half(first_percent=50.0, estimate_ms=200000), now=4.0)
     False
     """
-    if not 0 < run.percent < 100 or run.estimate_ms < 0:
+    if now - run.progressed_at <= STANDSTILL_S or not 0 < run.percent < 100 or run.estimate_ms < 0:
         return False
     gained = run.percent - run.first_percent
     s_per_percent = (run.progressed_at - run.running_since) / gained if gained > 0 else run.estimate_ms / 100_000 or 1.0
--- a/yarrowloom/agent/task_ends.py
+++ b/yarrowloom/agent/task_ends.py
@@ -21,6 +21,8 @@
 
     def report(self, minion: Minion) -> None:
         """Report ends that their groups have not acknowledged; each at most every `REPORT_AGAIN_S`."""
+        if not minion.ends:
+            return
         environment = self._table.environment
         now = environment.now
         reports: dict[int, list[TaskEnd]] = {}
