--- a/tests/integration/test_large_clusters.py
+++ b/tests/integration/test_large_clusters.py
@@ -9,7 +9,7 @@
 from tests.agent.test_agent import JOB, TASK, Rig
 from yarrowloom.cluster_state.routing_table import RoutingTable
 from yarrowloom.node.core import OVERLOADED, CoreNode
-from yarrowloom.node.edge_relays import FANOUT, LOOK_S, EdgeRelays
+from yarrowloom.node.edge_relays import FANOUT, SELECTION_PERIOD_S, EdgeRelays
 from yarrowloom.scheduling import scheduling_cycle as cycle
 from yarrowloom.scheduling.capacity import Room, Size, Spot
 from yarrowloom.scheduling.scheduling_cycle import Ask
@@ -145,7 +145,7 @@
     assert ranked == []
     document = config(version=9, more=2)
     document["route-table"][1]["rank"] = 0
-    sim.core(ip).table = RoutingTable(document=document)
+    sim.core(ip).dissemination.table = RoutingTable(document=document)
     placer.configured()
     waiting = {job_id for job_id, _ in placer.backlog.groups}
     assert set(ranked) == waiting <= set(job_ids)
@@ -157,19 +157,19 @@
 def test_edges_are_looked_through_once_for_many_heartbeats() -> None:
     looks = 0
 
-    def alive(node_id: str) -> bool:
+    def alive_edges() -> list[str]:
         nonlocal looks
         looks += 1
-        return True
+        return nodes
 
-    nodes = {f"e{i:03d}": {"kind": "edge"} for i in range(300)}
+    nodes = [f"e{i:03d}" for i in range(300)]
     relays = EdgeRelays()
-    via = [relays.for_edge(node_id=node_id, now=5.0, nodes=nodes, alive=alive) for node_id in nodes]
-    assert looks == 300
+    via = [relays.for_edge(node_id=node_id, now=5.0, alive_edges=alive_edges) for node_id in nodes]
+    assert looks == 1
     assert via[:FANOUT] == [[]] * FANOUT
     assert all(len(row) == 2 and set(row) <= set(relays.names) for row in via[FANOUT:])
-    few = dict(list(nodes.items())[:FANOUT])
-    assert relays.for_edge(node_id="e299", now=5.0 + LOOK_S, nodes=few, alive=alive) == []
+    few = nodes[:FANOUT]
+    assert relays.for_edge(node_id="e299", now=5.0 + SELECTION_PERIOD_S, alive_edges=lambda: few) == []
 
 
 # -- calls that a busy process could not take
--- a/tests/mutants/test_operator_request_mutants.py
+++ b/tests/mutants/test_operator_request_mutants.py
@@ -1,7 +1,7 @@
 """Each guard of operators' orders taken out: the checkers find it in what two operators saw."""
 
 from collections.abc import Callable
-from typing import Any
+from typing import Any, cast
 
 import orjson
 import pytest
@@ -24,6 +24,7 @@
 from yarrowloom.common.errors import StaleVersionError, YarrowError
 from yarrowloom.node import http_routes as control
 from yarrowloom.node.core import CoreNode
+from yarrowloom.node.registry_calls import RegistryCalls
 from yarrowloom.replication import Replica
 from yarrowloom.transport.http_server import Response
 
@@ -42,18 +43,21 @@
 
 def refused_before_it_is_durable(patch: pytest.MonkeyPatch) -> None:
     """A 412 that rests on what is only applied leaves at once."""
-    whole = CoreNode._serve0
+    whole = RegistryCalls.serve
 
-    def serve(self: CoreNode, *, node_id: str, request_id: int, op: str, b: dict[str, Any]) -> None:
+    def serve(self: RegistryCalls, *, node_id: str, request_id: int, operation: str, body: Any) -> None:
+        node = cast(CoreNode, self.environment)
         try:
-            if op == "conf":
-                self.registry.evaluate_config_request(method=b["m"], if_match=b["base"], body=b["body"].encode())
+            if operation == "conf":
+                node.registry.evaluate_config_request(
+                    method=body["m"], if_match=body["base"], body=body["body"].encode()
+                )
         except YarrowError as err:
-            self.reply(node_id=node_id, request_id=request_id, status=err.status, document={})
+            node.reply(node_id=node_id, request_id=request_id, status=err.status, document={})
             return
-        whole(self, node_id=node_id, request_id=request_id, op=op, b=b)
+        whole(self, node_id=node_id, request_id=request_id, operation=operation, body=body)
 
-    patch.setattr(CoreNode, "_serve0", serve)
+    patch.setattr(RegistryCalls, "serve", serve)
 
 
 def confirmed_before_it_is_durable(patch: pytest.MonkeyPatch) -> None:
--- a/tests/node/test_call_identity.py
+++ b/tests/node/test_call_identity.py
@@ -23,7 +23,7 @@
         now=sim.now,
         log=Log(name="t", level="error"),
     )
-    node.learn(epochs=[(group_id, e) for group_id, e in sim.core(sim.serving(group_id=0)[0]).epochs.items()])
+    node.learn(epochs=sim.core(sim.serving(group_id=0)[0]).epochs.rows())
     node.now = sim.now
     return node
 
--- a/tests/node/test_config_dissemination.py
+++ b/tests/node/test_config_dissemination.py
@@ -4,6 +4,7 @@
 
 from yarrowloom.node.edge import EdgeNode
 from yarrowloom.node.edge_relays import FANOUT
+from yarrowloom.node.messages import ClusterUpdate
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.minions import HOST, SimMinion, cluster, config
 
@@ -34,7 +35,7 @@
     sim.run(seconds=1.0)
     assert {n.table.config_version for n in edges(sim) if n.table} == {9}
     for node in edges(sim):
-        node.take_news(document={"conf": config(version=3)})
+        node.apply_update(update=ClusterUpdate(config=config(version=3)))
         assert node.table is not None
         assert node.table.config_version == 9
 
--- a/tests/node/test_config_dissemination_tree.py
+++ b/tests/node/test_config_dissemination_tree.py
@@ -72,7 +72,7 @@
 def test_an_edge_whose_change_does_not_fit_asks_for_the_whole() -> None:
     sim = ready(seed=5)
     node = sim.edges()[7]
-    node.past.documents[3]["route-table"] = node.past.documents[3]["route-table"][1:]
+    node.dissemination.history.documents[3]["route-table"] = node.dissemination.history.documents[3]["route-table"][1:]
     since = sim.now
     put(sim, method="PATCH", document=patched(version=5), base=3)
     assert sim.until(cond=lambda: sim.stamps() == {5}, limit=2.5)
@@ -103,7 +103,7 @@
     sim = ready(seed=7, cores=3, edges=4 * FANOUT)
     assert sum(bool(n.via) for n in sim.edges()) >= 3
     for node in sim.edges():
-        fed = [u for u, at in node.heard.items() if sim.now - at < 1.0]
+        fed = [u for u, at in node.roster.last_heartbeat.items() if sim.now - at < 1.0]
         assert len(fed) <= node.children() == 4
     assert all(n.ready() for n in sim.edges())
     since = sim.now
@@ -114,7 +114,9 @@
 
 def test_a_relay_that_is_cut_off_does_not_hold_up_a_change() -> None:
     sim = ready(seed=8, cores=3, edges=4 * FANOUT)
-    relay = max(sim.edges(), key=lambda n: sum(sim.now - at < 1.0 for at in n.heard.values())).settings.ip
+    relay = max(
+        sim.edges(), key=lambda n: sum(sim.now - at < 1.0 for at in n.roster.last_heartbeat.values())
+    ).settings.ip
     for core in sim.core_ips:
         sim.cut(a=relay, b=core)
     put(sim, method="PATCH", document=patched(version=5), base=3)
--- a/tests/node/test_config_freshness.py
+++ b/tests/node/test_config_freshness.py
@@ -114,7 +114,7 @@
 def test_an_edge_leaves_cut_off_cores_for_others_in_time(way: str) -> None:
     sim, _, _, _ = cluster(seed=302, cores=5, minions=1)
     settled(sim)
-    watchers = [u.split(":")[0] for u in edge(sim).targets()]
+    watchers = [u.split(":")[0] for u in edge(sim).heartbeat_targets()]
     assert len(watchers) == 2
     island(sim, watchers, way=way)
     for ip in watchers:  # this edge alone still reaches them
--- a/tests/node/test_config_freshness_core.py
+++ b/tests/node/test_config_freshness_core.py
@@ -1,14 +1,17 @@
 """Core nodes that are cut off: what they answer, whom they own, what they start; and what they catch up with."""
 
+import contextlib
 from typing import Any
 
 import msgspec
 import pytest
 
 from tests.node.test_config_freshness import APPLY_S, CUT_S, bystander, change, edge, island, settled
+from yarrowloom.common.records import MalformedRecordError, decode
 from yarrowloom.node.config_freshness import Freshness
 from yarrowloom.node.controller import LEASE_S
 from yarrowloom.node.edge import EdgeNode
+from yarrowloom.node.messages import ContactProof
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.link_cluster import LinkSim, put
 from yarrowloom.simulator.minions import HOST, SimMinion, cluster, config
@@ -116,13 +119,13 @@
     while sim.now < since + 10.0:
         node = sim.core(core)
         node.now = sim.now
-        assert "z0" not in node.evacuated_zones
+        assert "z0" not in node.roster.registry.evacuated_zones
         assert not node.trusted()
         sim.run(seconds=0.1)
     sim.lose = lambda src, dst, kind, m: False
     sim.run(seconds=1.0)
     node = sim.core(core)
-    assert "z0" in node.evacuated_zones
+    assert "z0" in node.roster.registry.evacuated_zones
     assert node.trusted()
 
 
@@ -220,7 +223,8 @@
     sim, _, _, _ = cluster(seed=327, minions=1)
     node = edge(sim)
     node.now = 100.0
-    node.epochs[0] = msgspec.structs.replace(node.epochs[0], number=5)
+    known = node.epochs.by_group[0]
+    node.epochs.by_group[0] = msgspec.structs.replace(known, number=5)
     node.freshness = Freshness(apply_ms=2000)
     node.freshness.prove(at=99.9, epoch=5)
     return node
@@ -243,25 +247,24 @@
 )
 def test_what_an_answer_proves(m: dict[str, Any], sent: float, at: float) -> None:
     node = lone()
-    node.confirm(sent=sent, m=m)
+    malformed = "age" in m and m["age"] is None
+    with pytest.raises(MalformedRecordError, match="age") if malformed else contextlib.nullcontext():
+        node.confirm(sent_at=sent, proof=decode(m, into=ContactProof))
     assert node.freshness.proven_at == at
 
 
 def test_a_node_whose_configuration_is_torn_proves_nothing_to_others() -> None:
     node = lone()
-    assert node.proof() == {"age": 0.1, "by": 5, "conf": 3}
-    node.torn = True
-    assert node.proof() == {}
-    assert "age" not in node.answer(b={"u": "x", "t": 1.0, "have": {}} | _heard(node))
-    node.confirm(sent=100.0, m={"age": 0.0, "by": 5, "conf": 3})
+    assert node.proof().document() == {"age": 0.1, "by": 5, "conf": 3}
+    node.dissemination.needs_full_config = True
+    assert node.proof().document() == {}
+    heartbeat = node.heartbeat()
+    node.on_heartbeat(heartbeat=heartbeat)
+    assert "age" not in node.heartbeat_ack(heartbeat=heartbeat).document()
+    node.confirm(sent_at=100.0, proof=ContactProof(age_s=0.0, epoch=5, config_version=3))
     assert node.freshness.proven_at == 99.9
 
 
-def _heard(node: EdgeNode) -> dict[str, Any]:
-    node.have["x"] = {**node.mine(), "ep": {str(group_id): e.number for group_id, e in node.epochs.items()}}
-    return {}
-
-
 @pytest.mark.parametrize("hops", [1, 5, 50])
 def test_a_clock_error_of_two_percent_makes_an_age_wrong_by_two_percent(hops: int) -> None:
     """Every hop's clock runs slow by the most allowed: the last one's age is at least 98% of the true one."""
--- a/tests/node/test_controller.py
+++ b/tests/node/test_controller.py
@@ -1,9 +1,11 @@
 """The chief with many minions: work counted, moves bounded, racks kept together, everything back after a herd kill."""
 
 import random
+from collections.abc import Callable
 from typing import Any
 
 import pytest
+from msgspec import UNSET
 
 import yarrowloom.node.controller as chief
 from yarrowloom.agent.minion import Phase, TaskRun
@@ -12,6 +14,7 @@
 from yarrowloom.cluster_state.registry_events import MinionsAssigned, RegistryEvent
 from yarrowloom.cluster_state.registry_rows import MinionRow, PlacementDomain
 from yarrowloom.node.core_environment import CoreEnvironment
+from yarrowloom.node.messages import Heartbeat
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.minion_population import attached, back, herd, loads, serves
 from yarrowloom.simulator.minions import Oracle, SimCaller
@@ -22,14 +25,14 @@
 def watch(*, sim: Sim, monkeypatch: pytest.MonkeyPatch) -> list[tuple[float, int]]:
     """(time, number of minions) of each commit of owners from now on."""
     out: list[tuple[float, int]] = []
-    old = CoreEnvironment.commit0
+    old = CoreEnvironment.commit_registry
 
-    def commit0(self: CoreEnvironment, *, event: RegistryEvent, **kw: Any) -> None:
+    def commit_registry(self: CoreEnvironment, *, event: RegistryEvent, **kw: Any) -> None:
         if isinstance(event, MinionsAssigned):
             out.append((sim.now, len(event.assignments)))
         old(self, event=event, **kw)
 
-    monkeypatch.setattr(CoreEnvironment, "commit0", commit0)
+    monkeypatch.setattr(CoreEnvironment, "commit_registry", commit_registry)
     return out
 
 
@@ -114,14 +117,14 @@
     seen: list[int] = []
     for ip in sim.core_ips:
         node = sim.core(ip)
-        old = node.heart
+        old = node.heartbeat
 
-        def heart(old: Any = old) -> dict[str, Any]:
-            body: dict[str, Any] = old()
-            seen.append("own" in body)
-            return body
+        def heartbeat(old: Callable[[], Heartbeat] = old) -> Heartbeat:
+            message = old()
+            seen.append(message.owned_minions is not UNSET)
+            return message
 
-        node.heart = heart  # type: ignore[method-assign]
+        node.heartbeat = heartbeat  # type: ignore[method-assign]
     applied = primary.replicas[0].last_applied
     sim.run(seconds=5.0)
     assert len(seen) >= 5 * 18
@@ -180,7 +183,7 @@
     ordered.runs["t"] = TaskRun(task="t", run=1, group_id=1, lease_id=1)
     lost.phase = Phase.LOST
     well.runs["t"] = TaskRun(task="t", run=1, group_id=1, lease_id=1, is_sent=True)
-    node.let_go(minion_ids=[*minion_ids, "i-none"])
+    node.release_minions(minion_ids=[*minion_ids, "i-none"])
     assert [m in node.agent.minions for m in minion_ids] == [True, True, True, True, False]
 
 
--- a/tests/replication/test_zones.py
+++ b/tests/replication/test_zones.py
@@ -5,7 +5,9 @@
 import pytest
 
 from tests.replication.test_quorum_contact import holders, newest
+from yarrowloom.cluster_state.registry_rows import CoreMember
 from yarrowloom.node.membership import spread
+from yarrowloom.node.messages import RegistryUpdate
 from yarrowloom.node.node_base import JOB_GROUPS
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.minions import cluster, config
@@ -63,7 +65,7 @@
     stay = [ip for ip in sim.core_ips if zone(ip) == first]
     replica = sim.core(sim.serving(group_id=0)[0]).replicas[0]
     sim.core(sim.serving(group_id=0)[0]).now = sim.now
-    away = [u for u in sim.core(stay[0]).members if zone_of(u) != first]
+    away = [u for u in sim.core(stay[0]).roster.registry.members if zone_of(u) != first]
     replica.start_election(reason="test", avoid=away)
     sim.run(seconds=0.6)
     assert {zone(ip) for ip in holders(newest(sim, group_id=0))} == {first}
@@ -105,13 +107,18 @@
     """What is chosen is odd, stays the same when asked again, and is spread if members allow it."""
     sim = Sim(seed=1, cores=1, losses=losses)
     node = sim.core(sim.core_ips[0])
-    node.members = {f"10.{z}.0.{i}:7000#0": {"site": z} for z, n in shape.items() for i in range(n)}
-    node.roster = dict.fromkeys(node.members, node.now)
-    have = sorted(node.members)[:2]
+    members = {
+        f"10.{z}.0.{i}:7000#0": CoreMember(zone=z, name="", control_address="")
+        for z, n in shape.items()
+        for i in range(n)
+    }
+    node.roster.registry = RegistryUpdate(members=members)
+    node.membership.on_listed_alive(node_ids=members)
+    have = sorted(members)[:2]
     found = node.witnesses(have=have)
     assert len(found) == size
     assert node.witnesses(have=found) == found
-    zones = {u: str(row["site"]) for u, row in node.members.items()}
+    zones = {u: member.zone for u, member in members.items()}
     most = max(sum(zones[u] == z for u in found) for z in shape)
     possible = spread(order=sorted(zones), zones=zones, size=len(found), most=len(found) // 2)
     assert 2 * most < len(found) or len(found) == len(have) or not possible
--- a/tests/storage/write_data.py
+++ b/tests/storage/write_data.py
@@ -21,6 +21,7 @@
 from yarrowloom.cluster_state.registry import Registry
 from yarrowloom.jobs.submission import parse
 from yarrowloom.node.core import CoreNode
+from yarrowloom.node.messages import RegistryUpdate
 from yarrowloom.simulator import minions
 from yarrowloom.storage import END, Ring
 from yarrowloom.transport.envelope import Kind
@@ -267,7 +268,7 @@
     for events in registry_events():
         disk.log(source=UIDS[0], group=0, events=events)
     replica = disk.node.replicas[1]
-    disk.node.members = {u: member.document() for u, member in disk.node.registry.members.items()}
+    disk.node.roster.registry = RegistryUpdate(members=dict(disk.node.registry.members))
     while not replica.pending_snapshots:
         disk.node.now += 0.5
         replica.tick()
--- a/tests/transport/test_incarnations.py
+++ b/tests/transport/test_incarnations.py
@@ -24,7 +24,7 @@
         tables = [proc.node.table for proc in sim.procs.values()]
         return all(table is not None and table.config_version == version for table in tables)
 
-    assert sim.until(cond=applied, limit=2.0), {ip: proc.node.mine()["conf"] for ip, proc in sim.procs.items()}
+    assert sim.until(cond=applied, limit=2.0), {ip: proc.node.config_version() for ip, proc in sim.procs.items()}
 
 
 def restart(sim: Sim, *, ips: list[str]) -> None:
--- a/yarrowloom/node/core.py
+++ b/yarrowloom/node/core.py
@@ -1,8 +1,12 @@
 """The core node: witness, records, chief, agent and placing node in one process; all state machines, no sockets."""
 
 from collections.abc import Callable
+from functools import partial
 from typing import Any
 
+import msgspec
+from msgspec import UNSET
+
 from ..agent.messages import AGENT_MESSAGES, CapacitySummary
 from ..cluster_state.minion_ownership import ownership_digest
 from ..common.defaults import Defaults
@@ -13,18 +17,20 @@
 from ..replication.handover import copied_elsewhere, may_end
 from ..replication.log_replay import ReplayError
 from ..replication.messages import RECORD_KINDS
+from ..scheduling import Placer
 from ..transport.envelope import Kind, dump
 from ..transport.http_server import Request
+from ..transport.message import Message
 from .controller import LEASE_S
 from .core_environment import CoreEnvironment
 from .edge_relays import EdgeRelays
 from .group_calls import NOT_PRIMARY, REFUSALS, InHand
 from .http_routes import dispatch
 from .input_scheduler import Input, InputClass
-from .node_base import NodeBase
+from .messages import ClusterUpdate, Heartbeat, HeartbeatAck
 
 NODE_RECORDS = frozenset({"id", "none"})  # the kinds of records that are of no group
-THAW_S = 0.3
+STALL_S = 0.3  # between two pulses: the process stood still
 OVERLOADED = {"error": "too busy to take it in time"}
 
 
@@ -58,18 +64,28 @@
         self._effect_handlers: dict[type[Effect], Callable[[Any], None]] = {
             NoEffect: lambda _effect: None,
         }
+        self._handlers: dict[Kind, Callable[..., None]] = {
+            Kind.HEARTBEAT: self._on_heartbeat,
+            Kind.HEARTBEAT_ACK: self._on_heartbeat_ack,
+            Kind.CLUSTER_UPDATE: self._on_cluster_update,
+            Kind.CALL: self._on_call,
+            Kind.REPLY: self._on_reply,
+            Kind.CAPACITY_REPORT: self._on_capacity_report,
+            **{kind: partial(self._on_replication, kind=kind) for kind in RECORD_KINDS},
+        }
         self._effects: dict[str, Callable[..., None]] = {
             "near": self._near,
             "copied": self._copied,
             "send": self._sendeff,
             "none": self._none,
             "reply": self._reply,
-            "news": self._news,
+            "publish": self._publish,
+            "send-message": self._send_message,
             "owned": self._owned,
             "stops": self._stops,
             "orders": self._orders,
             "endsok": self._endsok,
-            "selfown": self._selfown,
+            "own-heartbeat-ack": self._own_heartbeat_ack,
         }
 
     # -- effects
@@ -98,15 +114,18 @@
     def _reply(self, node_id: str, request_id: int, status: int, document: Any) -> None:
         self.reply(node_id=node_id, request_id=request_id, status=status, document=document)
 
-    def _news(self, document: dict[str, Any]) -> None:
-        self.take_news(document=document)
+    def _publish(self, update: ClusterUpdate) -> None:
+        self.apply_update(update=update)
+
+    def _send_message(self, node_id: str, message: Message) -> None:
+        self.send_message(node_id=node_id, message=message)
 
     def _owned(self, minion_ids: list[str]) -> None:
         if self.chief is not None:
             self.chief.owned(minion_ids=minion_ids)
 
-    def _selfown(self, document: dict[str, Any]) -> None:
-        self._heartok(node_id=self.node_id, m=document)
+    def _own_heartbeat_ack(self, ack: HeartbeatAck) -> None:
+        self._apply_heartbeat_ack(node_id=self.node_id, ack=ack)
 
     def _stops(self, group_id: int, rows: list[Any]) -> None:
         if group_id in self.placers:
@@ -136,35 +155,26 @@
         for replica in self.replicas.values():
             replica.flush()
 
-    def heart(self) -> dict[str, Any]:
-        """A core's heart tells what its agent owns: a digest, and all of it if the chief asked."""
-        own = [(m.minion_id, m.fence) for m in self.agent.minions.values()]
-        body = {**super().heart(), "dig": ownership_digest(fences=own), "echo": self.echo}
-        if self.listing:
-            body["own"] = own
-        return body
+    def heartbeat(self) -> Heartbeat:
+        """A core's heartbeat also tells the minions that its agent owns: a digest, and all of them if asked for."""
+        owned = [(minion.minion_id, minion.fence) for minion in self.agent.minions.values()]
+        return msgspec.structs.replace(
+            super().heartbeat(),
+            minions_digest=ownership_digest(fences=owned),
+            controller_echo=self.controller_echo,
+            owned_minions=owned if self.owned_minions_wanted else UNSET,
+        )
 
     def on(self, *, node_id: str, kind: Kind, m: Any) -> None:
-        """One message from `uid`, parsed; it is the node's from now on."""
-        if kind in RECORD_KINDS:
-            self.replicas[m["g"]].on(node_id=node_id, kind=kind, m=m)
-        elif kind is Kind.HEARTBEAT:
-            self._heart(b=m)
-        elif kind is Kind.HEARTBEAT_ACK:
-            self._heartok(node_id=node_id, m=m)
-        elif kind is Kind.CLUSTER_UPDATE:
-            self.take_news(document=m)
-        elif kind is Kind.CALL:
-            self._call(node_id=node_id, m=m)
-        elif kind is Kind.REPLY:
-            self.calls.reply(node_id=node_id, m=m)
-        elif kind is Kind.CAPACITY_REPORT:
-            self._room(m=m)
-        else:
-            self._jobs(node_id=node_id, kind=kind, m=m)
+        """Take one message of a node; `m` is its parsed body, and the node's from now on.
+
+        Raises:
+            MalformedRecordError: The body is not one of this kind.
+        """
+        self._handlers.get(kind, partial(self._jobs, kind=kind))(node_id=node_id, m=m)
         self._flush()
 
-    def _room(self, *, m: dict[str, Any]) -> None:
+    def _on_capacity_report(self, *, node_id: str, m: Any) -> None:
         if "v" in m:
             self.agent.on_capacity_summary(decode(m, into=CapacitySummary))
         elif m["g"] in self.placers:
@@ -172,7 +182,7 @@
             placer.room.report(node_id=m["u"], rows=m["x"], shut=m["shut"], now=self.now)
             placer.pump()
 
-    def _call(self, *, node_id: str, m: dict[str, Any]) -> None:
+    def _on_call(self, *, node_id: str, m: Any) -> None:
         group_id, request_id, op, b = m["g"], m["rid"], m["op"], m["b"]
         refusal = self.hand.refusal(node_id=node_id, request_id=request_id)
         if refusal is not None:
@@ -185,16 +195,16 @@
         ):  # for the agent of a node that is no more; groups know who serves them
             self.reply(node_id=node_id, request_id=request_id, status=503, document={})
         elif group_id < 0:
-            self._handed(node_id=node_id, request_id=request_id, op=op, b=b)
+            self.heartbeat_routing.serve(node_id=node_id, request_id=request_id, operation=op, body=b)
         elif not self.replicas[group_id].is_serving():
             self.reply(
                 node_id=node_id,
                 request_id=request_id,
                 status=NOT_PRIMARY,
-                document=[[k, e] for k, e in self.epochs.items()],
+                document=self.epochs.rows(),
             )
         elif group_id == 0:
-            self._serve0(node_id=node_id, request_id=request_id, op=op, b=b)
+            self.registry_calls.serve(node_id=node_id, request_id=request_id, operation=op, body=b)
         else:
             self.placers[group_id].call(node_id=node_id, request_id=request_id, op=op, b=b)
 
@@ -207,7 +217,7 @@
         if self.hand.holds(node_id=node_id, request_id=request_id):
             return
         if m["op"] == "put" and m["b"]["id"] in self.jobs[m["g"]].jobs:
-            self._call(node_id=node_id, m=m)
+            self._on_call(node_id=node_id, m=m)
             return
         self.hand.refuse(node_id=node_id, request_id=request_id, status=503, document=OVERLOADED, now=self.now)
         super().reply(node_id=node_id, request_id=request_id, status=503, document=OVERLOADED)
@@ -227,7 +237,7 @@
                 node_id=node_id,
                 request_id=request_id,
                 status=NOT_PRIMARY,
-                document=[[k, e] for k, e in self.epochs.items()],
+                document=self.epochs.rows(),
             )
 
     def _jobs(self, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
@@ -248,51 +258,82 @@
             elif kind is Kind.ATTACHMENT_VERDICT and m["n"] == self.replicas[m["g"]].state_epoch:
                 p.void(rows=[[m["m"], m["seq"], t, r] for t, r in m["x"]])
 
-    def _heart(self, *, b: dict[str, Any]) -> None:
-        self.hear(b=b)
-        body = self.answer(b=b)
-        if b["kind"] == "edge":
-            via = self.relays.for_edge(
-                node_id=b["u"], now=self.now, nodes=self.info, alive=lambda node_id: self.alive(node_id=node_id)
-            )
-            if via:
-                body["via"] = via
+    def _on_heartbeat(self, *, node_id: str, m: Any) -> None:
+        heartbeat = decode(m, into=Heartbeat)
+        self.on_heartbeat(heartbeat=heartbeat)
+        ack = self.heartbeat_ack(heartbeat=heartbeat)
+        if heartbeat.kind == "edge":
+            relays = self.relays.for_edge(node_id=heartbeat.node_id, now=self.now, alive_edges=self._alive_edges)
+            ack = msgspec.structs.replace(ack, relays=relays or UNSET)
         if self.chief is not None and self.replicas[0].is_serving():
-            body.update(self.chief.heart(b=b), at=self.now)
-            body["up"] = [u for u in self.members if self.alive(node_id=u)]
-            if body.get("own") or body.get("dis"):
-                self.replicas[0].barrier(then=("send", b["u"], int(Kind.HEARTBEAT_ACK), body))
+            ack = self._with_controller_part(ack=ack, own=self.chief.on_heartbeat(heartbeat=heartbeat))
+            if ack.owned or ack.disowned:
+                self.replicas[0].barrier(then=("send-message", heartbeat.node_id, ack))
                 return
-        self.send(node_id=b["u"], kind=Kind.HEARTBEAT_ACK, body=body)
-
-    def _heartok(self, *, node_id: str, m: dict[str, Any]) -> None:
-        if "t" in m:
-            self.contact = self.now
-        for u in m.get("up", []):
-            self.roster[u] = self.now
-        if "news" in m:
-            self.take_news(document=m["news"])
-        if "t" in m:
-            self.told(node_id=node_id, m=m)
-            if "at" in m:
-                self.echo = [m.get("by"), m["at"]]
-            if (
-                m.get("lease") and m.get("mods", -1) <= self.registry_version
-            ):  # with all evacuations that the primary knew of
-                self.lease = max(self.lease, m["t"] + LEASE_S)
-        for minion_id, fence, info in m.get("own", []):
+        self.send_message(node_id=heartbeat.node_id, message=ack)
+
+    def _alive_edges(self) -> list[str]:
+        return self.roster.alive_of_kind(kind="edge", now=self.now)
+
+    def _with_controller_part(self, *, ack: HeartbeatAck, own: HeartbeatAck) -> HeartbeatAck:
+        """An acknowledgement joined with what the controller says in it."""
+        return msgspec.structs.replace(
+            ack,
+            grants_lease=own.grants_lease,
+            wants_owned_minions=own.wants_owned_minions,
+            minions_to_release=own.minions_to_release,
+            owned=own.owned,
+            disowned=own.disowned,
+            controller_time=self.now,
+            live_members=[u for u in self.roster.registry.members if self.is_alive(node_id=u)],
+        )
+
+    def _on_heartbeat_ack(self, *, node_id: str, m: Any) -> None:
+        self._apply_heartbeat_ack(node_id=node_id, ack=decode(m, into=HeartbeatAck))
+
+    def _apply_heartbeat_ack(self, *, node_id: str, ack: HeartbeatAck) -> None:
+        """Take what a node says in answer to a heartbeat, or as the controller by itself."""
+        if ack.sent_at is not UNSET:
+            self.heartbeats.last_ack = self.now
+        if ack.live_members is not UNSET:
+            self.membership.on_listed_alive(node_ids=ack.live_members)
+        if ack.update is not UNSET:
+            self.apply_update(update=ack.update)
+        if ack.sent_at is not UNSET:
+            self.heartbeats.on_ack(node_id=node_id, ack=ack)
+            self._take_lease(ack=ack, sent_at=ack.sent_at)
+        for owned in ack.owned or ():
             self.agent.add_minion(
-                minion_id=minion_id,
-                fence=fence,
-                service=info.get("svc", ""),
-                zone=info.get("site", ""),
-                labels=info.get("labels", []),
+                minion_id=owned.minion_id,
+                fence=owned.fence,
+                service=owned.row.service or "",
+                zone=owned.row.zone or "",
+                labels=owned.row.labels or [],
             )
-        for minion_id in m.get("dis", []):
+        for minion_id in ack.disowned or ():
             self.agent.remove_minion(minion_id=minion_id)
-        if m.get("list") or m.get("shed"):
-            self.let_go(minion_ids=m.get("shed", []))
-            self.listing, self.hearted = True, -9.0
+        if ack.wants_owned_minions or ack.minions_to_release:
+            self.release_minions(minion_ids=ack.minions_to_release or [])
+            self.owned_minions_wanted = True
+            self.heartbeats.send_soon()
+
+    def _take_lease(self, *, ack: HeartbeatAck, sent_at: float) -> None:
+        """The controller lets the agent act, if this node has all evacuations that the controller knew of."""
+        if ack.controller_time is not UNSET:
+            epoch = None if ack.proof_epoch is UNSET else ack.proof_epoch
+            self.controller_echo = (epoch, ack.controller_time)
+        version = -1 if ack.registry_version is UNSET else ack.registry_version
+        if ack.grants_lease and version <= self.roster.registry.version:
+            self.agent_lease_expires = max(self.agent_lease_expires, sent_at + LEASE_S)
+
+    def _on_cluster_update(self, *, node_id: str, m: Any) -> None:
+        self.apply_update(update=decode(m, into=ClusterUpdate))
+
+    def _on_reply(self, *, node_id: str, m: Any) -> None:
+        self.calls.reply(node_id=node_id, m=m)
+
+    def _on_replication(self, *, node_id: str, m: Any, kind: Kind) -> None:
+        self.replicas[m["g"]].on(node_id=node_id, kind=kind, m=m)
 
     def gap(self, *, node_id: str) -> None:
         """Frames from a node were lost."""
@@ -300,16 +341,18 @@
         self.gap_place(node_id=node_id)
 
     def gap_agent(self, *, node_id: str) -> None:
-        """Perhaps what a placing node wanted, or answers."""
+        """Perhaps what a scheduler wanted of the agent, or answers."""
         self.calls.lost(node_id=node_id)
-        self.lost_from(node_id=node_id)
+        self.on_urgent_gap(node_id=node_id)
         self.agent.on_lost_messages(node_id=node_id)
 
     def gap_place(self, *, node_id: str) -> None:
-        """Perhaps what an agent told."""
-        for group_id, p in self.placers.items():
-            if self.replicas[group_id].is_serving():
-                p.gap(node_id=node_id)
+        """Perhaps what an agent told a scheduler."""
+        for placer in self._serving_placers():
+            placer.gap(node_id=node_id)
+
+    def _serving_placers(self) -> list[Placer]:
+        return [placer for group_id, placer in self.placers.items() if self.replicas[group_id].is_serving()]
 
     def tick(self) -> None:
         """About twenty times a second: all that goes by time."""
@@ -328,48 +371,51 @@
 
     def place_chores(self) -> None:
         """Placing: may take long, so a busy process does it less often."""
-        for group_id, p in list(self.placers.items()):
-            if self.replicas[group_id].is_serving():
-                p.tick()
+        for placer in self._serving_placers():
+            placer.tick()
         self._flush()
 
     def pulse(self) -> None:
-        """Hearts, promises, ballots, calls: cheap, and in time also in a busy process."""
-        if self.now - self.ticked > THAW_S:
-            self.note(event="stood-still", s=round(self.now - self.ticked, 2))
-            self._thawed(slept=self.now - self.ticked)
-        self.ticked = self.now
+        """Heartbeats, leases, elections, calls: cheap, and in time also in a busy process."""
+        if self.now - self.last_pulse > STALL_S:
+            self.note(event="process-stalled", s=round(self.now - self.last_pulse, 2))
+            self._resume(stalled_s=self.now - self.last_pulse)
+        self.last_pulse = self.now
         self.prove_own()
-        self.beat_hearts()
+        self.heartbeats.send_due()
+        sent_heartbeats = self.heartbeats.last_sent == self.now
         if self.chief is not None and self.replicas[0].is_serving():
-            if self.hearted == self.now:
-                self._self_heart()
+            if sent_heartbeats:
+                self._acknowledge_own_agent()
             self.chief.tick()
-        if self.hearted == self.now:
-            self.listing = False
+        if self.heartbeats.last_sent == self.now:
+            self.owned_minions_wanted = False
         self.calls.tick()
         self.hand.sweep(now=self.now)
         for replica in self.replicas.values():
             replica.tick()
         self._flush()
 
-    def _thawed(self, *, slept: float) -> None:
+    def _resume(self, *, stalled_s: float) -> None:
         """The process stood still: what others may have said meanwhile is not silence of theirs."""
         for replica in self.replicas.values():
             replica.process_resumed()
-        chief = (self.chief.last, self.chief.echoed) if self.chief is not None else ()
-        for at in (self.heard, self.roster, *chief):
-            for node_id, when in at.items():
-                at[node_id] = min(when + slept, self.now)
+        last_seen = [self.roster.last_heartbeat, self.membership.last_listed_alive]
+        if self.chief is not None:
+            last_seen += [self.chief.last, self.chief.echoed]
+        for times in last_seen:
+            for node_id, at in times.items():
+                times[node_id] = min(at + stalled_s, self.now)
 
-    def _self_heart(self) -> None:
-        """The chief's word to the agent of its own node."""
+    def _acknowledge_own_agent(self) -> None:
+        """The controller's part of an acknowledgement, to the agent of its own node."""
         assert self.chief is not None
-        own = self.chief.heart(b=self.heart())
-        if "own" not in own:
-            self._heartok(node_id=self.node_id, m=own)
-        elif own["own"] or own["dis"]:
-            self.replicas[0].barrier(then=("selfown", {k: own[k] for k in ("own", "dis")}))
+        ack = self.chief.on_heartbeat(heartbeat=self.heartbeat())
+        if ack.owned is UNSET:
+            self._apply_heartbeat_ack(node_id=self.node_id, ack=ack)
+        elif ack.owned or ack.disowned:
+            own = HeartbeatAck(owned=ack.owned, disowned=ack.disowned)
+            self.replicas[0].barrier(then=("own-heartbeat-ack", own))
 
     def leave(self) -> None:
         """The process is to end: hand what it holds to others, and the groups served here to their backups."""
@@ -403,7 +449,7 @@
         for group_id, replica in self.replicas.items():
             replica.finish_restore()
             if replica.epoch is not None:
-                NodeBase.learn(self, epochs=[(group_id, replica.epoch)])
+                self.epochs.learn(epochs=[(group_id, replica.epoch)])
 
     def _replay(self, *, record: dict[str, Any]) -> None:
         if record["k"] not in NODE_RECORDS:
--- a/yarrowloom/node/core_environment.py
+++ b/yarrowloom/node/core_environment.py
@@ -1,17 +1,17 @@
-"""What a core node gives its state machines, and how beats and calls of group 0 go through it."""
+"""What a core node is made of, and what it gives its state machines."""
 
+import math
 from collections.abc import Sequence
 from typing import Any
 
+from msgspec import UNSET
+
 from ..agent import Agent, AgentTiming
-from ..agent.heartbeat import parse_heartbeat
 from ..cluster_state.registry import Registry
-from ..cluster_state.registry_events import MinionRemoved, RegistryEvent
+from ..cluster_state.registry_events import RegistryEvent
 from ..common.defaults import SHIPPED, Defaults
 from ..common.effects import AnyEffect
-from ..common.errors import YarrowError
 from ..common.log import Log
-from ..common.records import MalformedRecordError
 from ..common.settings import NodeSettings
 from ..jobs.state_machine import Jobs
 from ..prediction import History
@@ -21,16 +21,40 @@
 from ..transport.http_server import Response
 from .controller import Chief
 from .group_calls import first_number
-from .http_routes import BEAT_TTL, refusal
-from .membership import MemberView
-from .node_base import JOB_GROUPS
+from .heartbeat_routing import ForwardedCall, HeartbeatRouting
+from .membership import Membership
+from .messages import ClusterUpdate, ContactProof, RegistryUpdate
+from .node_base import JOB_GROUPS, NodeBase
+from .registry_calls import RegistryCalls
+from .registry_requests import MinionRemoval
+
+MINION_LOST_TTL_S = 30.0  # group 0 is told of a lost minion for this long
+HEARTBEAT_HOLD_LEAST_MS = 4000.0
+HEARTBEATS_HELD = 3.0  # a heartbeat is held for this many periods of a minion's heartbeats
 
-OWNER_S = 3.0
 
+class CoreEnvironment(NodeBase):
+    """The parts of a core node, and what they ask of it.
 
-class CoreEnvironment(MemberView):
-    """Invariants: a replica's effects leave in the order of their events; a placer lives exactly while its group is
+    Invariants: a replica's effects leave in the order of their events; a scheduler lives exactly while its group is
     served here; the agent acts only while `trusted`.
+
+    Attributes:
+        registry: The state of group 0.
+        defaults: Values that operators may tune by a file.
+        jobs: The states of the job groups, by group id.
+        replicas: This node's replicas of all groups, by group id.
+        placers: The schedulers of the job groups that are served here, by group id.
+        chief: The controller; None: group 0 is not served here.
+        agent: The agent of the minions that are owned here.
+        membership: The core members as this node knows them.
+        registry_calls: Answers calls of group 0.
+        heartbeat_routing: Finds the agents of minions.
+        agent_lease_expires: Until when the agent may act, by the monotonic clock in seconds.
+        controller_echo: Epoch and time of the controller's last acknowledgement; empty: there was none.
+        owned_minions_wanted: Whether the controller wants to be told all minions that the agent owns.
+        previous_primary: By group id: the primary of the epoch before the newest one.
+        last_pulse: When the last pulse was.
     """
 
     def __init__(
@@ -45,7 +69,12 @@
         rand: float = 0.5,
         defaults: Defaults | None = None,
     ) -> None:
-        super().__init__(settings=settings, node_id=node_id, incarnation=incarnation, log=log, now=now, rand=rand)
+        super().__init__(settings=settings, node_id=node_id, incarnation=incarnation, kind="core", log=log)
+        self.now = now
+        self._jitter = rand
+        self.membership = Membership(environment=self)
+        self.registry_calls = RegistryCalls(environment=self)
+        self.heartbeat_routing = HeartbeatRouting(environment=self)
         self.registry = Registry()
         self.defaults = defaults or SHIPPED
         self.job_histories = {group_id: History() for group_id in self.groups()}
@@ -57,61 +86,69 @@
         self.replicas: dict[int, Replica] = {}
         for group_id in range(JOB_GROUPS + 1):
             state = self.registry if group_id == 0 else self.jobs[group_id]
-            first_epoch = self._genesis(group_id=group_id) if first else None
-            if first_epoch is not None:
-                self.epochs[group_id] = first_epoch
-            self.replicas[group_id] = Replica(group_id=group_id, environment=self, state=state, epoch=first_epoch)
+            epoch = self._initial_epoch(group_id=group_id) if first else None
+            if epoch is not None:
+                self.epochs.by_group[group_id] = epoch
+            self.replicas[group_id] = Replica(group_id=group_id, environment=self, state=state, epoch=epoch)
         self.placers: dict[int, Placer] = {}
         self.chief: Chief | None = None
-        hold = min(settings.max_hold_ms, max(3.0 * settings.heartbeat_interval_ms, 4000.0))
-        self.agent = Agent(
+        self.agent = self._make_agent()
+        self.agent_lease_expires = -math.inf
+        self.controller_echo: tuple[int | float | None, ...] = ()
+        self.owned_minions_wanted = False
+        self.previous_primary: dict[int, str] = {}
+        self.last_pulse = now
+
+    def _make_agent(self) -> Agent:
+        settings = self.settings
+        hold_ms = min(
+            settings.max_hold_ms,
+            max(HEARTBEATS_HELD * settings.heartbeat_interval_ms, HEARTBEAT_HOLD_LEAST_MS),
+        )
+        return Agent(
             environment=self,
             timing=AgentTiming(
-                hold_ms=int(hold),
+                hold_ms=int(hold_ms),
                 stop_grace_ms=int(settings.stop_grace_ms),
                 heartbeat_ms=settings.heartbeat_interval_ms,
                 drain_ms=int(settings.drain_ms),
             ),
-            first_lease_id=first_number(incarnation=incarnation) + 1,
+            first_lease_id=first_number(incarnation=self.incarnation) + 1,
         )
-        self.lease = -9.0
-        self.echo: list[Any] = []  # epoch and time of the last answer that came from group 0's primary
-        self.listing = False  # the chief wants to be told all that the agent holds
-        self.owner: dict[str, tuple[str, float]] = {}
-        self.before: dict[int, str] = {}
-        self.ticked = now
-
-    # -- what the state machines ask
-
-    def groups(self) -> range:
-        """Job groups."""
-        return range(1, JOB_GROUPS + 1)
 
-    def _genesis(self, *, group_id: int) -> Epoch:
-        seeds = [s.replace("#?", "#0") for s in self.seeds()]
-        n = len(seeds)
+    def _initial_epoch(self, *, group_id: int) -> Epoch:
+        """Epoch 0 as the settings give it: the seeds take turns as primaries of the groups."""
+        seeds = [seed.replace("#?", "#0") for seed in self.heartbeats.seeds()]
+        count = len(seeds)
+        backups = min(self.settings.losses, count - 1)
         return Epoch(
             number=0,
-            primary=seeds[group_id % n],
-            backups=tuple(seeds[(group_id + i) % n] for i in range(1, min(self.settings.losses, n - 1) + 1)),
+            primary=seeds[group_id % count],
+            backups=tuple(seeds[(group_id + i) % count] for i in range(1, backups + 1)),
             witnesses=tuple(seeds),
             snapshot_id="",
         )
 
+    # -- what the state machines ask
+
+    def groups(self) -> range:
+        """Job groups."""
+        return range(1, JOB_GROUPS + 1)
+
     def write(self, *, record: dict[str, Any], done: AnyEffect) -> None:
         """To disk."""
         self.out.writes.append((dump(body=record), done))
 
     def elected(self, *, group_id: int) -> None:
         """This node now serves the group."""
-        e = self.replicas[group_id].epoch
-        assert e is not None
-        was = self.before.get(group_id, "")
-        self.note(event="primary", group=group_id, epoch=e.number, backups=",".join(e.backups))
-        self._spread(group_id=group_id)
+        epoch = self.replicas[group_id].epoch
+        assert epoch is not None
+        previous = self.previous_primary.get(group_id, "")
+        self.note(event="primary-started", group=group_id, epoch=epoch.number, backups=",".join(epoch.backups))
+        self._announce(group_id=group_id, epoch=epoch)
         if group_id == 0:
-            self.chief = Chief(node=self, late=was if was != self.node_id else "")
-            self._publish()
+            self.chief = Chief(node=self, late=previous if previous != self.node_id else "")
+            self._publish_registry()
         else:
             self.placers[group_id] = Placer(
                 defaults=self.defaults,
@@ -130,15 +167,63 @@
         if group_id == 0:
             self.chief = None
 
-    def _spread(self, *, group_id: int) -> None:
-        e = self.replicas[group_id].epoch
+    def _announce(self, *, group_id: int, epoch: Epoch) -> None:
+        """Tell all core nodes of an epoch that begins."""
         for node_id in self.cores():
             if node_id != self.node_id:
-                self.send(node_id=node_id, kind=Kind.CLUSTER_UPDATE, body={"eps": [[group_id, e]]})
+                self.send_message(node_id=node_id, message=ClusterUpdate(epochs=[(group_id, epoch)]))
+
+    def installed(self, *, group_id: int, epoch: Epoch) -> None:
+        """A newer epoch is decided."""
+        previous = self.primary(group_id=group_id)
+        if previous is not None:
+            self.previous_primary[group_id] = previous[0]
+        self.epochs.learn(epochs=[(group_id, epoch)])
+        self.dissemination.publish()
+
+    def learn(self, *, epochs: Sequence[tuple[int, Epoch]]) -> None:
+        """Epochs go to the replicas first, which report those that are newer."""
+        for group_id, epoch in epochs:
+            self.replicas[group_id].learn(epoch)
+
+    # -- members, as the replicas ask for them
+
+    def jitter(self) -> float:
+        """0 to 1, from a small generator of its own."""
+        self._jitter = (self._jitter * 997.0 + 0.123456789) % 1.0
+        return self._jitter
+
+    def partners(self, *, first: Sequence[str]) -> list[str]:
+        """Members that may be a backup, best first; of equals, those in `first`."""
+        return self.membership.backup_candidates(first=first)
+
+    def up(self, *, node_id: str) -> bool:
+        """Whether a node sent a heartbeat lately, here or to the controller."""
+        return self.membership.is_up(node_id=node_id)
+
+    def other_zones(self, *, holders: Sequence[str]) -> list[str]:
+        """If all of `holders` stand in one zone: live members of other zones."""
+        return self.membership.other_zones(holders=holders)
+
+    def losses(self) -> int:
+        """How many disks may be lost at once."""
+        return self.settings.losses
+
+    def witnesses(self, *, have: Sequence[str]) -> list[str]:
+        """The set that should keep epochs, given the one that does."""
+        return self.membership.witnesses(current=have)
+
+    def everyone(self) -> list[str]:
+        """All core members known."""
+        return sorted(self.membership.zones())
+
+    # -- contact with the controller
 
     def trusted(self) -> bool:
-        """The agent may act: group 0's primary gave its word lately, or is this node."""
-        return self.now < self.lease or (self.chief is not None and self.replicas[0].is_serving())
+        """Whether the agent may act: its lease from the controller is valid, or the controller is here."""
+        if self.now < self.agent_lease_expires:
+            return True
+        return self.chief is not None and self.replicas[0].is_serving()
 
     def prove_own(self) -> None:
         """While this node serves group 0, it is itself the proof."""
@@ -146,237 +231,117 @@
         if self.chief is not None and epoch is not None and self.replicas[0].is_serving():
             self.freshness.prove(at=self.now, epoch=epoch.number)
 
-    def proof(self) -> dict[str, Any]:
-        """What an answer tells of how new the configuration here is."""
+    def proof(self) -> ContactProof:
+        """How new the configuration here is."""
         self.prove_own()
         return super().proof()
 
-    def let_go(self, *, minion_ids: list[str]) -> None:
-        """The chief wants these given to others. Let go of are those in good order, with none on its way out: the
-        next agent would have to find out anew that a minion is silent or about to leave.
+    def release_minions(self, *, minion_ids: list[str]) -> None:
+        """The controller wants these given to other agents.
+
+        Only those in good order are let go, with none on its way out: the next agent would have to find out anew that
+        a minion is silent or about to leave.
         """
         for minion_id in minion_ids:
-            m = self.agent.minions.get(minion_id)
-            if m is not None and self.agent.is_open(m) and not any(run.is_unsent for run in m.runs.values()):
+            minion = self.agent.minions.get(minion_id)
+            if minion is None or not self.agent.is_open(minion):
+                continue
+            if not any(run.is_unsent for run in minion.runs.values()):
                 self.agent.remove_minion(minion_id=minion_id)
 
+    # -- what schedulers and the agent ask
+
     def evacuated(self, *, zone: str) -> bool:
-        """Nothing may start there."""
-        return zone in self.evacuated_zones
+        """Whether nothing may start in a zone."""
+        return zone in self.roster.registry.evacuated_zones
 
     def ranks(self) -> dict[str, int]:
         """The queues of the newest configuration, with their ranks."""
-        return {name: route.rank for name, route in self.table.routes.items()} if self.table else {}
+        if self.table is None:
+            return {}
+        return {name: route.rank for name, route in self.table.routes.items()}
 
     def evacuations(self) -> frozenset[str]:
-        """Sites to which nothing is to be sent."""
-        return frozenset(self.evacuated_zones)
+        """Zones in which nothing may start."""
+        return frozenset(self.roster.registry.evacuated_zones)
 
     def gone(self, *, minion_id: str, fence: int) -> None:
-        """A minion is no more."""
+        """A minion is lost: the agent disowns it and group 0 is told."""
         self.agent.remove_minion(minion_id=minion_id)
-        self.calls.start(group_id=0, op="gone", b={"m": minion_id, "f": fence}, done=("none",), ttl=30.0)
-
-    def reply(self, *, node_id: str, request_id: int, status: int, document: Any) -> None:
-        """Answer a call of another node."""
-        self.send(
-            node_id=node_id,
-            kind=Kind.REPLY,
-            body={"rid": request_id, "to": node_id, "s": status, "d": document} | self.proofs(node_id=node_id),
-        )
-
-    def learn(self, *, epochs: Sequence[tuple[int, Epoch]]) -> None:
-        """Epochs go to the replicas first, which report what is news."""
-        for group_id, e in epochs:
-            self.replicas[group_id].learn(e)
+        removal = MinionRemoval(minion_id=minion_id, fence=fence)
+        self.calls.start(group_id=0, op="gone", b=removal.document(), done=("none",), ttl=MINION_LOST_TTL_S)
 
     def configured(self) -> None:
         """A newer configuration is in force here."""
         for placer in self.placers.values():
             placer.configured()
 
-    def installed(self, *, group_id: int, epoch: Epoch) -> None:
-        """A newer epoch is decided."""
-        old = self.epochs.get(group_id)
-        if old is not None:
-            self.before[group_id] = old.primary
-        super().learn(epochs=[(group_id, epoch)])
-        self.push()
-
     # -- group 0
 
-    def commit0(self, *, event: RegistryEvent, then: tuple[Any, ...] | None = None, news: bool = False) -> None:
-        """Commit to group 0; what changes news goes out once durable."""
+    def commit_registry(
+        self, *, event: RegistryEvent, then: tuple[Any, ...] | None = None, publish: bool = False
+    ) -> None:
+        """Commit an event to group 0.
+
+        Args:
+            event: The event.
+            then: The effect that is due once it is durable.
+            publish: Whether other nodes are to be told of the registry then.
+        """
         self.replicas[0].commit(event=event.document(), then=then)
-        if news:
-            self.replicas[0].barrier(then=("news", self._registry()))
+        if publish:
+            self.replicas[0].barrier(then=("publish", ClusterUpdate(registry=self._registry_update())))
+
+    def _registry_update(self) -> RegistryUpdate:
+        registry = self.registry
+        return RegistryUpdate(
+            version=registry.registry_version,
+            evacuated_zones=list(registry.evacuated_zones),
+            members=dict(registry.members),
+        )
 
-    def _registry(self) -> dict[str, Any]:
-        return {
-            "reg": {
-                "mods": self.registry.registry_version,
-                "evac": list(self.registry.evacuated_zones),
-                "members": {u: member.document() for u, member in self.registry.members.items()},
-            }
-        }
+    def _publish_registry(self) -> None:
+        """Tell the nodes whose heartbeats come here of all that group 0 holds."""
+        config = self.registry.config
+        self.apply_update(
+            update=ClusterUpdate(registry=self._registry_update(), config=UNSET if config is None else config)
+        )
 
-    def _publish(self) -> None:
-        document = self._registry()
-        if self.registry.config is not None:
-            document["conf"] = self.registry.config
-        self.take_news(document=document)
-
-    def _serve0(self, *, node_id: str, request_id: int, op: str, b: dict[str, Any]) -> None:
-        replica, chief = self.replicas[0], self.chief
-        assert chief is not None
-        if op == "conf":
-            try:
-                event = self.registry.evaluate_config_request(
-                    method=b["m"], if_match=b["base"], body=b["body"].encode()
-                )
-            except YarrowError as err:
-                status, document = refusal(err=err)
-                replica.barrier(then=("reply", node_id, request_id, status, document))
-                return
-            if event is not None:
-                replica.commit(event=event.document())
-                replica.barrier(then=("news", {"conf": self.registry.config}))
-                self.note(event="config-accepted", config_version=self.registry.config_version)
-            replica.barrier(then=("reply", node_id, request_id, 200, {}))
-        elif op == "getconf":
-            replica.barrier(
-                then=("reply", node_id, request_id, 200 if self.registry.config else 404, self.registry.config or {})
-            )
-        elif op == "evac":
-            try:
-                evacuation = self.registry.evaluate_evacuation(
-                    zone=b["site"], is_evacuated=b["on"], known_version=b["mods"]
-                )
-            except YarrowError as err:
-                status, document = refusal(err=err)
-                replica.barrier(then=("reply", node_id, request_id, status, document))
-                return
-            self.commit0(event=evacuation, news=True)
-            replica.barrier(then=("reply", node_id, request_id, 200, {}))
-        elif op == "who":
-            chief.who(node_id=node_id, request_id=request_id, b=b)
-        elif op == "gone":
-            removed = MinionRemoved(minion_id=b["m"], fence=b["f"])
-            self.commit0(event=removed, then=("reply", node_id, request_id, 200, {}))
-        elif op == "leave":
-            row = self.registry.minions.get(b["m"])
-            replica.barrier(then=("reply", node_id, request_id, 200, {} if row is None else {"o": row.owner}))
-
-    # -- beats
-
-    def agent_beat(self, *, minion_id: str, document: dict[str, Any], call: Any) -> None:
-        """A beat of an owned minion; what cannot be read is refused."""
-        try:
-            heartbeat = parse_heartbeat(document=document)
-        except MalformedRecordError as error:
-            self.log.warn("heartbeat-malformed", minion=minion_id, why=error.text)
-            self.respond(call=call, response=Response.of(400, {"error": "not a beat", "text": error.text}))
-            return
-        self.agent.on_heartbeat(minion_id=minion_id, heartbeat=heartbeat, call=call)
-
-    def beat_elsewhere(self, *, minion_id: str, document: dict[str, Any], call: Any) -> None:
-        """Hand a beat to the minion's agent."""
-        owner, at = self.owner.get(minion_id, ("", -9.0))
-        if owner and owner != self.node_id and self.now - at < OWNER_S:
-            self.calls.start(
-                group_id=-1,
-                to=owner,
-                op="beat",
-                b={"m": minion_id, "d": document},
-                done=("beat", call, minion_id, owner),
-                ttl=BEAT_TTL,
-            )
-            return
-        b = {
-            "m": minion_id,
-            "site": str(document.get("zone", "")),
-            "svc": str(document.get("backend", "")),
-            "labels": [str(x) for x in document.get("labels", [])],
-        }
-        self.calls.start(group_id=0, op="who", b=b, done=("who", call, minion_id, document), ttl=BEAT_TTL)
+    # -- calls
 
-    def called(self, *, done: tuple[Any, ...], status: int, document: Any, sent: bool) -> None:
-        """A call of this node has ended."""
-        kind = done[0]
-        if kind == "http":
-            self.respond(
-                call=done[1],
-                response=Response.of(status, document)
-                if status
-                else Response.of(503, {"error": "no primary in reach"}),
-            )
-        elif kind == "leave":
-            self._leave_found(call=done[1], minion_id=done[2], until=done[3], status=status, document=document)
-        elif kind == "who":
-            _, call, minion_id, beat = done
-            if status != 200:
-                self.respond(call=call, response=Response(status=503))
-            elif document["o"] == self.node_id:
-                if minion_id in self.agent.minions:
-                    self.agent_beat(minion_id=minion_id, document=beat, call=call)
-                else:
-                    self.respond(call=call, response=Response(status=503))
-            else:
-                self.owner[minion_id] = (document["o"], self.now)
-                if len(self.owner) > 20000:
-                    self.owner.clear()
-                self.calls.start(
-                    group_id=-1,
-                    to=document["o"],
-                    op="beat",
-                    b={"m": minion_id, "d": beat},
-                    done=("beat", call, minion_id, document["o"]),
-                    ttl=BEAT_TTL,
-                )
-        elif kind == "beat":
-            _, call, minion_id, owner = done
-            if status != 200:
-                self.owner.pop(minion_id, None)
-                self.respond(call=call, response=Response(status=503))
-                return
-            ctl = self.members.get(owner, {}).get("ctl") or self.info.get(owner, {}).get("ctl")
-            if ctl:
-                document = {**document, "beat-target": ctl}
-            self.respond(call=call, response=Response.of(200, document))
-
-    def _leave_found(self, *, call: Any, minion_id: str, until: float, status: int, document: Any) -> None:
-        """Group 0 told which agent a minion that ends is with: none (it has left before), this one or another."""
-        owner = document.get("o") if status == 200 else ""
-        if status == 200 and owner is None:
-            self.respond(call=call, response=Response.of(200, {}))
-        elif owner == self.node_id and minion_id in self.agent.minions and self.trusted():
-            self.agent.on_leaving(minion_id=minion_id, call=call)
-        elif owner and owner != self.node_id and until > self.now:
-            self.calls.start(
-                group_id=-1, to=owner, op="leave", b={"m": minion_id}, done=("http", call), ttl=until - self.now
-            )
-        else:
-            self.respond(call=call, response=Response(status=503))
+    def reply(self, *, node_id: str, request_id: int, status: int, document: Any) -> None:
+        """Answer a call of another node."""
+        proof = self.proof_for_call(node_id=node_id)
+        body = {"rid": request_id, "to": node_id, "s": status, "d": document, **proof.document()}
+        self.send(node_id=node_id, kind=Kind.REPLY, body=body)
 
     def respond(self, *, call: Any, response: Response) -> None:
-        """Answer a call: over HTTP, or to the node that handed the beat over."""
-        if isinstance(call, tuple) and call[0] == "far":
-            self.reply(
-                node_id=call[1],
-                request_id=call[2],
-                status=response.status,
-                document=self.load(body=response.body) if response.body else {},
-            )
-        else:
+        """Answer a call: over HTTP, or to the node that forwarded it."""
+        if not isinstance(call, ForwardedCall):
             super().respond(call=call, response=response)
+            return
+        document = self.load(body=response.body) if response.body else {}
+        self.reply(node_id=call.node_id, request_id=call.request_id, status=response.status, document=document)
 
-    def _handed(self, *, node_id: str, request_id: int, op: str, b: dict[str, Any]) -> None:
-        if b["m"] not in self.agent.minions or not self.trusted():
-            self.reply(node_id=node_id, request_id=request_id, status=503, document={})
-        elif op == "leave":
-            self.agent.on_leaving(minion_id=b["m"], call=("far", node_id, request_id))
-        else:
-            self.agent_beat(minion_id=b["m"], document=b["d"], call=("far", node_id, request_id))
+    def called(self, *, done: tuple[Any, ...], status: int, document: Any, sent: bool) -> None:
+        """A call of this node has ended."""
+        routing = self.heartbeat_routing
+        match done:
+            case ("http", call):
+                given_up = Response.of(503, {"error": "no primary in reach"})
+                self.respond(call=call, response=Response.of(status, document) if status else given_up)
+            case ("who", call, minion_id, heartbeat):
+                routing.on_owner_found(
+                    call=call, minion_id=minion_id, heartbeat=heartbeat, status=status, document=document
+                )
+            case ("beat", call, minion_id, owner):
+                routing.on_forwarded_answer(
+                    call=call, minion_id=minion_id, owner=owner, status=status, document=document
+                )
+            case ("leave", call, minion_id, deadline):
+                routing.on_departing_owner_found(
+                    call=call, minion_id=minion_id, deadline=deadline, status=status, document=document
+                )
 
     def effect(self, *, effect: AnyEffect) -> None:
         """Carry out an effect that is now durable."""
@@ -389,8 +354,8 @@
             "site": self.settings.zone,
             "config": self.config_version(),
             "proof-age-ms": self.proof_age_ms(),
-            "evacuated": sorted(self.evacuated_zones),
-            "members": self.members,
+            "evacuated": sorted(self.roster.registry.evacuated_zones),
+            "members": {node_id: member.document() for node_id, member in self.roster.registry.members.items()},
             "groups": {
                 str(group_id): {
                     "role": r.role.value,
--- a/yarrowloom/node/edge.py
+++ b/yarrowloom/node/edge.py
@@ -6,15 +6,19 @@
 from typing import Any
 from urllib.parse import urlsplit
 
+from msgspec import UNSET
+
 from ..cluster_state.routing_table import Route
 from ..common.errors import InvalidInputError
 from ..common.log import Log
+from ..common.records import decode
 from ..common.settings import NodeSettings
 from ..jobs.submission import Submission, group_of, is_job_id, parse
 from ..transport.envelope import Kind
 from ..transport.http_server import Limits, Request, Response
 from .edge_relays import FANOUT
-from .node_base import ALIVE_S, JOB_GROUPS, NodeBase
+from .messages import ClusterUpdate, ContactProof, Heartbeat, HeartbeatAck
+from .node_base import JOB_GROUPS, NodeBase
 
 MARGIN_S = 0.2  # an answer leaves this long before its caller's deadline, or a third of what is left before
 HAND_MIN, HAND_MAX = 64, 1024
@@ -81,7 +85,7 @@
             near
             and self.table is not None
             and not self.closing
-            and all(group_id in self.epochs for group_id in range(JOB_GROUPS + 1))
+            and all(group_id in self.epochs.by_group for group_id in range(JOB_GROUPS + 1))
         )
 
     def sure(self) -> bool:
@@ -214,31 +218,39 @@
     # -- frames and time
 
     def on(self, *, node_id: str, kind: Kind, m: Any) -> None:
-        """One message."""
+        """Take one message of a node; `m` is its parsed body.
+
+        Raises:
+            MalformedRecordError: The body is not one of this kind.
+        """
         if kind is Kind.HEARTBEAT_ACK:
-            self._heartok(node_id=node_id, m=m)
+            self._on_heartbeat_ack(node_id=node_id, ack=decode(m, into=HeartbeatAck))
         elif kind is Kind.HEARTBEAT:
-            self._relay(b=m)
+            self._feed(heartbeat=decode(m, into=Heartbeat))
         elif kind is Kind.CLUSTER_UPDATE:
-            self.take_news(document=m)
+            self.apply_update(update=decode(m, into=ClusterUpdate))
         elif kind is Kind.REPLY:
             pend = self.calls.open.get(m["rid"])
             if pend is not None and node_id in pend.nodes and "age" in m:
-                self.confirm(sent=pend.began, m=m)
+                self.confirm(sent_at=pend.began, proof=decode(m, into=ContactProof))
             self.calls.reply(node_id=node_id, m=m)
 
-    def _heartok(self, *, node_id: str, m: dict[str, Any]) -> None:
-        """A core or a relay answered a heart. A relay that is not in touch is left as soon as another node is."""
-        self.contact = self.now
-        self.take_news(document=m.get("news", {}))
-        in_touch = self.told(node_id=node_id, m=m)
-        if m.get("full"):
+    def _on_heartbeat_ack(self, *, node_id: str, ack: HeartbeatAck) -> None:
+        """A core or a relay acknowledged a heartbeat.
+
+        A relay that is not in touch is left as soon as another node is.
+        """
+        self.heartbeats.last_ack = self.now
+        if ack.update is not UNSET:
+            self.apply_update(update=ack.update)
+        in_touch = self.heartbeats.on_ack(node_id=node_id, ack=ack)
+        if ack.is_full:
             self.shun[node_id] = self.now + FULL_S
-            self.via = [u for u in self.via if u != node_id]
-        elif m.get("via") and in_touch:
-            via = [u for u in m["via"] if self.shun.get(u, -9.0) < self.now]
-            if via:
-                self.via, self.via_at = via, self.now
+            self.via = [relay for relay in self.via if relay != node_id]
+        elif ack.relays and in_touch:
+            relays = [relay for relay in ack.relays if self.shun.get(relay, -math.inf) < self.now]
+            if relays:
+                self.via, self.via_at = relays, self.now
         elif node_id in self.via and (in_touch or not self.sure()):
             self.via_at = self.now
 
@@ -246,31 +258,41 @@
         """How many edges this one may feed: at 2 Mbit/s four, whose hearts and changes take a tenth of the link."""
         return max(1, min(FANOUT, int(2 * self.settings.link_mbps)))
 
-    def _relay(self, *, b: dict[str, Any]) -> None:
-        """Feed news to another edge; or turn it away."""
-        fed = sum(self.now - at < ALIVE_S for u, at in self.heard.items() if u != b["u"])
+    def _feed(self, *, heartbeat: Heartbeat) -> None:
+        """Feed cluster updates to another edge; or turn it away."""
+        node_id = heartbeat.node_id
+        fed = sum(child != node_id for child in self.roster.alive_senders(now=self.now))
         if fed >= self.children():
-            self.send(node_id=b["u"], kind=Kind.HEARTBEAT_ACK, body={"t": b["t"], **self.proof(), "full": True})
+            proof = self.proof()
+            full = HeartbeatAck(
+                sent_at=heartbeat.sent_at,
+                proof_age_s=proof.age_s,
+                proof_epoch=proof.epoch,
+                config_version=proof.config_version,
+                is_full=True,
+            )
+            self.send_message(node_id=node_id, message=full)
             return
-        self.hear(b=b)
-        self.send(node_id=b["u"], kind=Kind.HEARTBEAT_ACK, body=self.answer(b=b))
+        self.on_heartbeat(heartbeat=heartbeat)
+        self.send_message(node_id=node_id, message=self.heartbeat_ack(heartbeat=heartbeat))
 
-    def targets(self) -> list[str]:
+    def heartbeat_targets(self) -> list[str]:
         """Relays named by a core that feeds enough edges, as long as they are in contact; else the ring. The whole
         configuration comes from cores, whose links carry it.
         """
-        if self.via and self.now - self.via_at < VIA_S and self.table is not None and not self.torn:
-            return self.via + self.probes(known=self.via)
-        return super().targets()
+        is_configured = self.table is not None and not self.dissemination.needs_full_config
+        if self.via and self.now - self.via_at < VIA_S and is_configured:
+            return self.via + self.heartbeats.probes(known=self.via)
+        return self.heartbeats.targets()
 
     def gap(self, *, node_id: str) -> None:
         """Frames were lost, perhaps answers: ask again at once; news at once if told."""
         self.calls.lost(node_id=node_id)
-        self.lost_from(node_id=node_id)
+        self.on_urgent_gap(node_id=node_id)
 
     def tick(self) -> None:
         """Several times a second."""
-        self.beat_hearts()
+        self.heartbeats.send_due()
         self.calls.tick()
         if self.in_touch is not self.sure():
             self.in_touch = not self.in_touch
--- a/yarrowloom/node/http_routes.py
+++ b/yarrowloom/node/http_routes.py
@@ -6,7 +6,6 @@
 
 import orjson
 
-from ..common.errors import YarrowError
 from ..jobs.submission import group_of, is_job_id
 from ..transport.http_server import JSON, Request, Response
 from .node_base import JOB_GROUPS
@@ -17,7 +16,6 @@
 Handler = Callable[["CoreEnvironment", Any, Request, str], None]
 CALLS: list[tuple[str, re.Pattern[str], Handler]] = []
 CONF_TTL = 3.5
-BEAT_TTL = 0.75
 
 
 def declare(method: str, path: str) -> Callable[[Handler], Handler]:
@@ -44,11 +42,6 @@
     node.respond(call=call, response=Response.of(405 if known else 404, {"error": "no such call"}))
 
 
-def refusal(*, err: YarrowError) -> tuple[int, dict[str, Any]]:
-    """An error as an answer, with all findings."""
-    return err.status, {"error": err.code, "text": err.text, "findings": [str(f) for f in err.findings]}
-
-
 @declare("PUT", r"/minions/([^/]+)")
 def beat(node: "CoreEnvironment", call: Any, req: Request, minion_id: str) -> None:
     """A minion's beat: to its agent, here or elsewhere."""
@@ -59,25 +52,13 @@
     except ValueError:
         node.respond(call=call, response=Response.of(400, {"error": "not a beat"}))
         return
-    if minion_id in node.agent.minions and node.trusted():
-        node.agent_beat(minion_id=minion_id, document=document, call=call)
-        return
-    node.beat_elsewhere(minion_id=minion_id, document=document, call=call)
+    node.heartbeat_routing.on_heartbeat(minion_id=minion_id, document=document, call=call)
 
 
 @declare("DELETE", r"/minions/([^/]+)")
 def leave(node: "CoreEnvironment", call: Any, req: Request, minion_id: str) -> None:
     """A minion ends."""
-    if minion_id in node.agent.minions and node.trusted():
-        node.agent.on_leaving(minion_id=minion_id, call=call)
-    else:
-        node.calls.start(
-            group_id=0,
-            op="leave",
-            b={"m": minion_id},
-            done=("leave", call, minion_id, node.now + BEAT_TTL),
-            ttl=BEAT_TTL,
-        )
+    node.heartbeat_routing.on_departure(minion_id=minion_id, call=call)
 
 
 @declare("PUT", r"/config")
@@ -132,7 +113,7 @@
     node.calls.start(
         group_id=0,
         op="evac",
-        b={"site": zone, "on": on, "mods": node.registry_version},
+        b={"site": zone, "on": on, "mods": node.roster.registry.version},
         done=("http", call),
         ttl=CONF_TTL,
     )
@@ -171,7 +152,7 @@
         )
         return
     prim = node.primary(group_id=group_id)
-    ctl = node.info.get(prim[0], {}).get("ctl") or node.members.get(prim[0], {}).get("ctl") if prim else ""
+    ctl = node.roster.control_address(node_id=prim[0]) if prim else ""
     if not ctl:
         node.respond(call=call, response=Response.of(503, {"error": "no placing node known"}))
     else:
--- /dev/null
+++ b/yarrowloom/node/registry_calls.py
@@ -0,0 +1,121 @@
+"""Calls of group 0, as its primary answers them: configuration, evacuations, owners of minions."""
+
+from collections.abc import Callable, Mapping
+from typing import Any, Protocol
+
+from ..cluster_state.registry import Registry
+from ..cluster_state.registry_events import MinionRemoved, RegistryEvent
+from ..common.errors import YarrowError
+from ..common.records import MalformedRecordError, decode
+from ..replication import Replica
+from .controller import Chief
+from .http_errors import error_answer
+from .messages import ClusterUpdate
+from .registry_requests import ConfigChange, EvacuationChange, MinionDeparture, MinionRemoval, OwnerQuery
+
+OK = 200
+NOT_FOUND = 404
+
+
+class RegistryEnvironment(Protocol):
+    """What calls of group 0 need of their node."""
+
+    registry: Registry
+    replicas: dict[int, Replica]
+    chief: Chief | None
+
+    def commit_registry(
+        self, *, event: RegistryEvent, then: tuple[Any, ...] | None = None, publish: bool = False
+    ) -> None:
+        """Commit an event to group 0."""
+
+    def note(self, *, event: str, **fields: object) -> None:
+        """Log an event."""
+
+
+class RegistryCalls:
+    """Answers calls of group 0 on its primary.
+
+    Invariant: an answer leaves once all is durable that it rests on.
+    """
+
+    def __init__(self, *, environment: RegistryEnvironment) -> None:
+        self.environment = environment
+        self._operations: Mapping[str, Callable[[str, int, Any], None]] = {
+            "conf": self._change_config,
+            "getconf": self._read_config,
+            "evac": self._change_evacuation,
+            "who": self._find_owner,
+            "gone": self._remove_minion,
+            "leave": self._find_owner_of_departing,
+        }
+
+    def serve(self, *, node_id: str, request_id: int, operation: str, body: Any) -> None:
+        """Answer a call of a node.
+
+        Raises:
+            MalformedRecordError: There is no such operation, or the body is not one of it.
+        """
+        if operation not in self._operations:
+            raise MalformedRecordError(text=f"op: {operation!r} is no operation of group 0")
+        self._operations[operation](node_id, request_id, body)
+
+    def _reply_when_durable(self, *, node_id: str, request_id: int, status: int, document: Any) -> None:
+        self.environment.replicas[0].barrier(then=("reply", node_id, request_id, status, document))
+
+    def _refuse(self, *, node_id: str, request_id: int, error: YarrowError) -> None:
+        status, document = error_answer(error=error)
+        self._reply_when_durable(node_id=node_id, request_id=request_id, status=status, document=document)
+
+    def _change_config(self, node_id: str, request_id: int, body: Any) -> None:
+        change = decode(body, into=ConfigChange)
+        node, registry = self.environment, self.environment.registry
+        try:
+            event = registry.evaluate_config_request(
+                method=change.method, if_match=change.expected_version, body=change.body.encode()
+            )
+        except YarrowError as error:
+            self._refuse(node_id=node_id, request_id=request_id, error=error)
+            return
+        if event is not None:
+            node.commit_registry(event=event)
+            assert registry.config is not None
+            node.replicas[0].barrier(then=("publish", ClusterUpdate(config=registry.config)))
+            node.note(event="config-accepted", config_version=registry.config_version)
+        self._reply_when_durable(node_id=node_id, request_id=request_id, status=OK, document={})
+
+    def _read_config(self, node_id: str, request_id: int, _body: Any) -> None:
+        config = self.environment.registry.config
+        status = OK if config else NOT_FOUND
+        self._reply_when_durable(node_id=node_id, request_id=request_id, status=status, document=config or {})
+
+    def _change_evacuation(self, node_id: str, request_id: int, body: Any) -> None:
+        change = decode(body, into=EvacuationChange)
+        node = self.environment
+        try:
+            event = node.registry.evaluate_evacuation(
+                zone=change.zone, is_evacuated=change.is_on, known_version=change.known_version
+            )
+        except YarrowError as error:
+            self._refuse(node_id=node_id, request_id=request_id, error=error)
+            return
+        node.commit_registry(event=event, publish=True)
+        self._reply_when_durable(node_id=node_id, request_id=request_id, status=OK, document={})
+
+    def _find_owner(self, node_id: str, request_id: int, body: Any) -> None:
+        query = decode(body, into=OwnerQuery)
+        assert self.environment.chief is not None
+        self.environment.chief.find_owner(node_id=node_id, request_id=request_id, query=query)
+
+    def _remove_minion(self, node_id: str, request_id: int, body: Any) -> None:
+        removal = decode(body, into=MinionRemoval)
+        self.environment.commit_registry(
+            event=MinionRemoved(minion_id=removal.minion_id, fence=removal.fence),
+            then=("reply", node_id, request_id, OK, {}),
+        )
+
+    def _find_owner_of_departing(self, node_id: str, request_id: int, body: Any) -> None:
+        departure = decode(body, into=MinionDeparture)
+        row = self.environment.registry.minions.get(departure.minion_id)
+        document = {} if row is None else {"o": row.owner}
+        self._reply_when_durable(node_id=node_id, request_id=request_id, status=OK, document=document)
--- a/yarrowloom/node/runtime.py
+++ b/yarrowloom/node/runtime.py
@@ -165,7 +165,7 @@
         """Tell the node of lost frames, in each class before what came after them."""
         node = self.node
         if lane is Lane.URGENT:
-            self.post(run=partial(node.lost_from, node_id=node_id), input_class=InputClass.URGENT)
+            self.post(run=partial(node.on_urgent_gap, node_id=node_id), input_class=InputClass.URGENT)
         elif lane is Lane.WORK and isinstance(node, CoreNode):
             self.post(run=partial(node.gap_agent, node_id=node_id), input_class=InputClass.AGENT)
             self.post(run=partial(node.gap_place, node_id=node_id), input_class=InputClass.SCHEDULING)
--- a/yarrowloom/simulator/cluster.py
+++ b/yarrowloom/simulator/cluster.py
@@ -56,7 +56,7 @@
                 if lost and lane is Lane.WORK and ip != dst:
                     to.node.gap(node_id=node_id)
                 elif lost and lane is Lane.URGENT and ip != dst:
-                    to.node.lost_from(node_id=node_id)
+                    to.node.on_urgent_gap(node_id=node_id)
                 if kind is not None:
                     to.node.on(node_id=node_id, kind=kind, m=orjson.loads(body))
 
