--- /dev/null
+++ b/tests/agent/test_task_runs.py
@@ -0,0 +1,75 @@
+"""Orders go only through the agent; what becomes of those that went astray."""
+
+import pytest
+
+from tests.support.agent_harness import MINION, TASK, AgentHarness
+from yarrowloom.agent.messages import StopTasks
+from yarrowloom.transport.message_kinds import Kind
+
+RECORDED = [TASK, 1, 1000, 10, 0, 500]
+
+
+def test_order_goes_only_on_a_lease_of_the_newest_attachment(harness: AgentHarness) -> None:
+    lease_id = harness.request_lease()
+    harness.order(lease_id=lease_id + 7)
+    assert harness.environment.last(Kind.ORDERS_REJECTED)["x"] == [[MINION, 1, TASK, 1]]
+    harness.order(lease_id=lease_id, epoch_number=0)
+    assert TASK not in harness.minion.runs
+    harness.order(lease_id=lease_id)
+    assert harness.heartbeat()["started"] == [[TASK, 1, "spec", ""]]
+
+
+def test_sent_order_survives_a_new_attachment(harness: AgentHarness) -> None:
+    harness.order(lease_id=harness.request_lease())
+    assert "started" in harness.heartbeat()
+    harness.attach(group_id=2, attachment=2, runs=[RECORDED])
+    assert harness.environment.last(Kind.ATTACHMENT_VERDICT)["x"] == []
+
+
+def test_unlisted_order_of_a_former_agent_never_started(harness: AgentHarness) -> None:
+    harness.attach(group_id=2, attachment=2, runs=[RECORDED])
+    assert harness.environment.last(Kind.ATTACHMENT_VERDICT)["x"] == [[TASK, 1]]
+
+
+def test_listed_run_of_a_former_agent_is_taken_over_with_a_lease(harness: AgentHarness) -> None:
+    harness.heartbeat(running=[[TASK, 1, "", 30]])
+    harness.attach(group_id=2, attachment=2, runs=[RECORDED])
+    assert harness.environment.last(Kind.ATTACHMENT_VERDICT)["x"] == []
+    assert list(harness.minion.free()) == [3000, 7990, 2]
+    assert "stopped" not in harness.heartbeat(running=[[TASK, 1, "", 31]])
+
+
+def test_listed_run_that_no_record_has_is_stopped(harness: AgentHarness) -> None:
+    assert harness.heartbeat(running=[[TASK, 1, "", 30]])["stopped"] == [[TASK, 1]]
+    assert harness.request_leases(group_id=1) == []
+
+
+def test_attachment_of_an_older_epoch_changes_nothing(harness: AgentHarness) -> None:
+    harness.order(lease_id=harness.request_lease())
+    harness.attach(group_id=2, attachment=9, epoch_number=0)
+    assert list(harness.minion.runs) == [TASK]
+
+
+def test_stopped_order_that_was_not_carried_out_is_sent_back(harness: AgentHarness) -> None:
+    """Once it hung for ever: neither sent again nor stopped, and its gang waited."""
+    harness.order(lease_id=harness.request_lease())
+    assert "started" in harness.heartbeat()
+    harness.deliver(StopTasks, {"g": 2, "x": [[MINION, TASK, 1]]})
+    harness.heartbeat()
+    assert harness.environment.last(Kind.ORDERS_REJECTED)["x"] == [[MINION, 1, TASK, 1]]
+    assert harness.minion.runs == {}
+
+
+@pytest.mark.parametrize("reason", ["draining", "evacuated", "not trusted"])
+def test_nothing_starts_on_a_draining_or_evacuated_minion_or_without_trust(reason: str) -> None:
+    harness = AgentHarness()
+    harness.order(lease_id=harness.request_lease())
+    if reason == "evacuated":
+        harness.environment.evacuated_zones.add("z")
+    if reason == "not trusted":
+        harness.environment.is_trusted = False
+    response = harness.heartbeat(state="draining" if reason == "draining" else "ready")
+    assert "started" not in response
+    if reason != "not trusted":
+        assert harness.environment.last(Kind.ORDERS_REJECTED)["x"][0][2] == TASK
+        assert harness.request_leases(group_id=1) == []
--- a/tests/integration/test_large_clusters.py
+++ b/tests/integration/test_large_clusters.py
@@ -6,7 +6,7 @@
 import orjson
 import pytest
 
-from tests.agent.test_agent import JOB, TASK, Rig
+from tests.support.agent_harness import JOB, MINION, TASK, AgentHarness
 from yarrowloom.cluster_state.routing_table import RoutingTable
 from yarrowloom.node.core import OVERLOADED, CoreNode
 from yarrowloom.node.edge_relays import FANOUT, SELECTION_PERIOD_S, EdgeRelays
@@ -106,21 +106,20 @@
 
 def test_an_order_that_was_never_sent_goes_back_once_its_minion_is_overdue() -> None:
     """It waited until the minion counted as lost, which takes a whole hold."""
-    rig = Rig()
-    rig.beat()  # answered: the next beat is due
-    (lease_id, _, _), *_ = rig.ask(group_id=2)
-    rig.order(lease_id=lease_id)
-    began = rig.environment.now
-    while not any(kind is Kind.ORDERS_REJECTED for _, kind, _ in rig.environment.sent):
-        rig.environment.now += 0.05
-        rig.agent.tick()
-        assert rig.environment.now - began < 2.5  # a hold is 4 s
-    assert rig.environment.last(Kind.ORDERS_REJECTED)["x"] == [["i", 1, TASK, 1]]
-    assert rig.agent.minions["i"].runs == {}
-    assert rig.ask(group_id=2) == []
-    assert "started" not in rig.beat()  # and it does not go out after all
-    assert rig.ask(group_id=2) != []
-    assert JOB in TASK
+    harness = AgentHarness()
+    harness.heartbeat()  # answered: the next heartbeat is due
+    lease_id = harness.request_lease()
+    harness.order(lease_id=lease_id)
+    began = harness.environment.now
+    while not harness.environment.has_sent(Kind.ORDERS_REJECTED):
+        harness.tick()
+        assert harness.environment.now - began < 2.5  # a hold is 4 s
+    assert harness.environment.last(Kind.ORDERS_REJECTED)["x"] == [[MINION, 1, TASK, 1]]
+    assert harness.minion.runs == {}
+    assert harness.request_leases(group_id=2) == []
+    assert "started" not in harness.heartbeat()  # and it does not go out after all
+    assert harness.request_leases(group_id=2) != []
+    assert TASK.startswith(JOB)
 
 
 # -- what every change and every heartbeat cost
