--- a/tests/jobs/test_state_machine.py
+++ b/tests/jobs/test_state_machine.py
@@ -7,106 +7,276 @@
 import orjson
 import pytest
 
-from yarrowloom.jobs.effects import JobEnded, StopTask, UnitReady
-from yarrowloom.jobs.model import TaskState
+from yarrowloom.common.records import MalformedRecordError
+from yarrowloom.jobs.effects import JobEnded, JobTimed, StopTask, UnitReady
+from yarrowloom.jobs.events import (
+    JobCancelled,
+    JobsForgotten,
+    JobSubmitted,
+    MinionLost,
+    RunDue,
+    RunOutcome,
+    TaskEnded,
+    TasksStarted,
+    TaskStart,
+)
+from yarrowloom.jobs.model import JobState, TaskState
 from yarrowloom.jobs.state_machine import Jobs
-from yarrowloom.jobs.submission import parse
+from yarrowloom.jobs.submission import AcceptedJob, parse_submission
 from yarrowloom.prediction import History
 
+JOB_ID = "a"
+UNIT_KEY = "0.0"
+READY = UnitReady(job_id=JOB_ID, unit_key=UNIT_KEY)
+ENDED = JobEnded(job_id=JOB_ID)
 
-def job(*, stages: list[dict[str, Any]], **more: Any) -> dict[str, Any]:
-    document = parse(body=orjson.dumps({"task-spec": "x", "stages": stages, **more}))
-    return {**document.document(), "q": "q", "svc": "s", "mt": 3, "at": 0}
 
+@pytest.fixture
+def jobs() -> Jobs:
+    return Jobs(history=History())
 
-def end(*, run: int, how: str, i: int = 0, mt: int = 3) -> dict[str, Any]:
-    return {"t": "end", "id": "a", "u": "0.0", "i": i, "run": run, "how": how, "v": "", "mt": mt}
 
+def submitted(*, job_id: str = JOB_ID, stages: list[dict[str, Any]], **more: Any) -> JobSubmitted:
+    submission = parse_submission(body=orjson.dumps({"task-spec": "x", "stages": stages, **more}))
+    job = AcceptedJob(
+        spec=submission.spec,
+        steps=submission.steps,
+        first_run_ms=submission.first_run_ms,
+        period_ms=submission.period_ms,
+        repeat_count=submission.repeat_count,
+        service="s",
+        max_attempts=3,
+        queue="q",
+        accepted_at_ms=0,
+    )
+    return JobSubmitted(job_id=job_id, job=job)
 
-def start(*, run: int, i: int = 0, m: str = "m") -> dict[str, Any]:
-    return {"t": "start", "id": "a", "u": "0.0", "x": [[i, run, m]]}
 
+def started(*, run_id: int, minion_ids: list[str], job_id: str = JOB_ID, unit_key: str = UNIT_KEY) -> TasksStarted:
+    """The first tasks of a unit start, one on each of the minions."""
+    starts = [TaskStart(index=i, run_id=run_id, minion_id=minion_id) for i, minion_id in enumerate(minion_ids)]
+    return TasksStarted(job_id=job_id, unit_key=unit_key, starts=starts)
 
-@pytest.mark.parametrize("how", ["lost", "void", "stopped", "lapsed"])
-def test_only_failures_count_against_the_budget(how: str) -> None:
-    jobs = Jobs(history=History())
-    jobs.apply({"t": "job", "id": "a", "j": job(stages=[{"task-count": 1}])})
-    jobs.apply(start(run=1))
-    jobs.apply(end(run=1, how="failed"))
-    jobs.apply(start(run=2))
-    jobs.apply(end(run=2, how=how, mt=1))
-    assert jobs.jobs["a"].state == "active"
 
+def ended(
+    *,
+    run_id: int,
+    outcome: str,
+    index: int = 0,
+    max_attempts: int = 3,
+    job_id: str = JOB_ID,
+    unit_key: str = UNIT_KEY,
+) -> TaskEnded:
+    return TaskEnded(
+        job_id=job_id,
+        unit_key=unit_key,
+        index=index,
+        run_id=run_id,
+        outcome=outcome,
+        saved_progress="",
+        max_attempts=max_attempts,
+    )
 
-def test_gang_failure_counts_once_and_waits_for_all() -> None:
-    jobs = Jobs(history=History())
-    jobs.apply({"t": "job", "id": "a", "j": job(stages=[{"task-count": 2, "gang": True}])})
-    jobs.apply({"t": "start", "id": "a", "u": "0.0", "x": [[0, 1, "m"], [1, 1, "n"]]})
+
+@pytest.mark.parametrize("outcome", ["lost", "void", "stopped", "lapsed", "a newer release's word"])
+def test_only_failures_count_against_the_budget(jobs: Jobs, outcome: str) -> None:
+    jobs.apply_event(submitted(stages=[{"task-count": 1}]))
+    jobs.apply_event(started(run_id=1, minion_ids=["m"]))
+    jobs.apply_event(ended(run_id=1, outcome="failed"))
+    jobs.apply_event(started(run_id=2, minion_ids=["m"]))
+    assert jobs.apply_event(ended(run_id=2, outcome=outcome, max_attempts=1)) == [READY]
+    assert jobs.jobs[JOB_ID].state is JobState.ACTIVE
+
+
+def test_the_last_attempt_that_fails_ends_the_job(jobs: Jobs) -> None:
+    jobs.apply_event(submitted(stages=[{"task-count": 2}]))
+    jobs.apply_event(started(run_id=1, minion_ids=["m", "n"]))
+    effects = jobs.apply_event(ended(run_id=1, outcome="failed", max_attempts=1))
+    assert effects == [ENDED, StopTask(minion_id="n", job_id=JOB_ID, task="a.0.0.1", run_id=1)]
+    assert jobs.jobs[JOB_ID].state is JobState.FAILED
+    assert not jobs.jobs[JOB_ID].is_trimmed
+    assert jobs.apply_event(ended(run_id=1, outcome="stopped", index=1)) == []
+    assert jobs.jobs[JOB_ID].is_trimmed
+
+
+def test_gang_failure_counts_once_and_waits_for_all(jobs: Jobs) -> None:
+    jobs.apply_event(submitted(stages=[{"task-count": 2, "gang": True}]))
+    jobs.apply_event(started(run_id=1, minion_ids=["m", "n"]))
     # The others are stopped at once: one whose order is still on its way would start and wait alone.
-    assert jobs.apply(end(run=1, how="failed", i=0)) == [StopTask(minion_id="n", job_id="a", task="a.0.0.1", run_id=1)]
-    assert jobs.apply(end(run=1, how="failed", i=1)) == [UnitReady(job_id="a", unit_key="0.0")]
-    assert jobs.jobs["a"].units["0.0"].failures[0] == 1
+    stop = StopTask(minion_id="n", job_id=JOB_ID, task="a.0.0.1", run_id=1)
+    assert jobs.apply_event(ended(run_id=1, outcome="failed", index=0)) == [stop]
+    assert jobs.apply_event(ended(run_id=1, outcome="failed", index=1)) == [READY]
+    assert jobs.jobs[JOB_ID].units[UNIT_KEY].failures[0] == 1
 
 
-def test_gang_done_stands_for_all() -> None:
-    jobs = Jobs(history=History())
-    jobs.apply({"t": "job", "id": "a", "j": job(stages=[{"task-count": 2, "gang": True}])})
-    jobs.apply({"t": "start", "id": "a", "u": "0.0", "x": [[0, 1, "m"], [1, 1, "n"]]})
-    assert JobEnded(job_id="a") in jobs.apply(end(run=1, how="done", i=1))
-    assert jobs.jobs["a"].state == "complete"
+def test_gang_done_stands_for_all(jobs: Jobs) -> None:
+    jobs.apply_event(submitted(stages=[{"task-count": 2, "gang": True}]))
+    jobs.apply_event(started(run_id=1, minion_ids=["m", "n"]))
+    assert ENDED in jobs.apply_event(ended(run_id=1, outcome="done", index=1))
+    assert jobs.jobs[JOB_ID].state is JobState.COMPLETE
     assert jobs.running_by_minion == {}
 
 
-@pytest.mark.parametrize("seed", range(30))
-def test_stream_against_oracle(seed: int) -> None:
-    """Random events: states move only by the table, a reload changes nothing, ends count once."""
-    rng = random.Random(seed)
-    jobs = Jobs(history=History())
-    runs: dict[tuple[str, str, int], int] = {}
-    done: set[tuple[str, str, int]] = set()
-    for step in range(300):
-        pick = rng.random()
+def test_a_step_is_ready_once_all_that_it_depends_on_are_finished(jobs: Jobs) -> None:
+    stages: list[dict[str, Any]] = [{"task-count": 1}, {"task-count": 1}, {"task-count": 1, "depends-on": [0, 1]}]
+    effects = jobs.apply_event(submitted(stages=stages))
+    assert effects == [READY, UnitReady(job_id=JOB_ID, unit_key="0.1")]
+    for unit_key in ("0.0", "0.1"):
+        jobs.apply_event(started(run_id=1, minion_ids=["m"], unit_key=unit_key))
+    assert jobs.apply_event(ended(run_id=1, outcome="done", unit_key="0.0")) == []
+    effects = jobs.apply_event(ended(run_id=1, outcome="done", unit_key="0.1"))
+    assert effects == [UnitReady(job_id=JOB_ID, unit_key="0.2")]
+
+
+def test_an_end_of_an_older_run_is_passed_over(jobs: Jobs) -> None:
+    jobs.apply_event(submitted(stages=[{"task-count": 1}]))
+    jobs.apply_event(started(run_id=1, minion_ids=["m"]))
+    jobs.apply_event(ended(run_id=1, outcome="stopped"))
+    jobs.apply_event(started(run_id=2, minion_ids=["m"]))
+    assert jobs.apply_event(ended(run_id=1, outcome="done")) == []
+    assert jobs.jobs[JOB_ID].units[UNIT_KEY].task_states == [TaskState.RUNNING]
+
+
+def test_only_the_named_runs_of_a_lost_minion_end(jobs: Jobs) -> None:
+    jobs.apply_event(submitted(stages=[{"task-count": 2}]))
+    jobs.apply_event(started(run_id=1, minion_ids=["m", "m"]))
+    lost = MinionLost(minion_id="m", runs=[("a.0.0.1", 1)], saved_progress={"a.0.0.1": "half"})
+    assert jobs.apply_event(lost) == [READY]
+    unit = jobs.jobs[JOB_ID].units[UNIT_KEY]
+    assert unit.task_states == [TaskState.RUNNING, TaskState.WAITING]
+    assert unit.saved_progress == ["", "half"]
+
+
+def test_a_repeated_job_is_complete_after_its_last_run(jobs: Jobs) -> None:
+    stages = [{"task-count": 1}]
+    times: dict[str, Any] = {"first-run-ms": 5, "period-ms": 10, "repeat-count": 2}
+    timed = submitted(stages=stages, **times)
+    assert jobs.apply_event(timed) == [JobTimed(job_id=JOB_ID)]
+    assert jobs.apply_event(timed) == []
+    for run in (0, 1):
+        unit_key = f"{run}.0"
+        due = RunDue(job_id=JOB_ID, run=run)
+        assert jobs.apply_event(due) == [UnitReady(job_id=JOB_ID, unit_key=unit_key)]
+        assert jobs.apply_event(due) == []
+        jobs.apply_event(started(run_id=1, minion_ids=["m"], unit_key=unit_key))
+        effects = jobs.apply_event(ended(run_id=1, outcome="done", unit_key=unit_key))
+        assert effects == ([ENDED] if run == 1 else [])
+
+
+def test_an_ended_job_is_forgotten_only_once_nothing_of_it_runs(jobs: Jobs) -> None:
+    jobs.apply_event(submitted(stages=[{"task-count": 1}]))
+    jobs.apply_event(started(run_id=1, minion_ids=["m"]))
+    stop = StopTask(minion_id="m", job_id=JOB_ID, task="a.0.0.0", run_id=1)
+    assert jobs.apply_event(JobCancelled(job_id=JOB_ID)) == [ENDED, stop]
+    jobs.apply_event(JobsForgotten(job_ids=[JOB_ID]))
+    assert JOB_ID in jobs.jobs
+    jobs.apply_event(ended(run_id=1, outcome="stopped"))
+    jobs.apply_event(JobsForgotten(job_ids=[JOB_ID]))
+    assert jobs.jobs == {}
+
+
+def test_a_trimmed_job_is_stored_without_its_work(jobs: Jobs) -> None:
+    jobs.apply_event(submitted(stages=[{"task-count": 1}]))
+    assert set(jobs.dump()["jobs"][JOB_ID]) >= {"spec", "steps", "open", "u"}
+    jobs.apply_event(JobCancelled(job_id=JOB_ID))
+    assert set(jobs.dump()["jobs"][JOB_ID]) == {"first", "period", "times", "svc", "mt", "q", "at", "st", "k"}
+
+
+def test_a_malformed_snapshot_is_refused_and_changes_nothing(jobs: Jobs) -> None:
+    jobs.apply_event(submitted(stages=[{"task-count": 1}]))
+    before = jobs.dump()
+    broken = jobs.dump()
+    broken["jobs"][JOB_ID]["u"][UNIT_KEY]["left"] = "one"
+    with pytest.raises(MalformedRecordError, match=r"Expected `int`, got `str` - at `\$\[\.\.\.\]\.u\[\.\.\.\]\.left`"):
+        jobs.load(broken)
+    assert jobs.dump() == before
+
+
+def test_a_snapshot_from_before_the_history_is_the_jobs_alone(jobs: Jobs) -> None:
+    jobs.apply_event(submitted(stages=[{"task-count": 1}]))
+    twin = Jobs(history=History())
+    twin.load(jobs.dump()["jobs"])
+    assert twin.jobs == jobs.jobs
+    assert twin.dump()["past"] == History().dump()
+
+
+OUTCOMES = [RunOutcome.DONE, RunOutcome.DONE, RunOutcome.FAILED, RunOutcome.STOPPED, RunOutcome.LAPSED, "broken"]
+
+
+class Stream:
+    """Seeded random events for one reducer, and what they were."""
+
+    def __init__(self, *, seed: int) -> None:
+        self.rng = random.Random(seed)
+        self.jobs = Jobs(history=History())
+        self.runs: dict[tuple[str, str, int], int] = {}
+        self.done: set[tuple[str, str, int]] = set()
+
+    def step(self, *, number: int) -> None:
+        pick = self.rng.random()
         if pick < 0.1:
-            stages = [
-                {
-                    "task-count": rng.randint(1, 3),
-                    "depends-on": [0] if s and rng.random() < 0.5 else [],
-                    "gang": rng.random() < 0.3,
-                }
-                for s in range(rng.randint(1, 3))
-            ]
-            jobs.apply({"t": "job", "id": f"{step:x}", "j": job(stages=stages)})
-        elif pick < 0.15 and jobs.jobs:
-            jobs.apply({"t": "cancel", "id": rng.choice(sorted(jobs.jobs))})
-        elif pick < 0.2 and jobs.running_by_minion:
-            minion_id = rng.choice(sorted(jobs.running_by_minion))
-            jobs.apply({"t": "lost", "m": minion_id, "x": None, "v": {}})
-            assert minion_id not in jobs.running_by_minion
+            self.submit(job_id=f"{number:x}")
+        elif pick < 0.15 and self.jobs.jobs:
+            self.jobs.apply_event(JobCancelled(job_id=self.rng.choice(sorted(self.jobs.jobs))))
+        elif pick < 0.2 and self.jobs.running_by_minion:
+            self.lose_minion()
         elif pick < 0.6:
-            for job_id, row in list(jobs.jobs.items()):
-                if row.has_ended or rng.random() < 0.5:
+            self.start()
+        elif self.runs:
+            self.end()
+
+    def submit(self, *, job_id: str) -> None:
+        stages = [
+            {
+                "task-count": self.rng.randint(1, 3),
+                "depends-on": [0] if index and self.rng.random() < 0.5 else [],
+                "gang": self.rng.random() < 0.3,
+            }
+            for index in range(self.rng.randint(1, 3))
+        ]
+        self.jobs.apply_event(submitted(job_id=job_id, stages=stages))
+
+    def lose_minion(self) -> None:
+        minion_id = self.rng.choice(sorted(self.jobs.running_by_minion))
+        self.jobs.apply_event(MinionLost(minion_id=minion_id, runs=None, saved_progress={}))
+        assert minion_id not in self.jobs.running_by_minion
+
+    def start(self) -> None:
+        for job_id, job in list(self.jobs.jobs.items()):
+            if job.has_ended or self.rng.random() < 0.5:
+                continue
+            for unit_key, unit in job.units.items():
+                depends_on = job.step_of(unit_key=unit_key).depends_on
+                waits = set(unit.task_states) == {TaskState.WAITING}
+                if any(job.units[f"0.{index}"].unfinished_tasks for index in depends_on) or not waits:
                     continue
-                for key, unit in row.units.items():
-                    deps = row.step_of(unit_key=key).depends_on
-                    waits = set(unit.task_states) == {TaskState.WAITING}
-                    if any(row.units[f"0.{d}"].unfinished_tasks for d in deps) or not waits:
-                        continue
-                    run = max(unit.run_ids) + 1
-                    x = [[i, run, f"m{rng.randint(0, 4)}"] for i in range(len(unit.task_states))]
-                    jobs.apply({"t": "start", "id": job_id, "u": key, "x": x})
-                    runs.update({(job_id, key, i): run for i in range(len(x))})
-        elif runs:
-            job_id, key, i = rng.choice(sorted(runs))
-            run = runs[job_id, key, i] - (rng.random() < 0.2)
-            how = rng.choice(["done", "done", "failed", "stopped", "lapsed", "broken"])
-            jobs.apply({"t": "end", "id": job_id, "u": key, "i": i, "run": run, "how": how, "v": "", "mt": 3})
-            if how == "done":
-                done.add((job_id, key, i))
+                run_id = max(unit.run_ids) + 1
+                minion_ids = [f"m{self.rng.randint(0, 4)}" for _ in unit.task_states]
+                self.jobs.apply_event(started(run_id=run_id, minion_ids=minion_ids, job_id=job_id, unit_key=unit_key))
+                self.runs.update({(job_id, unit_key, index): run_id for index in range(len(minion_ids))})
+
+    def end(self) -> None:
+        task = self.rng.choice(sorted(self.runs))
+        job_id, unit_key, index = task
+        run_id = self.runs[task] - (self.rng.random() < 0.2)
+        outcome = self.rng.choice(OUTCOMES)
+        self.jobs.apply_event(ended(run_id=run_id, outcome=outcome, index=index, job_id=job_id, unit_key=unit_key))
+        if outcome is RunOutcome.DONE:
+            self.done.add(task)
+
+
+@pytest.mark.parametrize("seed", range(30))
+def test_a_stream_moves_states_by_the_table_and_survives_reloads(seed: int) -> None:
+    """Random events: states move only by the table, a reload changes nothing, ends count once."""
+    stream = Stream(seed=seed)
+    jobs = stream.jobs
+    for number in range(300):
+        stream.step(number=number)
         twin = Jobs(history=History())
         twin.load(orjson.loads(orjson.dumps(jobs.dump())))
-        assert twin.dump() == jobs.dump()
-        assert twin.running_by_minion == jobs.running_by_minion
-        assert Counter(twin.pending_by_queue) == Counter(jobs.pending_by_queue)
-    for job_id, row in jobs.jobs.items():
-        if row.state == "complete":
-            assert any(k[0] == job_id for k in done)
+        assert twin.dump() == jobs.dump(), seed
+        assert twin.running_by_minion == jobs.running_by_minion, seed
+        assert Counter(twin.pending_by_queue) == Counter(jobs.pending_by_queue), seed
+    for job_id, job in jobs.jobs.items():
+        if job.state is JobState.COMPLETE:
+            assert any(task[0] == job_id for task in stream.done), seed
--- a/tests/prediction/test_call_times.py
+++ b/tests/prediction/test_call_times.py
@@ -7,7 +7,7 @@
 import orjson
 import pytest
 
-from yarrowloom.jobs.submission import Step, parse
+from yarrowloom.jobs.submission import Step, parse_submission
 from yarrowloom.prediction import History, Prediction, Why, queue_key
 from yarrowloom.prediction import call_times as calls_mod
 from yarrowloom.prediction import history as hist_mod
@@ -18,7 +18,9 @@
 
 
 def steps(*rows: dict[str, Any]) -> list[Step]:
-    out: list[Step] = parse(body=orjson.dumps({"task-spec": "x", "stages": list(rows) or [{"task-count": 1}]})).steps
+    out: list[Step] = parse_submission(
+        body=orjson.dumps({"task-spec": "x", "stages": list(rows) or [{"task-count": 1}]})
+    ).steps
     return out
 
 
--- a/tests/prediction/test_run_times.py
+++ b/tests/prediction/test_run_times.py
@@ -7,14 +7,14 @@
 import orjson
 import pytest
 
-from yarrowloom.jobs.submission import Step, parse
+from yarrowloom.jobs.submission import Step, parse_submission
 from yarrowloom.prediction import History
 from yarrowloom.prediction import run_times as runs_mod
 from yarrowloom.prediction import slow_minions as slow_mod
 
 
 def step(**more: Any) -> Step:
-    out: Step = parse(
+    out: Step = parse_submission(
         body=orjson.dumps(
             {"task-spec": "x", "stages": [{"task-count": 2, "cpus": 1000, "mem-mb": 100, "estimate-ms": 1000, **more}]}
         )
--- a/tests/storage/write_data.py
+++ b/tests/storage/write_data.py
@@ -19,7 +19,7 @@
 from tests.storage.stored_data import RING_BYTES, RING_FILES, SEEDS, open_folder, start_node
 from tests.support.ring_cluster import RingSim
 from yarrowloom.cluster_state.registry import Registry
-from yarrowloom.jobs.submission import parse
+from yarrowloom.jobs.submission import parse_submission
 from yarrowloom.node.core import CoreNode
 from yarrowloom.node.messages import RegistryUpdate
 from yarrowloom.simulator import minions
@@ -107,7 +107,7 @@
 
 def job(*, number: int, stages: list[dict[str, Any]], at: int, queue: str = "fast", **more: Any) -> dict[str, Any]:
     """The event that a job's submission makes."""
-    row = parse(body=orjson.dumps({"task-spec": f"spec {number} \u00e9", "stages": stages, **more}))
+    row = parse_submission(body=orjson.dumps({"task-spec": f"spec {number} \u00e9", "stages": stages, **more}))
     return {"t": "job", "id": f"{number:016x}", "j": {**row.document(), "svc": "svc", "q": queue, "at": at}}
 
 
--- a/tests/support/binding_model.py
+++ b/tests/support/binding_model.py
@@ -14,7 +14,7 @@
 from yarrowloom.common.records import decode
 from yarrowloom.jobs.model import TaskState
 from yarrowloom.jobs.state_machine import Jobs
-from yarrowloom.jobs.submission import parse
+from yarrowloom.jobs.submission import parse_submission
 from yarrowloom.jobs.task_name import task_name
 from yarrowloom.prediction import History
 from yarrowloom.replication.replica import Replica
@@ -296,7 +296,7 @@
     def put(self, *, job_id: str, stages: list[dict[str, Any]]) -> None:
         """A job is handed in."""
         group_id = 1 + int(job_id[:8], 16) % 2
-        row = parse(body=orjson.dumps({"task-spec": f"spec-{job_id}", "stages": stages}))
+        row = parse_submission(body=orjson.dumps({"task-spec": f"spec-{job_id}", "stages": stages}))
         self.size[job_id] = stages[0]["cpus"]
         self.placers[group_id].call(
             node_id="edge",
--- a/tests/support/prediction_trial.py
+++ b/tests/support/prediction_trial.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from yarrowloom.jobs.submission import Step, parse
+from yarrowloom.jobs.submission import Step, parse_submission
 from yarrowloom.prediction import Bounds, History, Warm, kind_key
 
 T0 = 1_700_000_000_000
@@ -17,7 +17,7 @@
 
 
 def job(*, n: int, cpu: int, gpu: int) -> list[Step]:
-    out: list[Step] = parse(
+    out: list[Step] = parse_submission(
         body=orjson.dumps({"task-spec": "x", "stages": [{"task-count": n, "cpus": cpu, "gpus": gpu}]})
     ).steps
     return out
--- a/tests/transport/test_codec.py
+++ b/tests/transport/test_codec.py
@@ -11,7 +11,7 @@
 from yarrowloom.cluster_state.routing_table import RoutingTable
 from yarrowloom.common.errors import InvalidInputError, SettingsError, StaleVersionError, YarrowError
 from yarrowloom.common.settings import check as check_startup
-from yarrowloom.jobs.submission import parse
+from yarrowloom.jobs.submission import parse_submission
 from yarrowloom.transport.envelope import Frame, FrameDecoder, FrameEncoder, Lane, pack_frame
 
 
@@ -113,7 +113,7 @@
     rng = random.Random(seed)
     body = orjson.dumps(noise(rng=rng, document=JOB)) if seed % 10 else rng.randbytes(40)
     try:
-        job = parse(body=body)
+        job = parse_submission(body=body)
     except InvalidInputError as err:
         assert err.findings
         assert all(f.place for f in err.findings)
--- a/yarrowloom/jobs/events.py
+++ b/yarrowloom/jobs/events.py
@@ -1,7 +1,6 @@
 """Events of a job group: each change of its state, as its log holds them."""
 
 import enum
-from typing import Any
 
 from ..common.records import Record, TaggedDecoder
 from .submission import AcceptedJob
@@ -154,7 +153,7 @@
 )
 
 
-def decode_job_event(document: Any) -> JobEvent:
+def decode_job_event(document: object) -> JobEvent:
     """The event that a document of the log stands for.
 
     Raises:
--- a/yarrowloom/jobs/history.py
+++ b/yarrowloom/jobs/history.py
@@ -31,8 +31,8 @@
     def note_over(self, *, at: int, job_id: str, q: str, steps: Sequence[Step], done: bool) -> None:
         """A job ended."""
 
-    def dump(self) -> Any:
+    def dump(self) -> dict[str, Any]:
         """All of it, as plain data that shares nothing with the state."""
 
-    def load(self, document: Any) -> None:
+    def load(self, document: dict[str, Any]) -> None:
         """Replace all of it by what `dump` gave; empty: by the state that nothing was learned."""
--- a/yarrowloom/jobs/state_machine.py
+++ b/yarrowloom/jobs/state_machine.py
@@ -44,7 +44,7 @@
 
     # -- snapshots
 
-    def dump(self) -> Any:
+    def dump(self) -> dict[str, Any]:
         """All of it, as plain data that shares nothing with the state."""
         jobs = msgspec.to_builtins(self.jobs, str_keys=True)
         for job_id, job in self.jobs.items():
@@ -53,13 +53,13 @@
                     del jobs[job_id][key]
         return {"jobs": jobs, "past": self.history.dump() if self.history is not None else {}}
 
-    def load(self, document: Any) -> None:
+    def load(self, document: dict[str, Any]) -> None:
         """Replace all of it by what `dump` gave. A snapshot from before there was a history is the jobs alone.
 
         Raises:
             MalformedRecordError: A field of a job is missing or of another type; the state is then as it was.
         """
-        history: Any = {}
+        history: dict[str, Any] = {}
         if "jobs" in document and "past" in document:
             document, history = document["jobs"], document["past"]
         self.jobs = decode(document, into=dict[str, Job])
--- a/yarrowloom/jobs/submission.py
+++ b/yarrowloom/jobs/submission.py
@@ -1,4 +1,4 @@
-"""Jobs as they are handed in: checked with all findings, brought to the short form that records keep."""
+"""Jobs as callers submit them: checked with all findings, and translated from the published form to records."""
 
 from typing import Any
 
@@ -8,10 +8,14 @@
 from ..common.errors import Finding, InvalidInputError
 from ..common.records import Record
 
-MAX_TASKS = 20_000
+MAX_TASKS = 20_000  # of a job, over all its steps
 MAX_STEPS = 256
-MAX_SPEC = 4_000
-_ID = frozenset("0123456789abcdef")
+MAX_SPEC_BYTES = 4_000
+MAX_CPU_MILLICORES = MAX_MEMORY_MB = 1 << 31
+MAX_GPUS = MAX_PER_MINION = 1 << 20
+MAX_ESTIMATE_MS = 1 << 42
+JOB_ID_LENGTH = 16
+_JOB_ID_DIGITS = frozenset("0123456789abcdef")
 
 
 class Step(
@@ -115,31 +119,13 @@
     accepted_at_ms: int
 
 
-_INTS = {
-    "task-count": ("task_count", 1, MAX_TASKS),
-    "cpus": ("cpu_millicores", 0, 1 << 31),
-    "mem-mb": ("memory_mb", 0, 1 << 31),
-    "gpus": ("gpus", 0, 1 << 20),
-    "estimate-ms": ("estimate_ms", 0, 1 << 42),
-    "anti-affinity": ("max_per_minion", 0, 1 << 20),
-}
-_FLAGS = {
-    "checkpoints": "takes_checkpoints",
-    "gang": "is_gang",
-    "same-rack": "prefers_same_rack",
-    "duplicate": "may_be_duplicated",
-    "long-running": "is_long_running",
-}
-_TEXTS = {"requires": "required_label", "affinity": "preferred_label"}
-
-
 def is_job_id(*, text: str) -> bool:
-    """16 hex digits.
+    """Whether a text is a job id: 16 hex digits in lower case.
 
     >>> [is_job_id(text=text) for text in ("5c0e7a21d94b36f8", "5c0e", "5c0e7a21d94b36fX")]
     [True, False, False]
     """
-    return len(text) == 16 and _ID.issuperset(text)
+    return len(text) == JOB_ID_LENGTH and _JOB_ID_DIGITS.issuperset(text)
 
 
 def group_of(*, job_id: str, groups: int) -> int:
@@ -151,87 +137,143 @@
     return 1 + int(job_id[:8], 16) % groups
 
 
-def _step(*, row: Any, at: int, bad: list[Finding]) -> Step:
-    place = f"stages[{at}]"
-    out: dict[str, Any] = {"depends_on": []}
-    if not isinstance(row, dict):
-        bad.append(Finding(place=place, text="not an object"))
-        row = {"task-count": 1}
-    for key, (short, low, high) in _INTS.items():
-        val = row.get(key, 0)
-        if isinstance(val, float) and val.is_integer():
-            val = int(val)
-        if not isinstance(val, int) or isinstance(val, bool):
-            bad.append(Finding(place=f"{place}.{key}", text="not a whole number"))
-            val = low
-        elif not low <= val <= high:
-            bad.append(Finding(place=f"{place}.{key}", text=f"not from {low} to {high}"))
-        out[short] = val
-    for key, short in _FLAGS.items():
-        val = row.get(key, False)
-        if not isinstance(val, bool):
-            bad.append(Finding(place=f"{place}.{key}", text="not true or false"))
-        out[short] = bool(val)
-    for key, short in _TEXTS.items():
-        val = row.get(key, "") or ""
-        if not isinstance(val, str):
-            bad.append(Finding(place=f"{place}.{key}", text="not a text"))
-        out[short] = str(val)
-    deps = row.get("depends-on", []) or []
-    if not isinstance(deps, list) or not all(isinstance(d, int) and not isinstance(d, bool) for d in deps):
-        bad.append(Finding(place=f"{place}.depends-on", text="not a list of whole numbers"))
-    elif not all(0 <= d < at for d in deps):
-        bad.append(Finding(place=f"{place}.depends-on", text="names a step that is not earlier"))
-    else:
-        out["depends_on"] = sorted(set(deps))
-    return Step(**out)
-
-
-def parse(*, body: bytes) -> Submission:
-    """The job that a body stands for, or every finding.
-
-    >>> parse(body=b'{"task-spec":"x","stages":[{"task-count":2}]}').steps[0].task_count
+def _whole_number(value: object) -> int | None:
+    """The number that a JSON value stands for, also where it is written as 2.0; None if it is no whole number."""
+    if isinstance(value, float) and value.is_integer():
+        return int(value)
+    return value if isinstance(value, int) and not isinstance(value, bool) else None
+
+
+class _FieldReader:
+    """Reads the fields of one published object. What is wrong is added to `findings`, and a stand-in is returned."""
+
+    def __init__(self, *, fields: dict[str, Any], prefix: str, findings: list[Finding]) -> None:
+        self._fields = fields
+        self._prefix = prefix
+        self._findings = findings
+
+    def report(self, *, key: str, text: str) -> None:
+        """Add a finding about a field."""
+        self._findings.append(Finding(place=f"{self._prefix}{key}", text=text))
+
+    def number(self, key: str, *, lowest: int, highest: int) -> int:
+        """A whole number within bounds; 0 if absent."""
+        number = _whole_number(self._fields.get(key, 0))
+        if number is None:
+            self.report(key=key, text="not a whole number")
+            return lowest
+        if not lowest <= number <= highest:
+            self.report(key=key, text=f"not from {lowest} to {highest}")
+        return number
+
+    def unbounded_number(self, key: str) -> int:
+        """A whole number of 0 or more; 0 if absent."""
+        number = _whole_number(self._fields.get(key, 0))
+        if number is None or number < 0:
+            self.report(key=key, text="not a whole number of 0 or more")
+            return 0
+        return number
+
+    def flag(self, key: str) -> bool:
+        """True or false; false if absent."""
+        value = self._fields.get(key, False)
+        if not isinstance(value, bool):
+            self.report(key=key, text="not true or false")
+        return bool(value)
+
+    def text(self, key: str) -> str:
+        """A text; empty if absent."""
+        value = self._fields.get(key, "") or ""
+        if not isinstance(value, str):
+            self.report(key=key, text="not a text")
+        return str(value)
+
+    def earlier_steps(self, key: str, *, step_index: int) -> list[int]:
+        """Indices of steps before the given one, sorted and each once; empty if absent."""
+        value = self._fields.get(key, []) or []
+        if not isinstance(value, list) or not all(isinstance(i, int) and not isinstance(i, bool) for i in value):
+            self.report(key=key, text="not a list of whole numbers")
+            return []
+        if not all(0 <= index < step_index for index in value):
+            self.report(key=key, text="names a step that is not earlier")
+            return []
+        return sorted(set(value))
+
+
+def _read_step(*, stage: object, index: int, findings: list[Finding]) -> Step:
+    place = f"stages[{index}]"
+    if not isinstance(stage, dict):
+        findings.append(Finding(place=place, text="not an object"))
+        stage = {"task-count": 1}
+    fields = _FieldReader(fields=stage, prefix=f"{place}.", findings=findings)
+    return Step(
+        task_count=fields.number("task-count", lowest=1, highest=MAX_TASKS),
+        cpu_millicores=fields.number("cpus", lowest=0, highest=MAX_CPU_MILLICORES),
+        memory_mb=fields.number("mem-mb", lowest=0, highest=MAX_MEMORY_MB),
+        gpus=fields.number("gpus", lowest=0, highest=MAX_GPUS),
+        estimate_ms=fields.number("estimate-ms", lowest=0, highest=MAX_ESTIMATE_MS),
+        max_per_minion=fields.number("anti-affinity", lowest=0, highest=MAX_PER_MINION),
+        takes_checkpoints=fields.flag("checkpoints"),
+        is_gang=fields.flag("gang"),
+        prefers_same_rack=fields.flag("same-rack"),
+        may_be_duplicated=fields.flag("duplicate"),
+        is_long_running=fields.flag("long-running"),
+        required_label=fields.text("requires"),
+        preferred_label=fields.text("affinity"),
+        depends_on=fields.earlier_steps("depends-on", step_index=index),
+    )
+
+
+def _read_spec(*, document: dict[str, Any], findings: list[Finding]) -> str:
+    spec = document.get("task-spec")
+    if not isinstance(spec, str):
+        findings.append(Finding(place="task-spec", text="missing or not a text"))
+        return ""
+    if len(spec.encode()) > MAX_SPEC_BYTES:
+        findings.append(Finding(place="task-spec", text=f"longer than {MAX_SPEC_BYTES} bytes"))
+    return spec
+
+
+def _read_steps(*, document: dict[str, Any], findings: list[Finding]) -> list[Step]:
+    stages = document.get("stages")
+    if not isinstance(stages, list) or not stages or len(stages) > MAX_STEPS:
+        findings.append(Finding(place="stages", text=f"not a list of 1 to {MAX_STEPS}"))
+        return []
+    steps = [_read_step(stage=stage, index=index, findings=findings) for index, stage in enumerate(stages)]
+    if sum(step.task_count for step in steps) > MAX_TASKS:
+        findings.append(Finding(place="stages", text=f"more than {MAX_TASKS} tasks"))
+    return steps
+
+
+def parse_submission(*, body: bytes) -> Submission:
+    """The job that the body of a submission stands for.
+
+    Raises:
+        InvalidInputError: With a finding for each field that is wrong.
+
+    >>> parse_submission(body=b'{"task-spec":"x","stages":[{"task-count":2}]}').steps[0].task_count
     2
     >>> try:
-    ...     parse(body=b'{"stages":[{"task-count":0,"depends-on":[0]}]}')
-    ... except InvalidInputError as err:
-    ...     [str(f) for f in err.findings][1]
+    ...     parse_submission(body=b'{"stages":[{"task-count":0,"depends-on":[0]}]}')
+    ... except InvalidInputError as error:
+    ...     [str(finding) for finding in error.findings][1]
     'stages[0].task-count: not from 1 to 20000'
     """
     try:
         document = orjson.loads(body)
-    except orjson.JSONDecodeError as err:
-        raise InvalidInputError(text="unreadable", findings=[Finding(place="(body)", text=str(err))]) from err
-    bad: list[Finding] = []
+    except orjson.JSONDecodeError as error:
+        raise InvalidInputError(text="unreadable", findings=[Finding(place="(body)", text=str(error))]) from error
     if not isinstance(document, dict):
         raise InvalidInputError(text="not an object", findings=[Finding(place="(body)", text="not an object")])
-    spec = document.get("task-spec", "")
-    if not isinstance(spec, str) or "task-spec" not in document:
-        bad.append(Finding(place="task-spec", text="missing or not a text"))
-    elif len(spec.encode()) > MAX_SPEC:
-        bad.append(Finding(place="task-spec", text=f"longer than {MAX_SPEC} bytes"))
-    rows = document.get("stages")
-    if not isinstance(rows, list) or not rows or len(rows) > MAX_STEPS:
-        bad.append(Finding(place="stages", text=f"not a list of 1 to {MAX_STEPS}"))
-        rows = []
-    steps = [_step(row=row, at=i, bad=bad) for i, row in enumerate(rows)]
-    if sum(step.task_count for step in steps) > MAX_TASKS:
-        bad.append(Finding(place="stages", text=f"more than {MAX_TASKS} tasks"))
-    nums: dict[str, int] = {}
-    for key in ("first-run-ms", "period-ms", "repeat-count"):
-        val = document.get(key, 0)
-        if isinstance(val, float) and val.is_integer():
-            val = int(val)
-        if not isinstance(val, int) or isinstance(val, bool) or val < 0:
-            bad.append(Finding(place=key, text="not a whole number of 0 or more"))
-            val = 0
-        nums[key] = val
-    if bad:
-        raise InvalidInputError(text="job is malformed", findings=bad)
-    return Submission(
-        spec=spec,
-        steps=steps,
-        first_run_ms=nums["first-run-ms"],
-        period_ms=nums["period-ms"],
-        repeat_count=nums["repeat-count"],
+    findings: list[Finding] = []
+    fields = _FieldReader(fields=document, prefix="", findings=findings)
+    submission = Submission(
+        spec=_read_spec(document=document, findings=findings),
+        steps=_read_steps(document=document, findings=findings),
+        first_run_ms=fields.unbounded_number("first-run-ms"),
+        period_ms=fields.unbounded_number("period-ms"),
+        repeat_count=fields.unbounded_number("repeat-count"),
     )
+    if findings:
+        raise InvalidInputError(text="job is malformed", findings=findings)
+    return submission
--- a/yarrowloom/node/edge.py
+++ b/yarrowloom/node/edge.py
@@ -13,7 +13,7 @@
 from ..common.log import Log
 from ..common.records import decode
 from ..common.settings import NodeSettings
-from ..jobs.submission import Submission, group_of, is_job_id, parse
+from ..jobs.submission import Submission, group_of, is_job_id, parse_submission
 from ..transport.envelope import Kind
 from ..transport.http_server import Limits, Request, Response
 from .edge_relays import FANOUT
@@ -156,7 +156,7 @@
         if way.req.method != "POST":
             return None
         try:
-            way.job = parse(body=way.req.body)
+            way.job = parse_submission(body=way.req.body)
         except InvalidInputError as err:
             return Response.of(400, {"error": err.text, "findings": [str(f) for f in err.findings]})
         return None
--- a/yarrowloom/prediction/history.py
+++ b/yarrowloom/prediction/history.py
@@ -46,9 +46,9 @@
     by TIMERS; only proven kinds are followed or predicted. `looked` counts the candidates weighed by the last
     `predict`; it is no part of the state.
 
-    >>> from ..jobs.submission import parse
+    >>> from ..jobs.submission import parse_submission
     >>> stages = b'[{"task-count":1,"cpus":500,"mem-mb":64,"estimate-ms":900}]'
-    >>> steps = parse(body=b'{"task-spec":"x","stages":' + stages + b'}').steps
+    >>> steps = parse_submission(body=b'{"task-spec":"x","stages":' + stages + b'}').steps
     >>> h = History()
     >>> for i in range(12):
     ...     h.note_job(at=60_000 * i, job_id=f"{i:016x}", q="rebuild", service="s", steps=steps)
@@ -321,7 +321,7 @@
 
     # -- checkpoint
 
-    def dump(self) -> Any:
+    def dump(self) -> dict[str, Any]:
         """All of it, as plain JSON data that shares nothing with the state."""
         return {
             "runs": self.runs.dump(),
@@ -333,8 +333,8 @@
             "timers": [[k, *v] for k, v in self.timers.items()],
         }
 
-    def load(self, document: Any) -> None:
-        """Replace all of it. `doc` may be empty: a record from before there was a history."""
+    def load(self, document: dict[str, Any]) -> None:
+        """Replace all of it. `document` may be empty: a record from before there was a history."""
         self.__init__()  # type: ignore[misc]
         if not document:
             return
--- a/yarrowloom/prediction/job_kind.py
+++ b/yarrowloom/prediction/job_kind.py
@@ -75,8 +75,8 @@
     """Name of a job's kind: queue, shape of the step it starts with, signature of all steps, repeat pattern.
 
     >>> from msgspec.structs import replace
-    >>> from ..jobs.submission import parse
-    >>> steps = parse(body=b'{"task-spec":"x","stages":[{"task-count":2,"cpus":500,"affinity":"r1"}]}').steps
+    >>> from ..jobs.submission import parse_submission
+    >>> steps = parse_submission(body=b'{"task-spec":"x","stages":[{"task-count":2,"cpus":500,"affinity":"r1"}]}').steps
     >>> alike = replace(steps[0], cpu_millicores=400, preferred_label="r2")
     >>> kind_key(q="a", steps=steps) == kind_key(q="a", steps=[alike])
     True
--- a/yarrowloom/testbed/state_cost.py
+++ b/yarrowloom/testbed/state_cost.py
@@ -11,7 +11,7 @@
 
 from ..cluster_state.routing_table import RoutingTable
 from ..jobs.state_machine import Jobs
-from ..jobs.submission import parse
+from ..jobs.submission import parse_submission
 from ..prediction import History
 from ..transport.envelope import dump
 from .callers import config
@@ -44,7 +44,7 @@
     """The record of a job group through its reducer: bytes and processor time by job and by task."""
     rng = random.Random(seed)
     stages = [{"task-count": tasks, "cpus": 500, "mem-mb": 64, "estimate-ms": 900}]
-    short = parse(body=orjson.dumps({"task-spec": write(stages=stages, ms=[900]), "stages": stages}))
+    short = parse_submission(body=orjson.dumps({"task-spec": write(stages=stages, ms=[900]), "stages": stages}))
     row = {**short.document(), "svc": "hollow", "mt": 3, "q": "usual", "at": AT}
     rows = [(f"{rng.getrandbits(64):016x}", orjson.dumps(row)) for _ in range(count)]
     jobs = Jobs(history=History())
