--- a/tests/integration/test_published_lines.py
+++ b/tests/integration/test_published_lines.py
@@ -11,7 +11,7 @@
 from yarrowloom.common.log import Log
 from yarrowloom.node import draining
 from yarrowloom.node.edge import EdgeNode
-from yarrowloom.node.identity import FIRST
+from yarrowloom.node.identity import FIRST_INCARNATION
 from yarrowloom.simulator.cluster import BOUNDS, Sim
 from yarrowloom.simulator.minions import HOST, cluster
 from yarrowloom.transport.http_server import Server
@@ -79,7 +79,7 @@
     settings = Sim(seed=83).settings(ip="10.0.1.1", first=False)
     settings.bounds["grace-s"] = grace_s
     node = EdgeNode(
-        settings=settings, node_id="10.0.1.1:7001#1", incarnation=FIRST, log=Log(name="test", level="error")
+        settings=settings, node_id="10.0.1.1:7001#1", incarnation=FIRST_INCARNATION, log=Log(name="test", level="error")
     )
     server = SimpleNamespace(busy=1, closing=False)
     monkeypatch.setattr(draining, "time", SimpleNamespace(monotonic=trio.current_time))
--- a/tests/node/test_recovery.py
+++ b/tests/node/test_recovery.py
@@ -10,7 +10,7 @@
 from tests.support.ring_cluster import RingSim
 from yarrowloom.common.log import Log
 from yarrowloom.node.core import CoreNode
-from yarrowloom.node.recovery import counted, last_snapshot, recover
+from yarrowloom.node.recovery import last_snapshot, records_since, recover
 from yarrowloom.replication import Replica
 from yarrowloom.replication.environment import Role
 from yarrowloom.replication.log_replay import ReplayError
@@ -217,7 +217,7 @@
         with pytest.raises(ReplayError) as caught:
             again.restore(records=journal)
         assert isinstance(caught.value.__cause__, AssertionError)
-        assert traceback.extract_tb(caught.value.__cause__.__traceback__)[-1].name == "_start"
+        assert traceback.extract_tb(caught.value.__cause__.__traceback__)[-1].name == "_start_tasks"
     else:
         again.restore(records=journal)
         assert states(again)[1] == states(node)[1]
@@ -327,4 +327,4 @@
     assert start(records=[], first=True) == start(records=head, first=True) == f"{ip}:7000#0"
     assert start(records=[], first=False) == start(records=head, first=False) == f"{ip}:7000#new"
     assert start(records=[*head, END, *head], first=False) == f"{ip}:7000#0"
-    assert counted(records=[*head, END, *head], begin=0) == [*head, END]
+    assert records_since(records=[*head, END, *head], begin=0) == [*head, END]
--- a/tests/support/replica_cell.py
+++ b/tests/support/replica_cell.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from yarrowloom.node.recovery import counted, last_snapshot
+from yarrowloom.node.recovery import last_snapshot, records_since
 from yarrowloom.replication.environment import Role
 from yarrowloom.replication.epoch import Epoch
 from yarrowloom.replication.replica import Replica
@@ -134,7 +134,7 @@
     def replayed(self, *, journal: list[bytes], built: Built = Replica) -> tuple[Replica, Rows]:
         """A replica that has what a journal tells, from its last whole snapshot on."""
         begin = last_snapshot(records=journal)
-        records = [orjson.loads(raw) for raw in counted(records=journal, begin=max(begin, 0))]
+        records = [orjson.loads(raw) for raw in records_since(records=journal, begin=max(begin, 0))]
         state = Rows()
         replica = built(group_id=0, environment=self, state=state, epoch=None)
         for record in records:
--- a/tests/transport/test_incarnations_wire.py
+++ b/tests/transport/test_incarnations_wire.py
@@ -13,7 +13,7 @@
 from tests.support.loopback import HOST, reserved_ports, settings
 from yarrowloom.common.log import Log
 from yarrowloom.common.settings import check
-from yarrowloom.node.identity import last_life
+from yarrowloom.node.identity import last_identity
 from yarrowloom.node.startup import open_core, open_edge
 from yarrowloom.storage import Ring
 from yarrowloom.transport.envelope import Frame, Kind, Lane, join_messages, pack_frame
@@ -218,7 +218,7 @@
         runtime = open_core(settings=check(document=document), log=LOG)
         assert runtime.node.incarnation == life
         assert runtime.peers.incarnation == life
-        known = last_life(records=Ring(folder=str(tmp_path / "d"), size=2 << 20).load())
+        known = last_identity(records=Ring(folder=str(tmp_path / "d"), size=2 << 20).load())
         assert known is not None
         assert (known.node_id, known.incarnation) == (runtime.node.node_id, life)
         assert runtime.disk_writer is not None
@@ -226,9 +226,9 @@
 
 
 def test_a_journal_from_before_lives_were_counted_goes_on_with_the_first(tmp_path: pathlib.Path) -> None:
-    known = last_life(records=[orjson.dumps({"k": "id", "uid": "a:1#0"}), b'{"k":"none","end":true}'])
+    known = last_identity(records=[orjson.dumps({"k": "id", "uid": "a:1#0"}), b'{"k":"none","end":true}'])
     assert known is not None
-    assert (known.node_id, known.next) == ("a:1#0", 1)
+    assert (known.node_id, known.next_incarnation) == ("a:1#0", 1)
 
 
 def test_no_two_lives_of_an_edge_share_a_uid() -> None:
--- a/yarrowloom/node/recovery.py
+++ b/yarrowloom/node/recovery.py
@@ -1,9 +1,9 @@
 """How a core node starts: its identity and state from the journal, or a new identity and no state.
 
-The journal counts from its last whole snapshot on, which names the node. If there is none, nothing was ever said in
-the node's name: it is one of the first members where the settings say so, else a new one. If it cannot be replayed,
-the node abstains: what it promised under its old identity is void, as after the loss of the disk, and the members
-that are left admit and refill it under the new one.
+The journal counts from its last whole snapshot on, which names the node. If there is none, no message was ever sent in
+the node's name: it is one of the first members where the settings say so, else a new one. If the journal cannot be
+replayed, the node abstains: what it promised under its old identity is void, as after the loss of the disk, and the
+members that are left admit it and give it the state under the new one.
 """
 
 from ..common.defaults import Defaults
@@ -12,33 +12,39 @@
 from ..replication.log_replay import ReplayError
 from ..storage import END
 from .core import CoreNode
-from .identity import FIRST, last_life
+from .identity import FIRST_INCARNATION, IDENTITY_PREFIX, last_identity
 
-_IDENTITY = b'{"k":"id",'  # how the first record of each snapshot begins
+FIRST_MEMBER = "0"  # the part of the node id after "#" of each of the first members
 
 
 def last_snapshot(*, records: list[bytes]) -> int:
-    """Where the last whole snapshot begins; -1 if there is none.
+    """The index of the record that begins the last whole snapshot; -1: there is none.
+
+    Raises:
+        ReplayError: A snapshot ends that did not begin with an identity.
 
     >>> last_snapshot(records=[b'{"k":"id","uid":"a"}', b"state", END, b"batch"])
     0
     >>> last_snapshot(records=[b'{"k":"id","uid":"a"}', b"state"])
     -1
     """
-    ends = [number for number, raw in enumerate(records) if raw == END]
+    ends = [index for index, raw in enumerate(records) if raw == END]
     if not ends:
         return -1
-    begins = [number for number in range(ends[-1]) if records[number].startswith(_IDENTITY)]
+    begins = [index for index in range(ends[-1]) if records[index].startswith(IDENTITY_PREFIX)]
     if not begins:
         raise ReplayError(text="a snapshot without an identity", number=ends[-1])
     return begins[-1]
 
 
-def counted(*, records: list[bytes], begin: int) -> list[bytes]:
-    """The records from a whole snapshot on; another one that was cut off ends them, as nothing was said after it."""
-    for number in range(begin + 1, len(records)):
-        if records[number].startswith(_IDENTITY):
-            return records[begin:number]
+def records_since(*, records: list[bytes], begin: int) -> list[bytes]:
+    """The records from a whole snapshot on.
+
+    The begin of another one, which was cut off, ends them, as no message was sent after it.
+    """
+    for index in range(begin + 1, len(records)):
+        if records[index].startswith(IDENTITY_PREFIX):
+            return records[begin:index]
     return records[begin:]
 
 
@@ -53,11 +59,21 @@
     blank: bool = True,
     defaults: Defaults | None = None,
 ) -> CoreNode:
-    """A core node with what its journal tells. `blank`: nothing was ever confirmed from this disk, else a node without
-    records does not start as one of the first. `token` is random: it makes a new identity unlike all before it.
+    """A core node with what its journal tells.
+
+    Args:
+        settings: The settings of the process.
+        records: The journal.
+        log: Where the node logs.
+        now: Monotonic time in seconds.
+        rand: A random number from 0 to 1.
+        token: Random text that makes a new identity unlike all before it.
+        blank: Whether nothing was ever confirmed from this disk; else a node without records does not start as one of
+            the first members.
+        defaults: Values that operators may tune by a file.
     """
 
-    def build(*, node_id: str, first: bool, incarnation: int = FIRST) -> CoreNode:
+    def build(*, node_id: str, first: bool, incarnation: int = FIRST_INCARNATION) -> CoreNode:
         return CoreNode(
             settings=settings,
             node_id=node_id,
@@ -70,19 +86,20 @@
         )
 
     address = f"{settings.ip}:{settings.ports[0]}"
+    new_node_id = f"{address}#{token}"
     begin = 0
     try:
         begin = last_snapshot(records=records)
         if begin >= 0:
-            life = last_life(records=[raw for raw in records if raw.startswith(_IDENTITY)])
-            if life is None or "#" not in life.node_id:
+            identity = last_identity(records=[raw for raw in records if raw.startswith(IDENTITY_PREFIX)])
+            if identity is None or "#" not in identity.node_id:
                 raise ReplayError(text="not the identity of a node", number=0)
-            node = build(node_id=life.node_id, first=False, incarnation=life.next)
-            node.restore(records=counted(records=records, begin=begin))
+            node = build(node_id=identity.node_id, first=False, incarnation=identity.next_incarnation)
+            node.restore(records=records_since(records=records, begin=begin))
             return node
-    except (ReplayError, ValueError, KeyError, TypeError) as err:
-        number = begin + err.number if isinstance(err, ReplayError) else begin
-        log.warn("journal-unusable", cause=str(err), record=number, records=len(records))
-        return build(node_id=f"{address}#{token}", first=False)
+    except (ReplayError, ValueError, KeyError, TypeError) as error:
+        index = begin + error.number if isinstance(error, ReplayError) else begin
+        log.warn("journal-unusable", cause=str(error), record=index, records=len(records))
+        return build(node_id=new_node_id, first=False)
     first = blank and settings.bootstrap
-    return build(node_id=f"{address}#0" if first else f"{address}#{token}", first=first)
+    return build(node_id=f"{address}#{FIRST_MEMBER}" if first else new_node_id, first=first)
--- a/yarrowloom/node/startup.py
+++ b/yarrowloom/node/startup.py
@@ -13,7 +13,7 @@
 from ..common.settings import load as load_settings
 from ..storage import END, FileSystem, Ring, Verdict, file_sizes, until_taken
 from .edge import EdgeNode
-from .identity import FIRST
+from .identity import FIRST_INCARNATION
 from .recovery import recover
 from .runtime import Runtime
 
@@ -55,7 +55,7 @@
     """An edge process, under a node ID of this life alone."""
     port = settings.ports[0] + 1
     node_id = f"{settings.ip}:{port}#{secrets.token_hex(TOKEN_BYTES)}"
-    node = EdgeNode(settings=settings, node_id=node_id, incarnation=FIRST, log=log)
+    node = EdgeNode(settings=settings, node_id=node_id, incarnation=FIRST_INCARNATION, log=log)
     return Runtime(node=node, log=log, ring=None, port=port)
 
 
--- a/yarrowloom/simulator/machines/machine_set.py
+++ b/yarrowloom/simulator/machines/machine_set.py
@@ -10,7 +10,7 @@
 from ...common.settings import NodeSettings
 from ...node.core import CoreNode
 from ...node.edge import EdgeNode
-from ...node.identity import FIRST
+from ...node.identity import FIRST_INCARNATION
 from ...node.input_scheduler import Input, InputClass, InputScheduler
 from ...node.recovery import recover
 from ...node.runtime import TICK_CORE_S
@@ -155,7 +155,7 @@
             self._digest_records(ip=ip, bodies=disk.synced)
         else:
             node_id = f"{ip}:7001#{self.lives:x}"
-            node = EdgeNode(settings=st, node_id=node_id, incarnation=FIRST, log=log)
+            node = EdgeNode(settings=st, node_id=node_id, incarnation=FIRST_INCARNATION, log=log)
         self.node_ids[ip] = node_id
         proc = Proc(node=node, life=self.lives)
         self.procs[ip] = proc
