--- a/tests/mutants/test_agent_mutants.py
+++ b/tests/mutants/test_agent_mutants.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.support.mutant_proof import proof, settle, stream
+from tests.support.mutant_proof import assert_guard_is_needed, settle, stream
 from tests.support.simulated_work import Day, task
 from yarrowloom.agent import failure_detector
 from yarrowloom.agent.heartbeat import MinionHeartbeat
@@ -17,15 +17,17 @@
 # -- LIMIT
 
 
-def test_limit_leases_count_against_room() -> None:
-    def out(p: pytest.MonkeyPatch) -> None:
-        p.setattr(Minion, "free", lambda self: self.capacity)
+def test_limit_is_broken_if_leases_do_not_count_against_capacity() -> None:
+    def remove_guard(patch: pytest.MonkeyPatch) -> None:
+        patch.setattr(Minion, "free", lambda self: self.capacity)
 
-    proof(rule="LIMIT", story=lambda: stream(day=Day(seed=4001, minions=4, work=1.0)), out=out)
+    assert_guard_is_needed(
+        rule="LIMIT", scenario=lambda: stream(day=Day(seed=4001, minions=4, work=1.0)), remove_guard=remove_guard
+    )
 
 
-def test_limit_a_stopped_run_counts_until_its_end_is_listed() -> None:
-    def story() -> Day:
+def test_limit_is_broken_if_a_stopped_run_frees_its_lease_before_its_end_is_listed() -> None:
+    def scenario() -> Day:
         day = Day(seed=4002, minions=2, work=5.0)
         for _ in range(12):
             day.job(task(n=4, cpus=2000))
@@ -36,7 +38,7 @@
         settle(day=day)
         return day
 
-    def out(p: pytest.MonkeyPatch) -> None:
+    def remove_guard(patch: pytest.MonkeyPatch) -> None:
         real = TaskRuns.request_stop
 
         def request_stop(self: TaskRuns, stopped: StoppedRun) -> Minion | None:
@@ -46,16 +48,16 @@
                 self._leases.remove(minion, lease_id=run.lease_id)  # the scheduler is told of the capacity too
             return minion
 
-        p.setattr(TaskRuns, "request_stop", request_stop)
+        patch.setattr(TaskRuns, "request_stop", request_stop)
 
-    proof(rule="LIMIT", story=story, out=out)
+    assert_guard_is_needed(rule="LIMIT", scenario=scenario, remove_guard=remove_guard)
 
 
 # -- TWICE
 
 
-def test_twice_a_minion_is_lost_only_after_its_longest_hold() -> None:
-    def story() -> Day:
+def test_twice_is_broken_if_a_minion_is_lost_before_its_longest_hold_is_over() -> None:
+    def scenario() -> Day:
         day = Day(seed=4003, minions=4, work=6.0)
         day.job(task(n=8))
         day.sim.run(seconds=1.0)
@@ -65,31 +67,31 @@
         settle(day=day)
         return day
 
-    def out(p: pytest.MonkeyPatch) -> None:
-        p.setattr(failure_detector, "SLOW_CLOCK_FACTOR", 0.3)
+    def remove_guard(patch: pytest.MonkeyPatch) -> None:
+        patch.setattr(failure_detector, "SLOW_CLOCK_FACTOR", 0.3)
 
-    proof(rule="TWICE", story=story, out=out)
+    assert_guard_is_needed(rule="TWICE", scenario=scenario, remove_guard=remove_guard)
 
 
-def test_twice_an_end_is_noted_only_once_its_group_has_it() -> None:
-    def story() -> Day:
+def test_twice_is_broken_if_an_end_is_acknowledged_before_its_group_has_it() -> None:
+    def scenario() -> Day:
         day = Day(seed=4004, minions=6)
         day.sim.loss = 0.05
         day.judge.trouble(seconds=60.0)
         return stream(day=day)
 
-    def out(p: pytest.MonkeyPatch) -> None:
+    def remove_guard(patch: pytest.MonkeyPatch) -> None:
         def note(self: Minion) -> None:
             self.last_acknowledged_end = max([self.last_acknowledged_end, *self.ends])
             self.ends.clear()
 
-        p.setattr(Minion, "skip_acknowledged_ends", note)
+        patch.setattr(Minion, "skip_acknowledged_ends", note)
 
-    proof(rule="TWICE", story=story, out=out)
+    assert_guard_is_needed(rule="TWICE", scenario=scenario, remove_guard=remove_guard)
 
 
-def test_twice_an_agent_acts_only_while_it_has_the_chiefs_word() -> None:
-    def story() -> Day:
+def test_twice_is_broken_if_an_agent_acts_without_the_controllers_lease() -> None:
+    def scenario() -> Day:
         day = Day(seed=4005, minions=9, work=20.0, cores=5)
         day.job(task(n=36))
         day.sim.run(seconds=2.0)
@@ -107,16 +109,16 @@
         settle(day=day, seconds=40.0)
         return day
 
-    def out(p: pytest.MonkeyPatch) -> None:
-        p.setattr(CoreNode, "trusted", lambda self: True)
+    def remove_guard(patch: pytest.MonkeyPatch) -> None:
+        patch.setattr(CoreNode, "trusted", lambda self: True)
 
-    proof(rule="TWICE", story=story, out=out)
+    assert_guard_is_needed(rule="TWICE", scenario=scenario, remove_guard=remove_guard)
 
 
-def test_twice_an_order_whose_end_is_listed_did_start() -> None:
+def test_twice_is_broken_if_listed_ends_are_ignored_at_an_attachment() -> None:
     """After a change of primary all minions are attached anew; what ended meanwhile is on their lists only."""
 
-    def story() -> Day:
+    def scenario() -> Day:
         day = Day(seed=4018, minions=6, cores=5)
         day.judge.trouble(seconds=30.0)
         for _ in range(3):
@@ -130,10 +132,10 @@
         settle(day=day)
         return day
 
-    def out(p: pytest.MonkeyPatch) -> None:
-        p.setattr(Minion, "has_listed_end", lambda self, task, run: False)
+    def remove_guard(patch: pytest.MonkeyPatch) -> None:
+        patch.setattr(Minion, "has_listed_end", lambda self, task, run: False)
 
-    proof(rule="TWICE", story=story, out=out)
+    assert_guard_is_needed(rule="TWICE", scenario=scenario, remove_guard=remove_guard)
 
 
 # -- UNASKED
@@ -150,54 +152,54 @@
     return day
 
 
-def test_unasked_what_is_cancelled_is_stopped() -> None:
-    def out(p: pytest.MonkeyPatch) -> None:
-        p.setattr(TaskRuns, "request_stop", lambda self, stopped: None)
+def test_unasked_is_broken_if_cancelled_runs_are_not_stopped() -> None:
+    def remove_guard(patch: pytest.MonkeyPatch) -> None:
+        patch.setattr(TaskRuns, "request_stop", lambda self, stopped: None)
 
-    proof(rule="UNASKED", story=lambda: cancelled(seed=4008), out=out)
+    assert_guard_is_needed(rule="UNASKED", scenario=lambda: cancelled(seed=4008), remove_guard=remove_guard)
 
 
 # -- DRAIN, EVAC
 
 
-def test_drain_nothing_starts_on_a_minion_that_leaves() -> None:
-    def story() -> Day:
+def test_drain_is_broken_if_a_draining_minion_stays_open() -> None:
+    def scenario() -> Day:
         day = Day(seed=4015, minions=3, work=1.0)
         day.judge.trouble(seconds=9.0)
         day.fleet[0].drain()
         return stream(day=day)
 
-    def out(p: pytest.MonkeyPatch) -> None:
+    def remove_guard(patch: pytest.MonkeyPatch) -> None:
         real = Minion.record_heartbeat
 
         def record_heartbeat(self: Minion, *, heartbeat: MinionHeartbeat, now: float) -> None:
             real(self, heartbeat=heartbeat, now=now)
             self.is_draining = False
 
-        p.setattr(Minion, "record_heartbeat", record_heartbeat)
+        patch.setattr(Minion, "record_heartbeat", record_heartbeat)
 
-    proof(rule="DRAIN", story=story, out=out)
+    assert_guard_is_needed(rule="DRAIN", scenario=scenario, remove_guard=remove_guard)
 
 
-def test_evac_nothing_starts_in_an_evacuated_zone() -> None:
-    def story() -> Day:
+def test_evac_is_broken_if_evacuations_are_ignored() -> None:
+    def scenario() -> Day:
         day = Day(seed=4016, work=1.0)
         day.evacuate(zone="z0", on=True)
         return stream(day=day, seconds=8.0)
 
-    def out(p: pytest.MonkeyPatch) -> None:
-        p.setattr(CoreNode, "evacuated", lambda self, zone: False)
+    def remove_guard(patch: pytest.MonkeyPatch) -> None:
+        patch.setattr(CoreNode, "evacuated", lambda self, zone: False)
 
-    proof(rule="EVAC", story=story, out=out)
+    assert_guard_is_needed(rule="EVAC", scenario=scenario, remove_guard=remove_guard)
 
 
 # -- GANG
 
 
-def test_gang_an_order_that_did_not_arrive_goes_out_once_more() -> None:
+def test_gang_is_broken_if_a_lost_order_is_not_sent_again() -> None:
     """An answer that comes too late is dropped by the minion with the start that it carries."""
 
-    def story() -> Day:
+    def scenario() -> Day:
         day = Day(seed=4017)
         drop_answers(day=day)
         for _ in range(6):
@@ -206,15 +208,15 @@
         settle(day=day)
         return day
 
-    def out(p: pytest.MonkeyPatch) -> None:
+    def remove_guard(patch: pytest.MonkeyPatch) -> None:
         real = TaskRuns.reconcile
 
         def reconcile(self: TaskRuns, minion: Minion, *, after_heartbeat: bool) -> None:
             real(self, minion, after_heartbeat=False)
 
-        p.setattr(TaskRuns, "reconcile", reconcile)
+        patch.setattr(TaskRuns, "reconcile", reconcile)
 
-    proof(rule="GANG", story=story, out=out)
+    assert_guard_is_needed(rule="GANG", scenario=scenario, remove_guard=remove_guard)
 
 
 def drop_answers(*, day: Day) -> None:
--- a/tests/mutants/test_scheduling_mutants.py
+++ b/tests/mutants/test_scheduling_mutants.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from tests.support.mutant_proof import proof, settle, stream
+from tests.support.mutant_proof import assert_guard_is_needed, settle, stream
 from tests.support.simulated_work import Day, task
 from yarrowloom.agent import lease_selection, leases
 from yarrowloom.agent.messages import LeaseRequest
@@ -39,7 +39,9 @@
         p.setattr(cycle, "FILTERS", without(name="label"))
         blind(patch=p, required_label="")
 
-    proof(rule="ROUTE", story=lambda: stream(day=Day(seed=4101, minions=9), requires="r1"), out=out)
+    assert_guard_is_needed(
+        rule="ROUTE", scenario=lambda: stream(day=Day(seed=4101, minions=9), requires="r1"), remove_guard=out
+    )
 
 
 def test_route_members_keep_apart() -> None:
@@ -48,7 +50,9 @@
         p.setattr(cycle, "_spread", lambda snap, ask, spot: True)
         blind(patch=p, max_per_minion=0)
 
-    proof(rule="ROUTE", story=lambda: stream(day=Day(seed=4102, minions=9), anti_affinity=1), out=out)
+    assert_guard_is_needed(
+        rule="ROUTE", scenario=lambda: stream(day=Day(seed=4102, minions=9), anti_affinity=1), remove_guard=out
+    )
 
 
 def test_route_a_task_goes_only_to_its_service() -> None:
@@ -64,7 +68,7 @@
     def out(p: pytest.MonkeyPatch) -> None:
         p.setattr(Desk, "service", lambda self, *, job: "svc")
 
-    proof(rule="ROUTE", story=story, out=out)
+    assert_guard_is_needed(rule="ROUTE", scenario=story, remove_guard=out)
 
 
 def test_gang_nothing_binds_below_the_criterion() -> None:
@@ -81,7 +85,7 @@
     def out(p: pytest.MonkeyPatch) -> None:
         p.setattr(cycle, "placement_feasible", lambda *, placed, ask: placed > 0)
 
-    proof(rule="GANG", story=story, out=out)
+    assert_guard_is_needed(rule="GANG", scenario=story, remove_guard=out)
 
 
 def test_order_a_repeated_job_starts_no_sooner_than_due() -> None:
@@ -103,7 +107,7 @@
 
         p.setattr(Placer, "tick", tick)
 
-    proof(rule="ORDER", story=story, out=out)
+    assert_guard_is_needed(rule="ORDER", scenario=story, remove_guard=out)
 
 
 def test_unasked_an_order_that_waits_for_its_disk_does_not_leave_for_a_cancelled_job() -> None:
@@ -137,7 +141,7 @@
 
         p.setattr(Binding, "stops", stops)
 
-    proof(rule="UNASKED", story=story, out=out)
+    assert_guard_is_needed(rule="UNASKED", scenario=story, remove_guard=out)
 
 
 def test_lost_a_parked_group_is_woken_by_room_and_by_time() -> None:
@@ -152,4 +156,4 @@
         p.setattr(Room, "take_grown", lambda self: {})
         p.setattr(Backlog, "due", lambda self, *, now: [])
 
-    proof(rule="LOST", story=story, out=out)
+    assert_guard_is_needed(rule="LOST", scenario=story, remove_guard=out)
--- a/tests/mutants/test_state_mutants.py
+++ b/tests/mutants/test_state_mutants.py
@@ -5,7 +5,7 @@
 import pytest
 from msgspec.structs import replace
 
-from tests.support.mutant_proof import proof, settle
+from tests.support.mutant_proof import assert_guard_is_needed, settle
 from tests.support.simulated_work import Day, Worker, task
 from yarrowloom.jobs.effects import JobEffect, UnitReady
 from yarrowloom.jobs.events import RunOutcome, TaskEnded
@@ -37,7 +37,7 @@
 
         p.setattr(Jobs, "_begin_run", begin_run)
 
-    proof(rule="ORDER", story=story, out=out)
+    assert_guard_is_needed(rule="ORDER", scenario=story, remove_guard=out)
 
 
 # -- BUDGET
@@ -55,7 +55,7 @@
         real = Jobs._end_task
         p.setattr(Jobs, "_end_task", lambda self, event: real(self, replace(event, max_attempts=99)))
 
-    proof(rule="BUDGET", story=story, out=out)
+    assert_guard_is_needed(rule="BUDGET", scenario=story, remove_guard=out)
 
 
 # -- UNASKED
@@ -86,7 +86,7 @@
 
         p.setattr(Jobs, "_end_task", end_task)
 
-    proof(rule="UNASKED", story=story, out=out)
+    assert_guard_is_needed(rule="UNASKED", scenario=story, remove_guard=out)
 
 
 # -- REFUSED
@@ -112,7 +112,7 @@
 
         p.setattr(EdgeNode, "called", called)
 
-    proof(rule="REFUSED", story=story, out=out)
+    assert_guard_is_needed(rule="REFUSED", scenario=story, remove_guard=out)
 
 
 # -- MIXED
@@ -133,7 +133,7 @@
         real = Jobs._end_task
         p.setattr(Jobs, "_end_task", lambda self, event: real(self, replace(event, outcome=RunOutcome.DONE)))
 
-    proof(rule="MIXED", story=story, out=out)
+    assert_guard_is_needed(rule="MIXED", scenario=story, remove_guard=out)
 
 
 def test_mixed_a_step_is_finished_only_when_no_task_is_left() -> None:
@@ -155,7 +155,7 @@
         settle(day=day)
         return day
 
-    proof(rule="MIXED", story=story, out=out)
+    assert_guard_is_needed(rule="MIXED", scenario=story, remove_guard=out)
 
 
 # -- LOST
@@ -185,7 +185,7 @@
 
         p.setattr(Replica, "commit", commit)
 
-    proof(rule="LOST", story=story, out=out)
+    assert_guard_is_needed(rule="LOST", scenario=story, remove_guard=out)
 
 
 def busiest(*, day: Day) -> Worker:
--- a/tests/support/agent_harness.py
+++ b/tests/support/agent_harness.py
@@ -55,7 +55,7 @@
     def note(self, *, event: str, **fields: object) -> None:
         pass
 
-    def gone(self, *, minion_id: str, fence: int) -> None:
+    def remove_lost_minion(self, *, minion_id: str, fence: int) -> None:
         self.removed_minions.append(minion_id)
 
     def last(self, kind: Kind) -> dict[str, Any]:
--- a/tests/support/binding_model.py
+++ b/tests/support/binding_model.py
@@ -146,7 +146,7 @@
     def trace(self, *, event: str, **fields: object) -> None:
         pass
 
-    def gone(self, *, minion_id: str, fence: int) -> None:
+    def remove_lost_minion(self, *, minion_id: str, fence: int) -> None:
         need(False, "LOST", minion_id, "was called lost, but minions never fall silent here")
 
     def route(self, *, name: str) -> Route | None:
--- a/yarrowloom/agent/environment.py
+++ b/yarrowloom/agent/environment.py
@@ -46,5 +46,5 @@
     def note(self, *, event: str, **fields: object) -> None:
         """Log an event."""
 
-    def gone(self, *, minion_id: str, fence: int) -> None:
+    def remove_lost_minion(self, *, minion_id: str, fence: int) -> None:
         """Tell group 0 that a minion is no more; the node then removes it from the agent."""
--- a/yarrowloom/agent/failure_detector.py
+++ b/yarrowloom/agent/failure_detector.py
@@ -53,7 +53,7 @@
         group_ids = [group_id for group_id in self._table.group_ids if group_id not in minion.loss_acknowledged_by]
         self._table.watched.add(minion.minion_id)
         if not group_ids:
-            environment.gone(minion_id=minion.minion_id, fence=minion.fence)
+            environment.remove_lost_minion(minion_id=minion.minion_id, fence=minion.fence)
             return
         if now - minion.loss_reported_at <= pause_s(minion):
             return
--- a/yarrowloom/node/core_environment.py
+++ b/yarrowloom/node/core_environment.py
@@ -265,7 +265,7 @@
         """Zones in which nothing may start."""
         return frozenset(self.roster.registry.evacuated_zones)
 
-    def gone(self, *, minion_id: str, fence: int) -> None:
+    def remove_lost_minion(self, *, minion_id: str, fence: int) -> None:
         """A minion is lost: the agent disowns it and group 0 is told."""
         self.agent.remove_minion(minion_id=minion_id)
         removal = MinionRemoval(minion_id=minion_id, fence=fence)
