--- a/docs/experiments/growth_state.py
+++ b/docs/experiments/growth_state.py
@@ -16,7 +16,7 @@
 import orjson
 
 from yarrowloom.jobs.state_machine import Jobs
-from yarrowloom.storage import Ring
+from yarrowloom.storage import RingJournal
 from yarrowloom.transport.envelope import Frame, FrameDecoder, Kind, dump, pack_frame
 
 
@@ -110,14 +110,14 @@
         gc.collect()
         t_gc, _ = ms(gc.collect)
         with tempfile.TemporaryDirectory() as folder:
-            ring = Ring(folder=folder, size=8 << 20)
+            ring = RingJournal(folder=folder, file_bytes=8 << 20)
             ring.load()
             ring.rotate()
-            full = ring.full(extra=len(body))
+            full = ring.is_full(extra_bytes=len(body))
             t_ring = 0.0
             if not full:
                 ring.append(bodies=[body])
-            t_ring, _ = ms(lambda: Ring(folder=folder, size=8 << 20).load())
+            t_ring, _ = ms(lambda: RingJournal(folder=folder, file_bytes=8 << 20).load())
             ring.close()
         link = len(encoded) * 8 / 100e6 * 1e3
         print(
--- a/tests/node/test_recovery.py
+++ b/tests/node/test_recovery.py
@@ -18,7 +18,7 @@
 from yarrowloom.simulator import minions
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.minions import Oracle, SimCaller, cluster, config
-from yarrowloom.storage import END
+from yarrowloom.storage import SNAPSHOT_END
 
 STAGES = [{"task-count": 3, "cpus": 300, "mem-mb": 100, "estimate-ms": 300}]
 Held = dict[tuple[int, int, int], bytes]
@@ -200,7 +200,7 @@
         return any(event is not None and event["t"] == "start" for event, _ in node.replicas[1].pending_events)
 
     assert any(waits() for _ in range(4000))
-    journal = [*node.checkpoint(), END]
+    journal = [*node.checkpoint(), SNAPSHOT_END]
     begin = len(sim.disks[ip].synced)
     sim.run(seconds=1.0)
     quiet(sim)
@@ -323,8 +323,8 @@
         ).node_id
 
     assert last_snapshot(records=head) == -1
-    assert last_snapshot(records=[*head, END]) == 0
+    assert last_snapshot(records=[*head, SNAPSHOT_END]) == 0
     assert start(records=[], first=True) == start(records=head, first=True) == f"{ip}:7000#0"
     assert start(records=[], first=False) == start(records=head, first=False) == f"{ip}:7000#new"
-    assert start(records=[*head, END, *head], first=False) == f"{ip}:7000#0"
-    assert records_since(records=[*head, END, *head], begin=0) == [*head, END]
+    assert start(records=[*head, SNAPSHOT_END, *head], first=False) == f"{ip}:7000#0"
+    assert records_since(records=[*head, SNAPSHOT_END, *head], begin=0) == [*head, SNAPSHOT_END]
--- a/tests/storage/stored_data.py
+++ b/tests/storage/stored_data.py
@@ -21,7 +21,7 @@
 from yarrowloom.node.core import NODE_RECORDS, CoreNode
 from yarrowloom.node.recovery import recover
 from yarrowloom.replication.replica_storage import ReplicaStorage
-from yarrowloom.storage import Ring, Verdict
+from yarrowloom.storage import JournalState, RingJournal
 
 DATA = pathlib.Path(__file__).parent / "data"
 RING_FILES = 4
@@ -88,12 +88,12 @@
 
 def open_folder(*, folder: pathlib.Path, ip: str, learn: bool) -> Opened:
     """Read the ring files of a folder and recover a node from them, as `open_core` does."""
-    ring = Ring(folder=str(folder), size=RING_BYTES)
+    ring = RingJournal(folder=str(folder), file_bytes=RING_BYTES)
     records = ring.load()
-    verdict = ring.verdict
+    verdict = ring.state
     ring.close()
-    usable = [] if verdict is Verdict.LOST else records
-    node = start_node(ip=ip, records=usable, blank=verdict is Verdict.EMPTY, learn=learn)
+    usable = [] if verdict is JournalState.LOST else records
+    node = start_node(ip=ip, records=usable, blank=verdict is JournalState.EMPTY, learn=learn)
     return Opened(
         verdict=verdict.value,
         records=[orjson.loads(record) for record in records],
--- a/tests/storage/test_mutants.py
+++ b/tests/storage/test_mutants.py
@@ -9,8 +9,9 @@
 from tests.storage.test_storage import DAMAGES, damage, path
 from tests.support.storage_proof import Bounds, Breach, Life, Oracle, explore, make_ring, play, replay, walk
 from yarrowloom.simulator.machines.disk import Operation, SimDisk, Trouble
-from yarrowloom.storage import Ring, Verdict
-from yarrowloom.storage.record_format import HEADER_BYTES, Header, Slot
+from yarrowloom.storage import JournalState, RingJournal
+from yarrowloom.storage.record_format import HEADER_BYTES, Header, RingFile
+from yarrowloom.storage.ring_recovery import Assessment
 
 
 def ends() -> None:
@@ -44,7 +45,7 @@
                 damage(disk=hurt, slot=slot, how=how)
                 ring = make_ring(hurt, 99)
                 records = ring.load()
-                if ring.verdict is not Verdict.LOST and replay(records=records) != oracle.acknowledged:
+                if ring.state is not JournalState.LOST and replay(records=records) != oracle.acknowledged:
                     raise Breach(f"damage not seen: {how} {slot}")
         newest = max(range(4), key=lambda slot: header_number(disk=disk, slot=slot))
         for slot in range(4):
@@ -53,8 +54,8 @@
 
 
 def header_number(*, disk: SimDisk, slot: int) -> int:
-    header = Header.parse(raw=disk.content(path=path(slot)) or b"")
-    return header.number if header is not None else 0
+    header = Header.decode(raw=disk.content(path=path(slot)) or b"")
+    return header.file_number if header is not None else 0
 
 
 def flips(*, disk: SimDisk, slot: int, wanted: list[int]) -> None:
@@ -67,7 +68,7 @@
         hurt.damage(path=path(slot), content=old[:position] + bytes([old[position] ^ 64]) + old[position + 1 :])
         ring = make_ring(hurt, 99)
         records = ring.load()
-        if ring.verdict is not Verdict.WHOLE or replay(records=records) != wanted:
+        if ring.state is not JournalState.COMPLETE or replay(records=records) != wanted:
             raise Breach(f"a header that is not needed: {slot} {position}")
 
 
@@ -94,36 +95,39 @@
 
 
 def no_header_checksum(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Header, "checks", staticmethod(lambda *, raw: True))
+    patch.setattr(Header, "has_valid_checksum", staticmethod(lambda *, raw: True))
 
 
 def records_not_bound_to_their_file(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Header, "seed", 1)
+    patch.setattr(Header, "checksum_seed", 1)
 
 
 def no_check_of_the_number_that_follows(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Ring, "_follows", staticmethod(lambda **_: True))
+    patch.setattr("yarrowloom.storage.ring_recovery._follows", lambda **_: True)
 
 
 def no_check_of_the_first_batch(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Slot, "whole", property(lambda self: self.header is not None and bool(self.records)))
+    patch.setattr(
+        RingFile, "has_complete_first_batch", property(lambda self: self.header is not None and bool(self.records))
+    )
 
 
 def no_word_of_the_durable_file(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Ring, "_declare", lambda self: None)
+    patch.setattr(RingJournal, "_declare_durable", lambda self: None)
 
 
 def tries_in_the_next_file(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Ring, "_next_file", lambda self: self._file + 1)
+    patch.setattr(RingJournal, "_next_file", lambda self: self._highest_file + 1)
 
 
 def empty_where_no_file_is_whole(patch: pytest.MonkeyPatch) -> None:
-    def judge(self: Ring, *, slots: list[Slot]) -> None:
-        newest = max((slot.header.number for slot in slots if slot.header is not None and slot.whole), default=0)
-        self.verdict = Verdict.WHOLE if newest else Verdict.EMPTY
-        self._file = self._durable = newest
+    def assess(*, files: list[RingFile]) -> Assessment:
+        complete = [file.header for file in files if file.header is not None and file.has_complete_first_batch]
+        newest = max((header.file_number for header in complete), default=0)
+        state = JournalState.COMPLETE if newest else JournalState.EMPTY
+        return Assessment(state=state, highest_file=newest, durable_file=newest, claimed_file=0)
 
-    patch.setattr(Ring, "_judge", judge)
+    patch.setattr("yarrowloom.storage.ring_journal.assess", assess)
 
 
 @pytest.mark.parametrize(
--- a/tests/storage/test_ring_journal.py
+++ b/tests/storage/test_ring_journal.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from yarrowloom.storage import END, Ring
+from yarrowloom.storage import SNAPSHOT_END, RingJournal
 
 
-def fill(*, rng: random.Random, ring: Ring, kept: list[bytes], n: int) -> None:
+def fill(*, rng: random.Random, ring: RingJournal, kept: list[bytes], n: int) -> None:
     """Append batches; on each turn of the ring a checkpoint stands for all before."""
     for _ in range(n):
         bodies = [rng.randbytes(rng.randint(0, 300)) for _ in range(rng.randint(1, 4))]
-        if ring.full(extra=ring.room(bodies=bodies)):
+        if ring.is_full(extra_bytes=ring.encoded_bytes(bodies=bodies)):
             ring.rotate()
             mark = b"checkpoint %d" % len(kept)
             ring.append(bodies=[mark, *bodies])
@@ -28,7 +28,7 @@
     rng = random.Random(seed)
     kept: list[bytes] = []
     for _ in range(4):
-        ring = Ring(folder=str(tmp_path), files=4, size=4096)
+        ring = RingJournal(folder=str(tmp_path), file_count=4, file_bytes=4096)
         got = ring.load()
         assert got[len(got) - len(kept) :] == kept
         ring.rotate()
@@ -42,54 +42,54 @@
 @pytest.mark.parametrize("seed", range(40))
 def test_torn_or_foreign_bytes_end_the_journal_and_are_not_guessed_at(seed: int, tmp_path: pathlib.Path) -> None:
     rng = random.Random(1000 + seed)
-    ring = Ring(folder=str(tmp_path), files=4, size=4096)
+    ring = RingJournal(folder=str(tmp_path), file_count=4, file_bytes=4096)
     assert ring.load() == []
     ring.rotate()
     kept: list[bytes] = []
     fill(rng=rng, ring=ring, kept=kept, n=rng.randint(1, 80))
     ring.close()
-    whole = Ring(folder=str(tmp_path), files=4, size=4096).load()
+    whole = RingJournal(folder=str(tmp_path), file_count=4, file_bytes=4096).load()
     path = rng.choice(sorted(tmp_path.glob("ring-*")))
     raw = bytearray(path.read_bytes())
     at = rng.randrange(len(raw))
     end = min(len(raw), at + rng.randint(1, 64))
     raw[at:end] = rng.choice([bytes(end - at), rng.randbytes(end - at)])
     path.write_bytes(bytes(raw))
-    got = Ring(folder=str(tmp_path), files=4, size=4096).load()
+    got = RingJournal(folder=str(tmp_path), file_count=4, file_bytes=4096).load()
     runs = [whole[i : i + len(got)] for i in range(len(whole) - len(got) + 1)]
     assert got in runs  # a stretch of what was written, nothing else
 
 
 def test_a_foreign_file_is_passed_over(tmp_path: pathlib.Path) -> None:
     (tmp_path / "ring-1").write_bytes(b"something else entirely" * 100)
-    ring = Ring(folder=str(tmp_path), files=4, size=4096)
+    ring = RingJournal(folder=str(tmp_path), file_count=4, file_bytes=4096)
     assert ring.load() == []
     ring.rotate()
     ring.append(bodies=[b"x"])
     ring.close()
-    assert Ring(folder=str(tmp_path), files=4, size=4096).load() == [b"x"]
+    assert RingJournal(folder=str(tmp_path), file_count=4, file_bytes=4096).load() == [b"x"]
 
 
 def test_files_grow_where_a_checkpoint_would_fill_them(tmp_path: pathlib.Path) -> None:
     """A file that a checkpoint nearly fills would be left again after a few records, each time for another one."""
-    ring = Ring(folder=str(tmp_path), files=4, size=4096, most=32768)
+    ring = RingJournal(folder=str(tmp_path), file_count=4, file_bytes=4096, max_file_bytes=32768)
     ring.load()
     ring.rotate()
     ring.append(bodies=[b"old"])
     big = [b"c" * 5000]
-    ring.rotate(need=ring.room(bodies=big))
+    ring.rotate(snapshot_bytes=ring.encoded_bytes(bodies=big))
     ring.append(bodies=big)
     rotations = 0
     for i in range(50):
         record = [b"%04d" % i * 10]
-        if ring.full(extra=ring.room(bodies=record)):
+        if ring.is_full(extra_bytes=ring.encoded_bytes(bodies=record)):
             rotations += 1
-            ring.rotate(need=ring.room(bodies=big))
+            ring.rotate(snapshot_bytes=ring.encoded_bytes(bodies=big))
             ring.append(bodies=big)
         ring.append(bodies=record)
     assert rotations == 0
-    assert ring.size == 16384
-    again = Ring(folder=str(tmp_path), files=4, size=4096, most=32768)
+    assert ring.file_bytes == 16384
+    again = RingJournal(folder=str(tmp_path), file_count=4, file_bytes=4096, max_file_bytes=32768)
     assert again.load()[:2] == [b"old", big[0]]
     assert len(again.load()) >= 2
 
@@ -104,43 +104,47 @@
     """Seen on tsr-grown trouble-2 (simulated): a process is killed between write and sync; the next one reads its last
     record and numbers on from it; later the power goes and takes that record, but not what followed in the next file.
     All that followed was dropped for the gap, a whole group's state with it."""
-    first = Ring(folder=str(tmp_path), files=4, size=4096)
+    first = RingJournal(folder=str(tmp_path), file_count=4, file_bytes=4096)
     first.load()
     first.rotate()
-    first.append(bodies=[b"c0", END])
-    synced = first._pos
+    first.append(bodies=[b"c0", SNAPSHOT_END])
+    synced = first._position
     first.append(bodies=[b"never synced"])
-    slot = tmp_path / f"ring-{first._file % 4}"
-    second = Ring(folder=str(tmp_path), files=4, size=4096)
-    assert second.load() == [b"c0", END, b"never synced"]
+    slot = tmp_path / f"ring-{first._highest_file % 4}"
+    second = RingJournal(folder=str(tmp_path), file_count=4, file_bytes=4096)
+    assert second.load() == [b"c0", SNAPSHOT_END, b"never synced"]
     second.rotate()
-    second.append(bodies=[b"c1", END])
+    second.append(bodies=[b"c1", SNAPSHOT_END])
     second.append(bodies=[b"acknowledged"])
     cut(path=slot, at=synced)
-    assert Ring(folder=str(tmp_path), files=4, size=4096).load() == [b"c1", END, b"acknowledged"]
+    assert RingJournal(folder=str(tmp_path), file_count=4, file_bytes=4096).load() == [
+        b"c1",
+        SNAPSHOT_END,
+        b"acknowledged",
+    ]
 
 
 def test_a_file_with_a_torn_checkpoint_after_a_gap_does_not_count(tmp_path: pathlib.Path) -> None:
-    first = Ring(folder=str(tmp_path), files=4, size=4096)
+    first = RingJournal(folder=str(tmp_path), file_count=4, file_bytes=4096)
     first.load()
     first.rotate()
-    first.append(bodies=[b"c0", END, b"kept"])
-    synced = first._pos
+    first.append(bodies=[b"c0", SNAPSHOT_END, b"kept"])
+    synced = first._position
     first.append(bodies=[b"gone"])
-    slot = tmp_path / f"ring-{first._file % 4}"
-    second = Ring(folder=str(tmp_path), files=4, size=4096)
+    slot = tmp_path / f"ring-{first._highest_file % 4}"
+    second = RingJournal(folder=str(tmp_path), file_count=4, file_bytes=4096)
     second.load()
     second.rotate()
     second.append(bodies=[b"half of c1"])
     cut(path=slot, at=synced)
-    assert Ring(folder=str(tmp_path), files=4, size=4096).load() == [b"c0", END, b"kept"]
+    assert RingJournal(folder=str(tmp_path), file_count=4, file_bytes=4096).load() == [b"c0", SNAPSHOT_END, b"kept"]
 
 
 def test_a_refused_write_uses_up_no_numbers(tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    ring = Ring(folder=str(tmp_path), files=4, size=4096)
+    ring = RingJournal(folder=str(tmp_path), file_count=4, file_bytes=4096)
     ring.load()
     ring.rotate()
-    ring.append(bodies=[b"c0", END, b"a"])
+    ring.append(bodies=[b"c0", SNAPSHOT_END, b"a"])
     with monkeypatch.context() as patch:
 
         def refuse(_fd: int, _data: bytes) -> int:
@@ -151,16 +155,16 @@
             ring.append(bodies=[b"b"])
     ring.close()
     ring.rotate()
-    ring.append(bodies=[b"c1", END, b"b"])
-    got = Ring(folder=str(tmp_path), files=4, size=4096).load()
-    assert got[-3:] == [b"c1", END, b"b"]
+    ring.append(bodies=[b"c1", SNAPSHOT_END, b"b"])
+    got = RingJournal(folder=str(tmp_path), file_count=4, file_bytes=4096).load()
+    assert got[-3:] == [b"c1", SNAPSHOT_END, b"b"]
 
 
 def test_load_syncs_what_it_gives_out(tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    ring = Ring(folder=str(tmp_path), files=4, size=4096)
+    ring = RingJournal(folder=str(tmp_path), file_count=4, file_bytes=4096)
     ring.load()
     ring.rotate()
-    ring.append(bodies=[b"c0", END])
+    ring.append(bodies=[b"c0", SNAPSHOT_END])
     ring.close()
     seen: list[str] = []
 
@@ -168,5 +172,5 @@
         seen.append(os.readlink(f"/proc/self/fd/{handle}"))
 
     monkeypatch.setattr("yarrowloom.storage.filesystem.os.fsync", record)
-    Ring(folder=str(tmp_path), files=4, size=4096).load()
+    RingJournal(folder=str(tmp_path), file_count=4, file_bytes=4096).load()
     assert sorted(seen) == sorted([str(tmp_path), *(str(tmp_path / f"ring-{slot}") for slot in range(4))])
--- a/tests/storage/test_storage.py
+++ b/tests/storage/test_storage.py
@@ -13,7 +13,7 @@
 from yarrowloom.node.runtime import Runtime
 from yarrowloom.node.startup import open_core
 from yarrowloom.simulator.machines.disk import Operation, Outcome, PowerCutError, SimDisk, Trouble
-from yarrowloom.storage import END, Ring, Verdict, file_sizes, until_taken
+from yarrowloom.storage import SNAPSHOT_END, JournalState, RingJournal, file_sizes, retry_disk_call
 from yarrowloom.storage.record_format import HEADER_BYTES
 
 MIB = 1 << 20
@@ -36,10 +36,10 @@
     )
 
 
-def verdict(*, disk: SimDisk) -> Verdict:
+def verdict(*, disk: SimDisk) -> JournalState:
     ring = make_ring(disk.copy(), 99)
     ring.load()
-    return ring.verdict
+    return ring.state
 
 
 def path(slot: int) -> str:
@@ -71,8 +71,8 @@
     damage(disk=disk, slot=slot, how=how)
     ring = make_ring(disk, 99)
     records = ring.load()
-    assert ring.verdict in (Verdict.WHOLE, Verdict.LOST)
-    if ring.verdict is Verdict.WHOLE:
+    assert ring.state in (JournalState.COMPLETE, JournalState.LOST)
+    if ring.state is JournalState.COMPLETE:
         assert replay(records=records) == oracle.acknowledged
 
 
@@ -83,16 +83,16 @@
     disk, oracle = after(batches=(3,) * turns)
     ring = make_ring(disk.copy(), 99)
     ring.load()
-    damage(disk=disk, slot=ring._durable % 4, how=how)
-    assert verdict(disk=disk) is Verdict.LOST
-    new = [b'{"list": [7]}', END]
+    damage(disk=disk, slot=ring._durable_file % 4, how=how)
+    assert verdict(disk=disk) is JournalState.LOST
+    new = [b'{"list": [7]}', SNAPSHOT_END]
     for cut in range(1, 40):
         again, ended = disk.copy(), False
         again.cut_at = again.calls + cut
         ring = make_ring(again, 100)
         try:
             ring.load()
-            ring.begin(checkpoint=new)
+            ring.begin_file(snapshot=new)
             ended = True
         except PowerCutError:
             pass
@@ -102,26 +102,26 @@
             last.lose_power(outcome=Outcome(names=names * len(last.unsynced_names()), writes=kept))
             ring = make_ring(last, 101)
             records = ring.load()
-            assert ring.verdict is Verdict.LOST or (ring.verdict, records) == (Verdict.WHOLE, new)
-            assert ring.verdict is Verdict.WHOLE or not ended
+            assert ring.state is JournalState.LOST or (ring.state, records) == (JournalState.COMPLETE, new)
+            assert ring.state is JournalState.COMPLETE or not ended
         if ended:
             return
     raise AssertionError("the start never came to its end")
 
 
 def test_a_start_that_was_cut_off_before_anything_was_acknowledged_is_shown_as_empty() -> None:
-    found: list[Verdict] = []
+    found: list[JournalState] = []
     ended = False
     while not ended:
         disk = SimDisk()
         ended = play(disk=disk, oracle=Oracle(), life=Life(), make=make_ring, cut=len(found) + 1)
         lose_all(disk=disk)
         found.append(verdict(disk=disk))
-    first = found.index(Verdict.WHOLE)  # from the sync of the first batch on
+    first = found.index(JournalState.COMPLETE)  # from the sync of the first batch on
     assert first > 10
-    assert set(found[:first]) == {Verdict.EMPTY}
-    assert set(found[first:]) == {Verdict.WHOLE}
-    assert verdict(disk=SimDisk()) is Verdict.EMPTY
+    assert set(found[:first]) == {JournalState.EMPTY}
+    assert set(found[first:]) == {JournalState.COMPLETE}
+    assert verdict(disk=SimDisk()) is JournalState.EMPTY
 
 
 # -- what a batch costs
@@ -130,14 +130,16 @@
 def test_calls_of_a_batch_and_of_a_rotation() -> None:
     """One write and one sync for a batch; for a rotation one write and one sync more, to a file of the full length."""
     disk = SimDisk()
-    process = Process(disk=disk, oracle=Oracle(), make=lambda disk, _: Ring(folder=FOLDER, size=2000, file_system=disk))
+    process = Process(
+        disk=disk, oracle=Oracle(), make=lambda disk, _: RingJournal(folder=FOLDER, file_bytes=2000, file_system=disk)
+    )
     process.start()
     costs: dict[bool, set[int]] = {False: set(), True: set()}
     for _ in range(200):
-        calls, file = disk.calls, process.ring._file
+        calls, file = disk.calls, process.ring._highest_file
         process.put(count=2)
-        if process.ring._file > 5:
-            costs[process.ring._file != file].add(disk.calls - calls)
+        if process.ring._highest_file > 5:
+            costs[process.ring._highest_file != file].add(disk.calls - calls)
     assert costs == {False: {2}, True: {4}}
 
 
@@ -152,10 +154,10 @@
     disk.troubles = [Trouble(operation=Operation.SYNC_DATA, error=errno.EIO)]
     with pytest.raises(OSError, match=r"Input/output"):
         process.ring.append(bodies=[b'{"entry": 1}'])
-    assert process.ring.full(extra=0)
+    assert process.ring.is_full(extra_bytes=0)
     with pytest.raises(OSError, match="no ring file"):
         process.ring.append(bodies=[b'{"entry": 1}'])
-    process.ring.begin(checkpoint=checkpoint(state=[0]), bodies=[b'{"entry": 1}'])
+    process.ring.begin_file(snapshot=checkpoint(state=[0]), bodies=[b'{"entry": 1}'])
     lose_all(disk=disk)
     assert replay(records=make_ring(disk, 2).load()) == [0, 1]
 
@@ -168,7 +170,7 @@
     ring.load()
     for _ in range(20):
         with pytest.raises(OSError, match=r"Input/output"):
-            ring.begin(checkpoint=checkpoint(state=[1]))
+            ring.begin_file(snapshot=checkpoint(state=[1]))
     lose_all(disk=disk)
     assert replay(records=make_ring(disk, 6).load()) == oracle.acknowledged
 
@@ -181,7 +183,7 @@
         ring.load()
         disk.troubles = [Trouble(operation=Operation.SYNC_DATA, error=errno.EIO)]
         with pytest.raises(OSError, match=r"Input/output"):
-            ring.begin(checkpoint=checkpoint(state=[1])[:2])
+            ring.begin_file(snapshot=checkpoint(state=[1])[:2])
         disk.kill()
 
     lose_all(disk=disk)
@@ -211,11 +213,11 @@
         Trouble(operation=Operation.WRITE, error=errno.ENOSPC, times=2),
     ]
     ring = make_ring(disk, 1)
-    assert until_taken(call=ring.load, ring=ring, log=LOG, sleep=waits.append) == []
+    assert retry_disk_call(call=ring.load, journal=ring, log=LOG, sleep=waits.append) == []
     assert len(waits) == 5
     disk.troubles = [Trouble(operation=Operation.SYNC_FOLDER, error=errno.EACCES)]
     with pytest.raises(StorageError):
-        until_taken(call=ring.load, ring=ring, log=LOG, sleep=waits.append)
+        retry_disk_call(call=ring.load, journal=ring, log=LOG, sleep=waits.append)
 
 
 # -- the node
@@ -284,17 +286,17 @@
 
 def test_files_that_grow_stay_within_the_disk(tmp_path: pathlib.Path) -> None:
     size, most = file_sizes(disk_mb=12)
-    ring = Ring(folder=str(tmp_path), size=size, most=most)
+    ring = RingJournal(folder=str(tmp_path), file_bytes=size, max_file_bytes=most)
     ring.load()
     for _ in range(9):
-        ring.begin(checkpoint=[b"c" * MIB, END])
-        while not ring.full(extra=70_000):
+        ring.begin_file(snapshot=[b"c" * MIB, SNAPSHOT_END])
+        while not ring.is_full(extra_bytes=70_000):
             ring.append(bodies=[b"e" * 60_000])
     used = sum(file.stat().st_size for file in tmp_path.iterdir())
-    assert ring.size == most
+    assert ring.file_bytes == most
     assert used == 4 * most <= 8 * MIB
 
 
 def test_a_ring_of_two_files_is_refused() -> None:
     with pytest.raises(ValueError, match="3 files or more"):
-        Ring(folder=FOLDER, files=2)
+        RingJournal(folder=FOLDER, file_count=2)
--- a/tests/storage/test_writer.py
+++ b/tests/storage/test_writer.py
@@ -11,7 +11,7 @@
 from yarrowloom.common.effects import Effect
 from yarrowloom.node.disk_writer import DiskWriter, Write
 from yarrowloom.simulator.machines.disk import Operation, Outcome, SimDisk, Trouble
-from yarrowloom.storage import Ring, Verdict
+from yarrowloom.storage import JournalState, RingJournal
 
 BATCHES = 5
 HANG_MOST_S = 20.0
@@ -38,9 +38,9 @@
 
 def written(*, disk: SimDisk) -> list[int]:
     """Entries in the journal, which has to be whole, in order."""
-    ring = Ring(folder="/data", file_system=disk)
+    ring = RingJournal(folder="/data", file_system=disk)
     records = ring.load()
-    assert ring.verdict is Verdict.WHOLE
+    assert ring.state is JournalState.COMPLETE
     return [int(record.split(b":")[2][:-1]) for record in records if b"entry" in record]
 
 
--- a/tests/storage/write_data.py
+++ b/tests/storage/write_data.py
@@ -23,7 +23,7 @@
 from yarrowloom.node.core import CoreNode
 from yarrowloom.node.messages import RegistryUpdate
 from yarrowloom.simulator import minions
-from yarrowloom.storage import END, Ring
+from yarrowloom.storage import SNAPSHOT_END, RingJournal
 from yarrowloom.transport.envelope import Kind
 
 START_MS = 1_700_000_000_000
@@ -36,14 +36,14 @@
 
     def __init__(self, *, folder: pathlib.Path, ip: str) -> None:
         self.folder, self.ip = folder, ip
-        self.ring = Ring(folder=str(folder), size=RING_BYTES, salt=itertools.count(1).__next__)
+        self.ring = RingJournal(folder=str(folder), file_bytes=RING_BYTES, salt=itertools.count(1).__next__)
         assert self.ring.load() == []
         self.node: CoreNode = start_node(ip=ip, records=[], blank=True, learn=True)
         self.move_on()
 
     def move_on(self) -> None:
         """Begin the next file with a checkpoint."""
-        self.ring.begin(checkpoint=[*self.node.checkpoint(), END])
+        self.ring.begin_file(snapshot=[*self.node.checkpoint(), SNAPSHOT_END])
 
     def write(self) -> None:
         """Write what the node wants on its disk."""
@@ -281,7 +281,7 @@
 def write_torn(*, folder: pathlib.Path) -> None:
     """The last record was cut off by a loss of power."""
     disk = write_events(folder=folder)
-    path, position = folder / "ring-1", disk.ring._pos
+    path, position = folder / "ring-1", disk.ring._position
     disk.ring.close()
     raw = bytearray(path.read_bytes())
     raw[position - 20 : position + RECORD_HEAD_BYTES] = bytes(20 + RECORD_HEAD_BYTES)
@@ -295,7 +295,7 @@
         disk.log(source=UIDS[0], group=0, events=events)
     disk.move_on()
     disk.ring.close()
-    (folder / f"ring-{disk.ring._file % RING_FILES}").write_bytes(bytes(RING_BYTES))
+    (folder / f"ring-{disk.ring._highest_file % RING_FILES}").write_bytes(bytes(RING_BYTES))
 
 
 def write_older(*, folder: pathlib.Path) -> None:
@@ -312,15 +312,15 @@
         elif record["k"] == "st":
             record["st"] = record["st"]["jobs"]
     shutil.rmtree(folder / "whole")
-    ring = Ring(folder=str(folder), size=RING_BYTES, salt=itertools.count(1).__next__)
+    ring = RingJournal(folder=str(folder), file_bytes=RING_BYTES, salt=itertools.count(1).__next__)
     ring.load()
-    ring.begin(checkpoint=[*(orjson.dumps(record) for record in records), END])
+    ring.begin_file(snapshot=[*(orjson.dumps(record) for record in records), SNAPSHOT_END])
     ring.close()
 
 
 def write_unused(*, folder: pathlib.Path) -> None:
     """Files were made and nothing was written."""
-    ring = Ring(folder=str(folder), size=RING_BYTES)
+    ring = RingJournal(folder=str(folder), file_bytes=RING_BYTES)
     ring.load()
     ring.close()
 
@@ -330,8 +330,8 @@
     salts = itertools.count(1)
 
     class SaltedSim(RingSim):
-        def _ring(self, ip: str) -> Ring:
-            return Ring(folder=str(self.folder / ip), size=RING_BYTES, salt=salts.__next__)
+        def _ring(self, ip: str) -> RingJournal:
+            return RingJournal(folder=str(self.folder / ip), file_bytes=RING_BYTES, salt=salts.__next__)
 
     usual = RingSim.__base__
     setattr(minions, "Sim", lambda **more: SaltedSim(folder=folder, **more))  # noqa: B010
--- a/tests/support/replica_cell.py
+++ b/tests/support/replica_cell.py
@@ -10,7 +10,7 @@
 from yarrowloom.replication.environment import Role
 from yarrowloom.replication.epoch import Epoch
 from yarrowloom.replication.replica import Replica
-from yarrowloom.storage import END
+from yarrowloom.storage import SNAPSHOT_END
 from yarrowloom.transport.envelope import Kind
 
 Effect = tuple[Any, ...]
@@ -124,7 +124,7 @@
         """The head of a ring file."""
         return [
             orjson.dumps(record) for record in ({"k": "id", "uid": self.node_id}, *self.replica.snapshot_records())
-        ] + [END]
+        ] + [SNAPSHOT_END]
 
     def rotate(self, *, count: int) -> None:
         """As the writer does: a snapshot of what is now, then records that waited all along."""
@@ -222,4 +222,4 @@
         (member or self.primary()).replica.commit(event={"x": x}, then=("confirmed", x))
 
 
-__all__ = ["END", "Cell", "Member", "Role", "Rows"]
+__all__ = ["SNAPSHOT_END", "Cell", "Member", "Role", "Rows"]
--- a/tests/support/ring_cluster.py
+++ b/tests/support/ring_cluster.py
@@ -7,7 +7,7 @@
 from yarrowloom.node.input_scheduler import InputClass
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.machines.process import Disk, Proc
-from yarrowloom.storage import END, Ring
+from yarrowloom.storage import SNAPSHOT_END, RingJournal
 
 SIZE_BYTES = 256 << 10
 MOST_BYTES = 1 << 20
@@ -21,13 +21,13 @@
 
     def __init__(self, *, folder: pathlib.Path, **kw: Any) -> None:
         self.folder = folder
-        self.rings: dict[str, Ring] = {}
+        self.rings: dict[str, RingJournal] = {}
         self.under_way: dict[str, tuple[list[bytes], list[bytes]]] = {}
         self.rotations: dict[str, int] = {}
         super().__init__(**kw)
 
-    def _ring(self, ip: str) -> Ring:
-        return Ring(folder=str(self.folder / ip), size=SIZE_BYTES, most=MOST_BYTES)
+    def _ring(self, ip: str) -> RingJournal:
+        return RingJournal(folder=str(self.folder / ip), file_bytes=SIZE_BYTES, max_file_bytes=MOST_BYTES)
 
     def boot(self, *, ip: str, first: bool = False) -> None:
         if ip.split(".")[2] == "1":
@@ -43,8 +43,8 @@
     def _put(self, *, ip: str, head: list[bytes], bodies: list[bytes]) -> None:
         ring = self.rings[ip]
         if head:
-            head = [*head, END]
-            ring.rotate(need=ring.room(bodies=head))
+            head = [*head, SNAPSHOT_END]
+            ring.rotate(snapshot_bytes=ring.encoded_bytes(bodies=head))
             self.rotations[ip] = self.rotations.get(ip, 0) + 1
         ring.append(bodies=head + bodies)
 
@@ -58,7 +58,7 @@
         assert isinstance(node, CoreNode)
         ring = self.rings[ip]
         moves_on = MOVES_ON_QUEUED if any(replica.pending_events for replica in node.replicas.values()) else MOVES_ON
-        full = ring.full(extra=ring.room(bodies=bodies)) or self.rng.random() < moves_on
+        full = ring.is_full(extra_bytes=ring.encoded_bytes(bodies=bodies)) or self.rng.random() < moves_on
         head = node.checkpoint() if full else []
         self.under_way[ip] = (head, bodies)
 
--- a/tests/support/storage_proof.py
+++ b/tests/support/storage_proof.py
@@ -12,22 +12,24 @@
 
 from yarrowloom.common.errors import StorageError
 from yarrowloom.simulator.machines.disk import PowerCutError, SimDisk, Trouble
-from yarrowloom.storage import END, Ring, Verdict
+from yarrowloom.storage import SNAPSHOT_END, JournalState, RingJournal
 from yarrowloom.storage.record_format import HEADER_BYTES, RECORD_BYTES
 
 FOLDER = "/data"
 FILE_BYTES = 360
 TRIES = 14
-MakeRing = Callable[[SimDisk, int], Ring]
+MakeRing = Callable[[SimDisk, int], RingJournal]
 
 
 class Breach(AssertionError):
     """The disk does not show what it has to."""
 
 
-def make_ring(disk: SimDisk, life: int) -> Ring:
+def make_ring(disk: SimDisk, life: int) -> RingJournal:
     rng = random.Random(life)
-    return Ring(folder=FOLDER, files=4, size=FILE_BYTES, file_system=disk, salt=lambda: rng.getrandbits(32))
+    return RingJournal(
+        folder=FOLDER, file_count=4, file_bytes=FILE_BYTES, file_system=disk, salt=lambda: rng.getrandbits(32)
+    )
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -51,13 +53,13 @@
     def copy(self) -> "Oracle":
         return replace(self, acknowledged=list(self.acknowledged), in_flight=list(self.in_flight))
 
-    def check(self, *, verdict: Verdict, records: list[bytes]) -> list[int]:
+    def check(self, *, verdict: JournalState, records: list[bytes]) -> list[int]:
         """The list that the records stand for, if it is one of those allowed."""
-        if verdict is Verdict.EMPTY:
+        if verdict is JournalState.EMPTY:
             if self.started or records:
                 raise Breach(f"called empty, acknowledged {self.acknowledged}")
             return []
-        if verdict is Verdict.LOST:
+        if verdict is JournalState.LOST:
             raise Breach(f"called lost without damage, acknowledged {self.acknowledged}")
         state = replay(records=records)
         extra = state[len(self.acknowledged) :]
@@ -73,7 +75,7 @@
     state: list[int] | None = None
     entries: list[int] = []
     for raw in records:
-        if raw == END:
+        if raw == SNAPSHOT_END:
             continue
         record = json.loads(raw)
         if "list" in record:
@@ -92,7 +94,7 @@
 
 def checkpoint(*, state: list[int]) -> list[bytes]:
     """Two records and their end."""
-    return [json.dumps({"part": 1, "list": []}).encode(), json.dumps({"list": state}).encode(), END]
+    return [json.dumps({"part": 1, "list": []}).encode(), json.dumps({"list": state}).encode(), SNAPSHOT_END]
 
 
 class Process:
@@ -112,7 +114,7 @@
 
     def _read(self) -> None:
         records = self.ring.load()
-        self.state = self.oracle.check(verdict=self.ring.verdict, records=records)
+        self.state = self.oracle.check(verdict=self.ring.state, records=records)
 
     def put(self, *, count: int) -> None:
         """Write a batch, again where it is refused."""
@@ -126,14 +128,14 @@
         oracle.acknowledged, oracle.in_flight = list(self.state), []
 
     def _write(self, *, bodies: list[bytes]) -> None:
-        if self.ring.full(extra=self.ring.room(bodies=bodies)):
+        if self.ring.is_full(extra_bytes=self.ring.encoded_bytes(bodies=bodies)):
             self._open(bodies=bodies)
         else:
             self.ring.append(bodies=bodies)
 
     def _open(self, *, bodies: list[bytes]) -> None:
         head = checkpoint(state=self.state)
-        self.ring.rotate(need=0)
+        self.ring.rotate(snapshot_bytes=0)
         self.ring.append(bodies=head + bodies)
 
     def _until_taken(self, *, write: Callable[[], None]) -> None:
@@ -206,7 +208,7 @@
     """Load on a copy."""
     ring = make(disk.copy(), oracle.life)
     records = ring.load()
-    oracle.check(verdict=ring.verdict, records=records)
+    oracle.check(verdict=ring.state, records=records)
 
 
 def explore(
--- a/tests/transport/test_incarnations_wire.py
+++ b/tests/transport/test_incarnations_wire.py
@@ -15,7 +15,7 @@
 from yarrowloom.common.settings import check
 from yarrowloom.node.identity import last_identity
 from yarrowloom.node.startup import open_core, open_edge
-from yarrowloom.storage import Ring
+from yarrowloom.storage import RingJournal
 from yarrowloom.transport.envelope import Frame, Kind, Lane, join_messages, pack_frame
 from yarrowloom.transport.peer_connections import CHALLENGE_BYTES, PeerConnections
 from yarrowloom.transport.sequence_tracker import MAX_RETIRED, SequenceTracker
@@ -218,7 +218,7 @@
         runtime = open_core(settings=check(document=document), log=LOG)
         assert runtime.node.incarnation == life
         assert runtime.peers.incarnation == life
-        known = last_identity(records=Ring(folder=str(tmp_path / "d"), size=2 << 20).load())
+        known = last_identity(records=RingJournal(folder=str(tmp_path / "d"), file_bytes=2 << 20).load())
         assert known is not None
         assert (known.node_id, known.incarnation) == (runtime.node.node_id, life)
         assert runtime.disk_writer is not None
--- a/yarrowloom/node/disk_writer.py
+++ b/yarrowloom/node/disk_writer.py
@@ -6,7 +6,7 @@
 
 from ..common.effects import AnyEffect
 from ..common.log import Log
-from ..storage import END, Ring
+from ..storage import SNAPSHOT_END, RingJournal
 from ..storage.startup_retry import RETRY_S
 
 Write = tuple[bytes, AnyEffect]  # an encoded record, and the effect that may follow once it is durable
@@ -22,7 +22,7 @@
     def __init__(
         self,
         *,
-        ring: Ring,
+        ring: RingJournal,
         snapshot: Callable[[], list[bytes]],
         on_written: Callable[[list[bytes], list[Write]], None],
         log: Log,
@@ -59,7 +59,7 @@
         """Write all that is queued, or queue it again and wait if the disk refuses it."""
         batch, self._pending = self._pending, []
         records = [record for record, _ in batch]
-        snapshot = self._snapshot() if self.ring.full(extra=self.ring.room(bodies=records)) else []
+        snapshot = self._snapshot() if self.ring.is_full(extra_bytes=self.ring.encoded_bytes(bodies=records)) else []
         try:
             await trio.to_thread.run_sync(self.write, snapshot, records)
         except OSError as error:
@@ -77,6 +77,6 @@
             OSError: The disk refused them; how much of them it took isn't known.
         """
         if snapshot:
-            self.ring.begin(checkpoint=[*snapshot, END], bodies=records)
+            self.ring.begin_file(snapshot=[*snapshot, SNAPSHOT_END], bodies=records)
         else:
             self.ring.append(bodies=records)
--- a/yarrowloom/node/recovery.py
+++ b/yarrowloom/node/recovery.py
@@ -10,7 +10,7 @@
 from ..common.log import Log
 from ..common.settings import NodeSettings
 from ..replication.log_replay import ReplayError
-from ..storage import END
+from ..storage import SNAPSHOT_END
 from .core import CoreNode
 from .identity import FIRST_INCARNATION, IDENTITY_PREFIX, last_identity
 
@@ -23,12 +23,12 @@
     Raises:
         ReplayError: A snapshot ends that did not begin with an identity.
 
-    >>> last_snapshot(records=[b'{"k":"id","uid":"a"}', b"state", END, b"batch"])
+    >>> last_snapshot(records=[b'{"k":"id","uid":"a"}', b"state", SNAPSHOT_END, b"batch"])
     0
     >>> last_snapshot(records=[b'{"k":"id","uid":"a"}', b"state"])
     -1
     """
-    ends = [index for index, raw in enumerate(records) if raw == END]
+    ends = [index for index, raw in enumerate(records) if raw == SNAPSHOT_END]
     if not ends:
         return -1
     begins = [index for index in range(ends[-1]) if records[index].startswith(IDENTITY_PREFIX)]
--- a/yarrowloom/node/runtime.py
+++ b/yarrowloom/node/runtime.py
@@ -14,7 +14,7 @@
 from ..common.errors import SettingsError
 from ..common.log import Log
 from ..common.settings import load as load_settings
-from ..storage import Ring
+from ..storage import RingJournal
 from ..transport.envelope import Kind, Lane
 from ..transport.http_server import Limits, Request, Response, Server, listen
 from ..transport.peer_connections import Messages, PeerConnections
@@ -57,7 +57,7 @@
         servers: Servers of clients and minions, which are drained before the process ends.
     """
 
-    def __init__(self, *, node: Node, log: Log, ring: Ring | None, port: int) -> None:
+    def __init__(self, *, node: Node, log: Log, ring: RingJournal | None, port: int) -> None:
         self.node = node
         self.log = log
         self.peers = PeerConnections(
--- a/yarrowloom/node/startup.py
+++ b/yarrowloom/node/startup.py
@@ -11,7 +11,7 @@
 from ..common.log import Log
 from ..common.settings import NodeSettings
 from ..common.settings import load as load_settings
-from ..storage import END, FileSystem, Ring, Verdict, file_sizes, until_taken
+from ..storage import SNAPSHOT_END, FileSystem, JournalState, RingJournal, file_sizes, retry_disk_call
 from .edge import EdgeNode
 from .identity import FIRST_INCARNATION
 from .recovery import recover
@@ -31,23 +31,23 @@
     if settings.data_dir is None:
         raise SettingsError(text="a core needs data-dir")
     size, most = file_sizes(disk_mb=settings.disk_mb)
-    ring = Ring(folder=settings.data_dir, size=size, most=most, file_system=file_system)
-    records = until_taken(call=ring.load, ring=ring, log=log)
-    if ring.verdict is Verdict.LOST:  # what is left may be old: join as after the loss of the disk
+    ring = RingJournal(folder=settings.data_dir, file_bytes=size, max_file_bytes=most, file_system=file_system)
+    records = retry_disk_call(call=ring.load, journal=ring, log=log)
+    if ring.state is JournalState.LOST:  # what is left may be old: join as after the loss of the disk
         log.warn("journal-lost", folder=settings.data_dir)
         records = []
     node = recover(
         settings=settings,
         records=records,
-        blank=ring.verdict is Verdict.EMPTY,
+        blank=ring.state is JournalState.EMPTY,
         log=log,
         now=time.monotonic(),
         rand=secrets.randbelow(1 << _RANDOM_BITS) / (1 << _RANDOM_BITS),
         token=secrets.token_hex(TOKEN_BYTES),
         defaults=load_defaults(),
     )
-    snapshot = [*node.checkpoint(), END]
-    until_taken(call=partial(ring.begin, checkpoint=snapshot), ring=ring, log=log)
+    snapshot = [*node.checkpoint(), SNAPSHOT_END]
+    retry_disk_call(call=partial(ring.begin_file, snapshot=snapshot), journal=ring, log=log)
     return Runtime(node=node, log=log, ring=ring, port=settings.ports[0])
 
 
--- a/yarrowloom/simulator/faulty_cluster.py
+++ b/yarrowloom/simulator/faulty_cluster.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from ..storage import END
+from ..storage import SNAPSHOT_END
 from ..transport.envelope import LANES, Kind, Lane
 from ..transport.http_server import Response
 from .cluster import Sim
@@ -149,7 +149,7 @@
         written = self.journal.get((ip, proc.life), 0) + len(proc.disk)
         if written > JOURNAL_RECORDS:
             written = 0
-            head = [*self.core(ip).checkpoint(), END]
+            head = [*self.core(ip).checkpoint(), SNAPSHOT_END]
             self._digest_records(ip=ip, bodies=head)
             proc.disk = [(body, ("none",)) for body in head] + proc.disk
             self.disks[ip].pending[:0] = head
--- a/yarrowloom/simulator/machines/machine_set.py
+++ b/yarrowloom/simulator/machines/machine_set.py
@@ -14,7 +14,7 @@
 from ...node.input_scheduler import Input, InputClass, InputScheduler
 from ...node.recovery import recover
 from ...node.runtime import TICK_CORE_S
-from ...storage import END
+from ...storage import SNAPSHOT_END
 from ...transport.envelope import Kind, Lane
 from ...transport.http_server import Response
 from ..digest import RunDigest
@@ -151,7 +151,7 @@
                 token=f"{self.lives:x}x",
             )
             node_id = node.node_id
-            disk.synced = [*node.checkpoint(), END]
+            disk.synced = [*node.checkpoint(), SNAPSHOT_END]
             self._digest_records(ip=ip, bodies=disk.synced)
         else:
             node_id = f"{ip}:7001#{self.lives:x}"
--- a/yarrowloom/storage/record_format.py
+++ b/yarrowloom/storage/record_format.py
@@ -8,123 +8,161 @@
 import zlib
 from collections.abc import Iterator
 from dataclasses import dataclass
-from typing import Self
+from typing import NamedTuple, Self
 
-_HEADER = struct.Struct("<8sQQII")  # magic, file number, newest durable file number, opening records, salt
+_HEADER = struct.Struct("<8sQQII")  # magic, file number, newest durable file, records of the first batch, salt
 _CHECKSUM = struct.Struct("<I")
 _RECORD = struct.Struct("<IIQ")  # length, checksum, record number
 _MAGIC = b"YLRING02"
+_MAX_UINT32 = 0xFFFFFFFF
 HEADER_BYTES = _HEADER.size + _CHECKSUM.size
-RECORD_BYTES = _RECORD.size
+RECORD_BYTES = _RECORD.size  # that a record takes besides its body
+
+
+class NumberedRecord(NamedTuple):
+    """A record of a ring file."""
+
+    number: int
+    body: bytes
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Header:
-    """First bytes of a file. `number` is its place in the journal, 0 while it holds no records; `durable` is the
-    highest file number that was durable when this was written; `opening` counts the records of its first batch.
+    """The first bytes of a ring file.
+
+    Attributes:
+        file_number: The file's position in the journal; 0 while it holds no records.
+        durable_file: The highest file number that was durable when this was written.
+        first_batch_records: How many records the file's first batch has.
+        salt: Makes the checksums of the file's records differ from those of its other uses.
     """
 
-    number: int
-    durable: int
-    opening: int = 0
+    file_number: int
+    durable_file: int
+    first_batch_records: int = 0
     salt: int = 0
 
-    def pack(self) -> bytes:
+    def encode(self) -> bytes:
         """Bytes of the header, its checksum last."""
-        head = _HEADER.pack(_MAGIC, self.number, self.durable, self.opening, self.salt)
-        return head + _CHECKSUM.pack(zlib.crc32(head))
+        content = _HEADER.pack(_MAGIC, self.file_number, self.durable_file, self.first_batch_records, self.salt)
+        return content + _CHECKSUM.pack(zlib.crc32(content))
 
     @property
-    def seed(self) -> int:
-        """Where the checksums of the records begin: the header's checksum (a checksum over that too is the same for
-        all headers).
+    def checksum_seed(self) -> int:
+        """Where the checksums of the records begin: the header's own checksum.
+
+        It doesn't cover the stored checksum: the CRC of data with its own CRC behind is the same for all headers.
         """
-        return zlib.crc32(self.pack()[: _HEADER.size])
+        return zlib.crc32(self.encode()[: _HEADER.size])
 
     @classmethod
-    def parse(cls, *, raw: bytes) -> Self | None:
-        """The header of a file's content, `None` where it is not whole."""
+    def decode(cls, *, raw: bytes) -> Self | None:
+        """The header of a file's content; None where it isn't complete."""
         if len(raw) < HEADER_BYTES:
             return None
-        magic, number, durable, opening, salt = _HEADER.unpack_from(raw)
-        if magic != _MAGIC or not cls.checks(raw=raw):
+        magic, file_number, durable_file, first_batch_records, salt = _HEADER.unpack_from(raw)
+        if magic != _MAGIC or not cls.has_valid_checksum(raw=raw):
             return None
-        return cls(number=number, durable=durable, opening=opening, salt=salt)
+        return cls(
+            file_number=file_number, durable_file=durable_file, first_batch_records=first_batch_records, salt=salt
+        )
 
     @staticmethod
-    def checks(*, raw: bytes) -> bool:
-        """Whether the checksum fits."""
+    def has_valid_checksum(*, raw: bytes) -> bool:
+        """Whether the stored checksum is that of the header's content."""
         (checksum,) = _CHECKSUM.unpack_from(raw, _HEADER.size)
         return bool(checksum == zlib.crc32(raw[: _HEADER.size]))
 
 
-UNUSED = Header(number=0, durable=0).pack()  # content of a file that was made and never used
+_UNUSED_HEADER = Header(file_number=0, durable_file=0).encode()  # content of a file that was made and never used
 
 
-def pack_records(*, seed: int, first: int, bodies: list[bytes]) -> bytes:
-    """Records with numbers from `first` on, and a zeroed record head that ends them."""
-    out = bytearray()
-    for number, body in enumerate(bodies, start=first):
-        out += _RECORD.pack(len(body), zlib.crc32(body, (seed + number) & 0xFFFFFFFF), number)
-        out += body
-    out += bytes(RECORD_BYTES)
-    return bytes(out)
+def _record_checksum(*, seed: int, number: int, body: bytes) -> int:
+    return zlib.crc32(body, (seed + number) & _MAX_UINT32)
 
 
-def parse_records(*, raw: bytes, seed: int) -> Iterator[tuple[int, bytes]]:
-    """Numbers and bodies up to the first record that is not whole."""
+def encode_records(*, seed: int, first_number: int, bodies: list[bytes]) -> bytes:
+    """Records numbered from `first_number` on, and the zeroed head of a record, which ends them."""
+    encoded = bytearray()
+    for number, body in enumerate(bodies, start=first_number):
+        encoded += _RECORD.pack(len(body), _record_checksum(seed=seed, number=number, body=body), number)
+        encoded += body
+    encoded += bytes(RECORD_BYTES)
+    return bytes(encoded)
+
+
+def decode_records(*, raw: bytes, seed: int) -> Iterator[NumberedRecord]:
+    """The records of a file's content, up to the first that isn't complete."""
     position = HEADER_BYTES
     while position + RECORD_BYTES <= len(raw):
-        size, checksum, number = _RECORD.unpack_from(raw, position)
-        body = raw[position + RECORD_BYTES : position + RECORD_BYTES + size]
-        if number == 0 or len(body) != size or checksum != zlib.crc32(body, (seed + number) & 0xFFFFFFFF):
+        length, checksum, number = _RECORD.unpack_from(raw, position)
+        body = raw[position + RECORD_BYTES : position + RECORD_BYTES + length]
+        if number == 0 or len(body) != length:
             return
-        yield number, body
-        position += RECORD_BYTES + size
+        if checksum != _record_checksum(seed=seed, number=number, body=body):
+            return
+        yield NumberedRecord(number, body)
+        position += RECORD_BYTES + length
 
 
-@dataclass(slots=True, kw_only=True)
-class Slot:
-    """What one file of the ring holds."""
+@dataclass(frozen=True, slots=True, kw_only=True)
+class RingFile:
+    """What one file of the ring holds.
+
+    Attributes:
+        index: Which of the ring's files it is, from 0.
+        is_present: Whether the file exists.
+        header: None if there is none that is complete and belongs into this file.
+        records: Its complete records. Invariant: the numbers rise by one.
+        is_blank: Whether it is missing, empty, zeroed, or a part of an unused header.
+    """
 
     index: int
-    present: bool
+    is_present: bool
     header: Header | None
-    records: list[tuple[int, bytes]]
-    blank: bool  # missing, empty, zeros, or a part of an unused header
+    records: list[NumberedRecord]
+    is_blank: bool
 
     @classmethod
-    def parse(cls, *, index: int, files: int, raw: bytes | None) -> Self:
-        """Read a file's content; `None` where the file is missing."""
+    def decode(cls, *, index: int, file_count: int, raw: bytes | None) -> Self:
+        """Read a file's content; None stands for a missing file."""
         if raw is None:
-            return cls(index=index, present=False, header=None, records=[], blank=True)
-        header = Header.parse(raw=raw)
-        if header is not None and header.number and header.number % files != index:
+            return cls(index=index, is_present=False, header=None, records=[], is_blank=True)
+        header = Header.decode(raw=raw)
+        if header is not None and header.file_number and header.file_number % file_count != index:
             header = None
-        records: list[tuple[int, bytes]] = []
-        if header is not None and header.number:
-            for number, body in parse_records(raw=raw, seed=header.seed):
-                if records and number != records[-1][0] + 1:
-                    break
-                records.append((number, body))
-        return cls(index=index, present=True, header=header, records=records, blank=header is None and _blank(raw=raw))
+        records: list[NumberedRecord] = []
+        if header is not None and header.file_number:
+            records = _consecutive(records=decode_records(raw=raw, seed=header.checksum_seed))
+        is_blank = header is None and _is_blank(raw=raw)
+        return cls(index=index, is_present=True, header=header, records=records, is_blank=is_blank)
 
     @property
-    def whole(self) -> bool:
+    def has_complete_first_batch(self) -> bool:
         """Whether the file's first batch is there to its end."""
         return (
             self.header is not None
-            and self.header.number > 0
-            and self.header.opening > 0
-            and len(self.records) >= self.header.opening
+            and self.header.file_number > 0
+            and self.header.first_batch_records > 0
+            and len(self.records) >= self.header.first_batch_records
         )
 
     @property
-    def unused(self) -> bool:
-        """Whether the file was made whole and never used, on a disk that was never used."""
-        return self.header is not None and self.header.number == 0 and self.header.durable == 0
+    def is_unused(self) -> bool:
+        """Whether the file was made and never used, on a disk that was never used."""
+        return self.header is not None and self.header.file_number == 0 and self.header.durable_file == 0
+
+
+def _consecutive(*, records: Iterator[NumberedRecord]) -> list[NumberedRecord]:
+    """The records up to the first whose number doesn't follow the one before."""
+    consecutive: list[NumberedRecord] = []
+    for record in records:
+        if consecutive and record.number != consecutive[-1].number + 1:
+            break
+        consecutive.append(record)
+    return consecutive
 
 
-def _blank(*, raw: bytes) -> bool:
-    begun = raw[:HEADER_BYTES].rstrip(b"\0")
-    return UNUSED.startswith(begun) and not raw[HEADER_BYTES:].strip(b"\0")
+def _is_blank(*, raw: bytes) -> bool:
+    header = raw[:HEADER_BYTES].rstrip(b"\0")
+    return _UNUSED_HEADER.startswith(header) and not raw[HEADER_BYTES:].strip(b"\0")
--- a/yarrowloom/storage/ring_journal.py
+++ b/yarrowloom/storage/ring_journal.py
@@ -1,272 +1,278 @@
 """A journal in a ring of preallocated files.
 
-Each file begins with a header naming its place in the journal; records follow, each with length and checksum.
-The ring moves to the next file when the current one is full; before it reuses a file, the owner writes a
-checkpoint of all live state into the fresh file, so that older files hold nothing needed.
+Each file begins with a header naming its position in the journal; records follow, each with length and checksum.
+The ring moves on to the next file when the current one is full; before it reuses a file, the owner writes a
+snapshot of all live state into the fresh file, so that older files hold nothing needed.
 """
 
 import errno
 import os
 import secrets
 from collections.abc import Callable
-from enum import Enum
+from typing import NamedTuple
 
 from ..common.errors import Finding, StorageError
 from .filesystem import FileSystem, OsFileSystem
-from .record_format import HEADER_BYTES, RECORD_BYTES, Header, Slot, pack_records
+from .record_format import HEADER_BYTES, RECORD_BYTES, Header, RingFile, encode_records
+from .ring_recovery import JournalState, assess, replay
 
-END = b'{"k":"none","end":true}'  # follows a checkpoint: what begins a file is whole
-_FEWEST = 3  # the durable file, the one being written, the one that vouches for it
-_FIRST_SLOT = 1  # file number 1 is the first to be used
+_MIN_FILE_COUNT = 3  # the durable file, the one being written, the one that calls it durable
 _SALT_BITS = 32
 _MIB = 1 << 20
+_MAX_INITIAL_FILE_BYTES = 8 * _MIB
+_SNAPSHOTS_PER_FILE = 3  # files grow until a snapshot takes at most a third of one
 
 
-class Verdict(Enum):
-    """What a disk shows about its journal."""
+class FileSizes(NamedTuple):
+    """Bytes of a ring file: at first, and at most."""
 
-    EMPTY = "empty"  # nothing was ever acknowledged from this disk
-    WHOLE = "whole"  # all that was acknowledged is there
-    LOST = "lost"  # something was acknowledged, or may have been, that is not there
+    initial_bytes: int
+    max_bytes: int
 
 
-def file_sizes(*, disk_mb: int) -> tuple[int, int]:
-    """Bytes of a ring file at first and at most, on a disk of `disk_mb`.
+def file_sizes(*, disk_mb: int) -> FileSizes:
+    """Sizes of ring files on a disk of `disk_mb` MiB.
 
     >>> file_sizes(disk_mb=48)
-    (6291456, 8388608)
+    FileSizes(initial_bytes=6291456, max_bytes=8388608)
     """
-    size = min(8 * _MIB, max(_MIB, disk_mb * _MIB // 8))
-    return size, max(size, disk_mb * _MIB // 6)
-
-
-class Ring:
-    """Invariants: file numbers rise along the journal; record numbers rise by one within it; a record counts only if
-    its checksum fits its file and it follows the one before; what a sync has not covered may be torn. All names are
-    durable before the first record. A file counts only with its whole first batch, and before that batch is
-    acknowledged the file after it says that it is durable. Until then nothing but its own slot is written, however
-    often that is tried. What `load` gives out is synced first, whoever wrote it: a killed process may have left
-    records that no sync covers, and numbers go on from them. Where a file does not follow the one before all the same,
-    it counts alone if its checkpoint is whole, else not at all.
+    initial_bytes = min(_MAX_INITIAL_FILE_BYTES, max(_MIB, disk_mb * _MIB // 8))
+    return FileSizes(initial_bytes, max(initial_bytes, disk_mb * _MIB // 6))
+
+
+class RingJournal:
+    """The journal of one process. `load` it first, then `begin_file`, then `append`.
+
+    Invariants:
+    - File numbers rise along the journal, record numbers rise by one. A record counts only if its checksum fits its
+      file and it follows the one before; what no sync covers may be torn.
+    - All file names are durable before the first record.
+    - A file counts only with its whole first batch. Before that batch is acknowledged, the file after it says that it
+      is durable; until then nothing but the file itself is written, however often that is tried.
+    - What `load` gives is synced first, whoever wrote it: a killed process may have left records that no sync covers,
+      and numbers go on from them.
+    - Where a file doesn't follow the one before all the same, it counts alone if its snapshot is complete, else not at
+      all.
+
+    Attributes:
+        folder: Where the files are.
+        file_count: How many files the ring has.
+        file_bytes: The size of a file from the next one on.
+        max_file_bytes: To which files may grow where snapshots need it.
+        state: What the last `load` found.
     """
 
     def __init__(
         self,
         *,
         folder: str,
-        files: int = 4,
-        size: int = 4 << 20,
-        most: int = 0,
+        file_count: int = 4,
+        file_bytes: int = 4 << 20,
+        max_file_bytes: int = 0,
         file_system: FileSystem | None = None,
         salt: Callable[[], int] | None = None,
     ) -> None:
-        if files < _FEWEST:
-            raise ValueError(f"a ring has {_FEWEST} files or more, not {files}")
+        """Create a journal that has not been loaded.
+
+        Args:
+            folder: Where the files are; made if it is missing.
+            file_count: How many files the ring has; at least three.
+            file_bytes: The size of a file at first.
+            max_file_bytes: To which files may grow; 0: they don't.
+            file_system: The disk, the operating system's if None.
+            salt: Gives a number of 32 bits for each file, a random one if None.
+
+        Raises:
+            ValueError: The ring would have too few files.
+        """
+        if file_count < _MIN_FILE_COUNT:
+            raise ValueError(f"a ring has {_MIN_FILE_COUNT} files or more, not {file_count}")
         self.folder = folder
-        self.files = files
-        self.size = size
-        self.most = max(size, most)  # files may grow to this where checkpoints need it
-        self.verdict = Verdict.EMPTY  # of the last `load`
+        self.file_count = file_count
+        self.file_bytes = file_bytes
+        self.max_file_bytes = max(file_bytes, max_file_bytes)
+        self.state = JournalState.EMPTY
         self._file_system: FileSystem = file_system or OsFileSystem()
         self._salt = salt or (lambda: secrets.randbits(_SALT_BITS))
         self._handle: int | None = None
-        self._file = 0  # highest file number seen or tried
-        self._durable = 0  # newest file number that is durable; the next file follows it
-        self._claimed = 0  # highest file number that a header calls durable
-        self._opened = False  # whether the file's first batch is durable
-        self._seed = 0
-        self._pos = 0
-        self._next = 1
+        self._highest_file = 0  # highest file number seen or tried
+        self._durable_file = 0  # newest file number that is durable; the next file follows it
+        self._claimed_file = 0  # highest file number that a header calls durable
+        self._is_first_batch_durable = False  # of the current file
+        self._checksum_seed = 0  # of the current file
+        self._position = 0  # in the current file, of the next record
+        self._next_record = 1
 
-    def _path(self, slot: int) -> str:
-        return os.path.join(self.folder, f"ring-{slot}")
+    def _path(self, *, index: int) -> str:
+        return os.path.join(self.folder, f"ring-{index}")
 
     # -- reading
 
     def load(self) -> list[bytes]:
-        """Read all records in order and set `verdict`; leaves the ring ready for `rotate`."""
+        """Read all records in order and set `state`; leaves the journal ready for `begin_file`.
+
+        Raises:
+            StorageError: The disk refused a call, which is its cause.
+        """
         self.close()
         try:
             self._file_system.make_folder(path=self.folder)
-            slots = [self._read(slot=slot) for slot in range(self.files)]
-            self._judge(slots=slots)
-            self._make_files(slots=slots)
+            files = [self._read_file(index=index) for index in range(self.file_count)]
+            assessment = assess(files=files)
+            self.state = assessment.state
+            self._highest_file = assessment.highest_file
+            self._durable_file = assessment.durable_file
+            self._claimed_file = assessment.claimed_file
+            self._make_files(files=files)
         except OSError as err:
             raise StorageError(text=str(err), findings=[Finding(place=self.folder, text=str(err))]) from err
-        return self._replay(slots=slots)
+        replayed = replay(files=files)
+        self._next_record = replayed.next_record
+        return replayed.bodies
 
-    def _read(self, *, slot: int) -> Slot:
-        files = self._file_system
+    def _read_file(self, *, index: int) -> RingFile:
+        file_system = self._file_system
         try:
-            handle = files.open(path=self._path(slot), create=False)
+            handle = file_system.open(path=self._path(index=index), create=False)
         except FileNotFoundError:
-            return Slot.parse(index=slot, files=self.files, raw=None)
+            return RingFile.decode(index=index, file_count=self.file_count, raw=None)
         try:
-            files.sync(handle=handle)
-            raw = files.read(handle=handle)
+            file_system.sync(handle=handle)
+            raw = file_system.read(handle=handle)
         finally:
-            files.close(handle=handle)
-        return Slot.parse(index=slot, files=self.files, raw=raw)
-
-    def _judge(self, *, slots: list[Slot]) -> None:
-        """Compare the newest whole file with the newest that any header calls durable."""
-        headers = [slot.header for slot in slots if slot.header is not None]
-        newest = max((slot.header.number for slot in slots if slot.header is not None and slot.whole), default=0)
-        claimed = max((header.durable for header in headers), default=0)
-        self._file = max((header.number for header in headers), default=0)
-        if newest and newest >= claimed:
-            self.verdict = Verdict.WHOLE
-            self._durable, self._claimed = newest, claimed
-        elif not claimed and self._never_used(slots=slots):
-            self.verdict = Verdict.EMPTY
-            self._durable, self._claimed = 0, 0
-        else:
-            # The next file is not the one that holds the claim: that is needed until a new journal stands.
-            self.verdict = Verdict.LOST
-            self._claimed = max(claimed, 1)
-            self._durable = self._claimed + 1
-
-    @staticmethod
-    def _never_used(*, slots: list[Slot]) -> bool:
-        """Whether the disk shows that nothing was acknowledged: the files were not all made yet, or the first batch
-        was cut off, in the first file, before the second one called it durable.
-        """
-        others = [slot for slot in slots if slot.index != _FIRST_SLOT]
-        if all(slot.unused for slot in others):
-            return True
-        return all(slot.blank or slot.unused for slot in slots)
-
-    def _make_files(self, *, slots: list[Slot]) -> None:
-        """Make all files and their names durable. On an empty disk all are written, as a sync that failed may have left
-        those of an earlier try in doubt; on one that lost a journal new files say that there was one.
+            file_system.close(handle=handle)
+        return RingFile.decode(index=index, file_count=self.file_count, raw=raw)
+
+    def _make_files(self, *, files: list[RingFile]) -> None:
+        """Make all files and their names durable.
+
+        On an empty disk all are written, as a sync that failed may have left those of an earlier try in doubt; on one
+        that lost a journal new files say that there was one.
         """
-        content = Header(number=0, durable=self._claimed).pack()
-        for slot in slots:
-            if self.verdict is Verdict.EMPTY or not slot.present:
-                self._write_header(slot=slot.index, content=content, create=True)
+        content = Header(file_number=0, durable_file=self._claimed_file).encode()
+        for file in files:
+            if self.state is JournalState.EMPTY or not file.is_present:
+                self._write_header(index=file.index, content=content, create=True)
         self._file_system.sync_folder(path=self.folder)
 
-    def _write_header(self, *, slot: int, content: bytes, create: bool) -> None:
-        files = self._file_system
-        handle = files.open(path=self._path(slot), create=create)
+    def _write_header(self, *, index: int, content: bytes, create: bool) -> None:
+        file_system = self._file_system
+        handle = file_system.open(path=self._path(index=index), create=create)
         try:
-            files.write(handle=handle, position=0, data=content)
+            file_system.write(handle=handle, position=0, data=content)
             if create:
-                files.sync(handle=handle)
+                file_system.sync(handle=handle)
             else:
-                files.sync_data(handle=handle)
+                file_system.sync_data(handle=handle)
         finally:
-            files.close(handle=handle)
-
-    def _replay(self, *, slots: list[Slot]) -> list[bytes]:
-        found = [(slot.header.number, slot.records) for slot in slots if slot.header is not None and slot.whole]
-        found.sort(key=lambda it: it[0])
-        out: list[bytes] = []
-        previous = last = 0
-        for number, records in found:
-            bodies = [body for _, body in records]
-            if previous and not self._follows(number=number, previous=previous, record=records[0][0], last=last):
-                if END not in bodies:
-                    continue
-                out.clear()
-            out += bodies
-            previous, last = number, records[-1][0]
-        self._next = last + 1
-        return out
-
-    @staticmethod
-    def _follows(*, number: int, previous: int, record: int, last: int) -> bool:
-        return number == previous + 1 and record == last + 1
+            file_system.close(handle=handle)
 
     # -- writing
 
-    def full(self, *, extra: int) -> bool:
-        """Whether the current file has no room for `extra` bytes more."""
-        return self._handle is None or self._pos + extra > self.size
+    def is_full(self, *, extra_bytes: int) -> bool:
+        """Whether the current file has no room for `extra_bytes` more, or there is none."""
+        return self._handle is None or self._position + extra_bytes > self.file_bytes
 
-    def rotate(self, *, need: int = 0) -> None:
-        """Move on to the next file, preallocated; nothing of it counts until its first batch and its length are synced.
-        `need`: bytes that the checkpoint at its beginning takes; where that is over a third of a file, files are
-        larger from now on, else each few records would bring another checkpoint.
+    def rotate(self, *, snapshot_bytes: int = 0) -> None:
+        """Move on to the next file, preallocated; nothing of it counts until its first batch is synced.
+
+        Args:
+            snapshot_bytes: What the snapshot at its beginning takes. Where that is over a third of a file, files are
+                larger from now on, else every few records would bring another snapshot.
+
+        Raises:
+            OSError: The disk refused a call.
         """
-        while self.size < 3 * need and self.size < self.most:
-            self.size = min(2 * self.size, self.most)
+        while self.file_bytes < _SNAPSHOTS_PER_FILE * snapshot_bytes and self.file_bytes < self.max_file_bytes:
+            self.file_bytes = min(2 * self.file_bytes, self.max_file_bytes)
         self.close()
-        self._file = self._next_file()
-        files = self._file_system
-        self._handle = files.open(path=self._path(self._file % self.files), create=False)
-        length = files.size(handle=self._handle)
-        if length < self.size:
+        self._highest_file = self._next_file()
+        file_system = self._file_system
+        self._handle = file_system.open(path=self._path(index=self._highest_file % self.file_count), create=False)
+        length = file_system.size(handle=self._handle)
+        if length < self.file_bytes:
             try:
-                files.write(handle=self._handle, position=length, data=bytes(self.size - length))
+                file_system.write(handle=self._handle, position=length, data=bytes(self.file_bytes - length))
             except OSError:
                 self.close()
                 raise
-        self._opened = False
-        self._pos = HEADER_BYTES
+        self._is_first_batch_durable = False
+        self._position = HEADER_BYTES
 
     def _next_file(self) -> int:
-        """The number after the durable file's; after a failure a higher one that has the same slot. So no try, in
-        this process or a later one, overwrites the durable file.
+        """The number after the durable file's; after a failure a higher one that belongs into the same file.
+
+        So no try, in this process or a later one, overwrites the durable file.
         """
-        number = self._durable + 1
-        while number <= self._file:
-            number += self.files
+        number = self._durable_file + 1
+        while number <= self._highest_file:
+            number += self.file_count
         return number
 
-    def begin(self, *, checkpoint: list[bytes], bodies: list[bytes] | None = None) -> None:
-        """Move on to the next file and write its first batch: a checkpoint with its `END`, and records after it."""
-        self.rotate(need=self.room(bodies=checkpoint))
-        self.append(bodies=checkpoint + (bodies or []))
+    def begin_file(self, *, snapshot: list[bytes], bodies: list[bytes] | None = None) -> None:
+        """Move on to the next file and write its first batch: a snapshot with its end, and records after it.
+
+        Raises:
+            OSError: The disk refused a call.
+        """
+        self.rotate(snapshot_bytes=self.encoded_bytes(bodies=snapshot))
+        self.append(bodies=snapshot + (bodies or []))
 
     def append(self, *, bodies: list[bytes]) -> None:
-        """Write records and sync them. A zeroed head follows the last one. After a failure the state of the file is
-        not known, and the records have to be written to another one, after `rotate`.
+        """Write records and sync them. A zeroed head follows the last one.
+
+        Raises:
+            OSError: The disk refused a call. The state of the file isn't known then, and the records have to be
+                written to another one, after `rotate`.
         """
         if self._handle is None:
             raise OSError(errno.EBADF, "no ring file is open")
         try:
-            if self._opened:
-                size = self._write_batch(header=b"", bodies=bodies)
+            if self._is_first_batch_durable:
+                size = self._write_batch(handle=self._handle, header=b"", bodies=bodies)
             else:
-                size = self._open_file(bodies=bodies)
+                size = self._write_first_batch(handle=self._handle, bodies=bodies)
         except OSError:
             self.close()
             raise
-        self._pos += size
-        self._next += len(bodies)  # a number is used up only by what the disk took
-
-    def _write_batch(self, *, header: bytes, bodies: list[bytes]) -> int:
-        handle = self._handle
-        assert handle is not None
-        records = pack_records(seed=self._seed, first=self._next, bodies=bodies)
-        size = len(records) - RECORD_BYTES
-        if self._pos + len(records) > self.size:
-            records = records[:size]
-        self._file_system.write(handle=handle, position=self._pos - len(header), data=header + records)
+        self._position += size
+        self._next_record += len(bodies)  # a number is used up only by what the disk took
+
+    def _write_batch(self, *, handle: int, header: bytes, bodies: list[bytes]) -> int:
+        """Write records, after the header if there is one; returns the bytes of the records."""
+        encoded = encode_records(seed=self._checksum_seed, first_number=self._next_record, bodies=bodies)
+        size = len(encoded) - RECORD_BYTES
+        if self._position + len(encoded) > self.file_bytes:
+            encoded = encoded[:size]  # there is no room for the zeroed head; the end of the file ends the records
+        self._file_system.write(handle=handle, position=self._position - len(header), data=header + encoded)
         self._file_system.sync_data(handle=handle)
         return size
 
-    def _open_file(self, *, bodies: list[bytes]) -> int:
-        """Write a file's header and first batch; then say in the next file, which is not needed, that it is durable."""
-        header = Header(number=self._file, durable=self._claimed, opening=len(bodies), salt=self._salt())
-        self._seed = header.seed
-        size = self._write_batch(header=header.pack(), bodies=bodies)
-        self._durable = self._claimed = self._file
-        self._declare()
-        self._opened = True
+    def _write_first_batch(self, *, handle: int, bodies: list[bytes]) -> int:
+        """Write a file's header and first batch, then say in the next file, which isn't needed, that it is durable."""
+        header = Header(
+            file_number=self._highest_file,
+            durable_file=self._claimed_file,
+            first_batch_records=len(bodies),
+            salt=self._salt(),
+        )
+        self._checksum_seed = header.checksum_seed
+        size = self._write_batch(handle=handle, header=header.encode(), bodies=bodies)
+        self._durable_file = self._claimed_file = self._highest_file
+        self._declare_durable()
+        self._is_first_batch_durable = True
         return size
 
-    def _declare(self) -> None:
-        content = Header(number=0, durable=self._claimed).pack()
-        self._write_header(slot=(self._durable + 1) % self.files, content=content, create=False)
+    def _declare_durable(self) -> None:
+        content = Header(file_number=0, durable_file=self._claimed_file).encode()
+        self._write_header(index=(self._durable_file + 1) % self.file_count, content=content, create=False)
 
-    def room(self, *, bodies: list[bytes]) -> int:
-        """Bytes these records take."""
-        return sum(len(b) + RECORD_BYTES for b in bodies)
+    def encoded_bytes(self, *, bodies: list[bytes]) -> int:
+        """Bytes that these records take in a file."""
+        return sum(len(body) + RECORD_BYTES for body in bodies)
 
     def close(self) -> None:
-        """Let go of the file."""
+        """Close the current file, if there is one; the next write needs `rotate` first."""
         if self._handle is not None:
             handle, self._handle = self._handle, None
             self._file_system.close(handle=handle)
