--- a/tests/node/test_config_dissemination.py
+++ b/tests/node/test_config_dissemination.py
@@ -1,4 +1,4 @@
-"""News down the tree: many edges, relays, evacuations, configurations that never go back."""
+"""Cluster updates down the tree: many edges, relays, evacuations, configurations that never go back."""
 
 from typing import Any
 
@@ -19,7 +19,7 @@
     return out
 
 
-def test_a_change_reaches_every_edge_through_relays_and_none_goes_back() -> None:
+def test_change_reaches_every_edge_through_relays_and_older_config_is_refused() -> None:
     sim, _, _, _ = cluster(seed=71, edges=3 * FANOUT, minions=1)
     sim.run(seconds=3.0)
     assert sum(bool(n.via) for n in edges(sim)) >= 3
@@ -40,7 +40,7 @@
         assert node.table.config_version == 9
 
 
-def test_edges_leave_a_relay_that_is_down_or_cut_off() -> None:
+def test_edges_leave_relay_that_is_down_or_cut_off() -> None:
     sim, _, _, _ = cluster(seed=72, edges=3 * FANOUT, minions=1)
     sim.run(seconds=3.0)
     relays = sorted({u.split(":")[0] for n in edges(sim) for u in n.via})
@@ -55,7 +55,7 @@
     assert not cut.ready()
 
 
-def test_nothing_starts_in_an_evacuated_site_until_it_is_taken_back() -> None:
+def test_nothing_starts_in_evacuated_zone_until_evacuation_ends() -> None:
     sim, oracle, caller, fleet = cluster(seed=73)
     status, _ = sim.ask(ip=sim.core_ips[1], method="POST", path="/evacuation/z0")
     assert status == 200
@@ -75,7 +75,7 @@
     assert oracle.broken == []
 
 
-def test_an_edge_without_configuration_says_so_at_once() -> None:
+def test_edge_without_config_answers_503_at_once() -> None:
     sim = Sim(seed=74)
     sim.run(seconds=2.0)
     assert not edges(sim)[0].ready()
@@ -83,7 +83,7 @@
     assert status == 503
 
 
-def test_a_job_that_no_minion_could_run_holds_up_nobody() -> None:
+def test_job_that_fits_no_minion_holds_up_no_other() -> None:
     sim, oracle, caller, _ = cluster(seed=75)
     huge = caller.submit(stages=[{"task-count": 2, "cpus": 64000, "mem-mb": 10}])
     gang = caller.submit(stages=[{"task-count": 90, "cpus": 4000, "mem-mb": 10, "gang": True}])
@@ -95,7 +95,7 @@
     assert oracle.broken == []
 
 
-def test_times_of_a_repeated_job_start_when_due() -> None:
+def test_runs_of_repeated_job_start_when_due() -> None:
     sim, oracle, caller, fleet = cluster(seed=76)
     first = int((sim.wall0 + sim.now + 2.0) * 1000)
     more: dict[str, Any] = {"first-run-ms": first, "period-ms": 3000, "repeat-count": 3}
--- a/tests/node/test_config_dissemination_tree.py
+++ b/tests/node/test_config_dissemination_tree.py
@@ -18,7 +18,7 @@
     return sim
 
 
-def test_the_first_configuration_goes_to_each_edge_about_once() -> None:
+def test_first_config_is_sent_to_each_edge_about_once() -> None:
     sim = ready(seed=1)
     wholes = sim.news(what="conf", since=0.0)
     assert 33 <= len(wholes) <= 40
@@ -26,7 +26,7 @@
     assert all(src in sim.core_ips for src, *_ in wholes)
 
 
-def test_a_change_goes_to_each_edge_as_a_change_and_from_each_watcher_once() -> None:
+def test_change_is_sent_as_delta_once_by_each_watcher() -> None:
     sim = ready(seed=2)
     base = 3
     for version in (7, 9, 20):
@@ -41,7 +41,7 @@
         base = version
 
 
-def test_a_whole_put_that_changes_little_goes_as_a_change_too() -> None:
+def test_whole_put_that_changes_little_is_sent_as_delta() -> None:
     sim = ready(seed=3)
     since = sim.now
     put(sim, method="PUT", document=large(version=8, routes=512), base=3)
@@ -52,7 +52,7 @@
     assert document == large(version=8, routes=512)
 
 
-def test_news_that_got_lost_goes_again_within_the_bound() -> None:
+def test_lost_update_is_sent_again_within_the_bound() -> None:
     sim = ready(seed=4)
     lost: dict[tuple[str, str], int] = {}
 
@@ -69,7 +69,7 @@
     assert max(lost.values()) >= 3
 
 
-def test_an_edge_whose_change_does_not_fit_asks_for_the_whole() -> None:
+def test_edge_whose_delta_does_not_fit_asks_for_the_whole_config() -> None:
     sim = ready(seed=5)
     node = sim.edges()[7]
     node.dissemination.history.documents[3]["route-table"] = node.dissemination.history.documents[3]["route-table"][1:]
@@ -82,7 +82,7 @@
     assert node.config == document
 
 
-def test_an_edge_that_was_cut_off_for_some_changes_gets_one_change() -> None:
+def test_edge_cut_off_during_some_changes_gets_one_delta() -> None:
     sim = ready(seed=6)
     away = sim.edge_ips[4]
     for core in sim.core_ips:
@@ -99,7 +99,7 @@
     assert sim.news(what="conf", since=since) == []
 
 
-def test_a_relay_feeds_no_more_than_its_link_carries() -> None:
+def test_relay_feeds_no_more_edges_than_its_link_carries() -> None:
     sim = ready(seed=7, cores=3, edges=4 * FANOUT)
     assert sum(bool(n.via) for n in sim.edges()) >= 3
     for node in sim.edges():
@@ -112,7 +112,7 @@
     assert sim.news(what="conf", since=since) == []
 
 
-def test_a_relay_that_is_cut_off_does_not_hold_up_a_change() -> None:
+def test_cut_off_relay_does_not_hold_up_a_change() -> None:
     sim = ready(seed=8, cores=3, edges=4 * FANOUT)
     relay = max(
         sim.edges(), key=lambda n: sum(sim.now - at < 1.0 for at in n.roster.last_heartbeat.values())
@@ -134,7 +134,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_changes_arrive_whole_whatever_gets_lost(seed: int) -> None:
+def test_edges_hold_complete_configs_whatever_gets_lost(seed: int) -> None:
     """Frames lost, edges cut off and ended, cores ended; each edge holds exactly what was sent under its version."""
     sim = LinkSim(seed=80 + seed, cores=5, edges=10)
     sim.run(seconds=2.0)
@@ -187,7 +187,7 @@
 
 
 @pytest.mark.parametrize("power", [False, True])
-def test_changes_that_were_acknowledged_outlive_all_processes(power: bool) -> None:
+def test_acknowledged_changes_survive_restart_of_all_processes(power: bool) -> None:
     sim = LinkSim(seed=90, cores=5, edges=2)
     sim.run(seconds=2.0)
     document = large(version=3)
--- a/tests/node/test_config_freshness.py
+++ b/tests/node/test_config_freshness.py
@@ -98,7 +98,7 @@
 
 @pytest.mark.parametrize("way", ["both", "mute", "deaf"])
 @pytest.mark.parametrize("who", ["bystander", "primary"])
-def test_an_edge_that_only_a_cut_off_core_answers_is_neither_ready_nor_sure(way: str, who: str) -> None:
+def test_edge_that_reaches_only_a_cut_off_core_is_neither_ready_nor_sure(way: str, who: str) -> None:
     sim, _, _, _ = cluster(seed=301, cores=5, minions=1)
     core = bystander(sim) if who == "bystander" else settled(sim)
     assert edge(sim).ready()
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("way", ["both", "mute", "deaf"])
-def test_an_edge_leaves_cut_off_cores_for_others_in_time(way: str) -> None:
+def test_edge_leaves_cut_off_cores_for_others_in_time(way: str) -> None:
     sim, _, _, _ = cluster(seed=302, cores=5, minions=1)
     settled(sim)
     watchers = [u.split(":")[0] for u in edge(sim).heartbeat_targets()]
@@ -132,7 +132,7 @@
     returns(sim, version=9)
 
 
-def test_a_core_restarted_while_cut_off_makes_no_edge_ready() -> None:
+def test_core_restarted_while_cut_off_makes_no_edge_ready() -> None:
     sim, _, _, _ = cluster(seed=303, cores=5, minions=1)
     core = bystander(sim)
     since = sim.now
@@ -145,7 +145,7 @@
     returns(sim, version=9)
 
 
-def test_an_edge_restarted_while_cut_off_is_never_ready() -> None:
+def test_edge_restarted_while_cut_off_is_never_ready() -> None:
     sim, _, _, _ = cluster(seed=304, cores=5, minions=1)
     core = bystander(sim)
     island(sim, [core, sim.edge_ips[0]])
@@ -160,7 +160,7 @@
     returns(sim, version=9)
 
 
-def test_an_edge_behind_a_relay_on_a_cut_off_core_is_neither_ready_nor_sure() -> None:
+def test_edge_behind_relay_of_cut_off_core_is_neither_ready_nor_sure() -> None:
     sim, _, _, _ = cluster(seed=305, cores=5, edges=2, minions=1)
     core = bystander(sim)
     child, relay = edge(sim, 0), edge(sim, 1)
@@ -187,7 +187,7 @@
 
 
 @pytest.mark.parametrize("delay", [0.002, 0.1, 0.4])
-def test_two_relays_that_answer_each_other_only_age(delay: float) -> None:
+def test_two_relays_that_acknowledge_each_other_only_age(delay: float) -> None:
     sim, _, _, _ = cluster(seed=306, edges=2, minions=1)
     a, b = edge(sim, 0), edge(sim, 1)
     assert a.ready()
@@ -224,7 +224,7 @@
     return sim, node
 
 
-def test_a_stale_edge_says_503_to_what_it_does_not_know_and_hands_valid_jobs_on() -> None:
+def test_stale_edge_answers_503_to_unknown_and_forwards_valid_jobs() -> None:
     sim, _ = stale_edge(seed=307)
     sim.run(seconds=APPLY_S)
     held = edge(sim).table
@@ -240,7 +240,7 @@
 
 
 @pytest.mark.parametrize("wait", [0.1, 2.0])
-def test_no_job_is_let_in_by_a_dropped_route(wait: float) -> None:
+def test_no_job_is_admitted_by_removed_route(wait: float) -> None:
     sim, _ = stale_edge(seed=308)
     sim.run(seconds=wait)
     status, _ = sim.ask(
--- a/tests/node/test_config_freshness_core.py
+++ b/tests/node/test_config_freshness_core.py
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize("seed", range(310, 318))
-def test_a_change_of_primary_costs_an_edge_hardly_two_polls(seed: int) -> None:
+def test_change_of_primary_costs_an_edge_hardly_two_polls(seed: int) -> None:
     """The platform asks once a second and drops a node after two misses in a row. With five cores an election leaves
     no room for two; with three it may take 2.25 s, and one of four edges may miss two."""
     cores = 3 + 2 * (seed % 2)
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("way", ["both", "mute", "deaf"])
 @pytest.mark.parametrize("who", ["bystander", "primary"])
-def test_a_cut_off_core_neither_reads_configuration_out_nor_takes_orders(way: str, who: str) -> None:
+def test_cut_off_core_neither_reads_out_config_nor_takes_orders(way: str, who: str) -> None:
     sim, _, _, _ = cluster(seed=321, cores=5, minions=1)
     core = bystander(sim) if who == "bystander" else settled(sim)
     since = sim.now
@@ -68,7 +68,7 @@
 
 
 def owners(sim: Sim) -> dict[str, list[str]]:
-    """By minion: the cores whose agent would answer its beat now."""
+    """By minion: the cores whose agent would answer its heartbeat now."""
     out: dict[str, list[str]] = {}
     for ip in sim.core_ips:
         node = sim.core(ip)
@@ -81,7 +81,7 @@
 
 @pytest.mark.parametrize("way", ["both", "mute", "deaf"])
 @pytest.mark.parametrize("who", ["bystander", "primary"])
-def test_two_agents_never_answer_for_one_minion(way: str, who: str) -> None:
+def test_two_agents_never_act_for_one_minion(way: str, who: str) -> None:
     """And each has one that does, also where the former one is heard but does not hear."""
     sim, oracle, _, fleet = cluster(seed=322, cores=5, zones=5, minions=30)
     core = bystander(sim) if who == "bystander" else settled(sim)
@@ -101,7 +101,7 @@
     assert oracle.broken == []
 
 
-def test_an_agent_acts_only_with_the_evacuations_that_the_primary_knew_of() -> None:
+def test_agent_acts_only_with_all_evacuations_that_the_primary_knew_of() -> None:
     """Its lease is renewed by an answer only once it has all that the answer tells of."""
     sim = LinkSim(seed=323, mbps=100.0, cores=5)
     sim.run(seconds=1.0)
@@ -129,7 +129,7 @@
     assert node.trusted()
 
 
-def test_nothing_starts_in_a_site_that_was_evacuated_while_its_agent_was_cut_off() -> None:
+def test_nothing_starts_in_zone_evacuated_while_its_agent_was_cut_off() -> None:
     sim, oracle, caller, fleet = cluster(seed=324, cores=5, minions=10)
     core = bystander(sim)
     island(sim, [core])
@@ -152,24 +152,24 @@
     assert oracle.broken == []
 
 
-def test_a_placing_node_that_does_not_reach_the_primary_hears_of_changes_from_others() -> None:
+def test_scheduler_that_does_not_reach_the_primary_gets_changes_from_others() -> None:
     sim, _, _, _ = cluster(seed=325, cores=5, minions=1)
-    primary, placing = settled(sim), sim.serving(group_id=1)[0]
-    assert primary != placing
-    sim.cut(a=primary, b=placing)
+    primary, scheduler_ip = settled(sim), sim.serving(group_id=1)[0]
+    assert primary != scheduler_ip
+    sim.cut(a=primary, b=scheduler_ip)
     base = 3
     for version in range(9, 90, 9):
         change(sim, document=config(version=version, more=version), base=base, away=[])
         base = version
         sim.run(seconds=APPLY_S)
-        node = sim.core(placing)
+        node = sim.core(scheduler_ip)
         node.now = sim.now
         assert node.config_version() == version
         assert node.freshness.age(now=sim.now) < APPLY_S / 2
 
 
 @pytest.mark.parametrize("cores", [3, 5])
-def test_after_hundreds_of_changes_a_returning_node_is_up_to_date_in_time(cores: int) -> None:
+def test_node_that_returns_after_hundreds_of_changes_is_up_to_date_in_time(cores: int) -> None:
     sim, _, _, _ = cluster(seed=326, cores=cores, edges=3, minions=1)
     core = bystander(sim) if cores > 3 else next(ip for ip in sim.core_ips if not {ip} & {*sim.serving(group_id=0)})
     away = [core, sim.edge_ips[0]]
@@ -245,7 +245,7 @@
         ({}, 100.0, 99.9),
     ],
 )
-def test_what_an_answer_proves(m: dict[str, Any], sent: float, at: float) -> None:
+def test_answer_proves_freshness_only_if_current_and_well_formed(m: dict[str, Any], sent: float, at: float) -> None:
     node = lone()
     malformed = "age" in m and m["age"] is None
     with pytest.raises(MalformedRecordError, match="age") if malformed else contextlib.nullcontext():
@@ -253,7 +253,7 @@
     assert node.freshness.proven_at == at
 
 
-def test_a_node_whose_configuration_is_torn_proves_nothing_to_others() -> None:
+def test_node_whose_config_is_known_to_be_wrong_proves_nothing() -> None:
     node = lone()
     assert node.proof().document() == {"age": 0.1, "by": 5, "conf": 3}
     node.dissemination.needs_full_config = True
@@ -266,7 +266,7 @@
 
 
 @pytest.mark.parametrize("hops", [1, 5, 50])
-def test_a_clock_error_of_two_percent_makes_an_age_wrong_by_two_percent(hops: int) -> None:
+def test_clock_error_of_two_percent_makes_age_wrong_by_two_percent(hops: int) -> None:
     """Every hop's clock runs slow by the most allowed: the last one's age is at least 98% of the true one."""
     true, proofs = 0.0, [Freshness(apply_ms=2000) for _ in range(hops)]
     for proof in proofs:
@@ -274,7 +274,7 @@
     step = 1.0 / hops
     told = 0.0
     for n, proof in enumerate(proofs):
-        at = 0.98 * true - told  # on this hop's clock, when its heart left, less the age told
+        at = 0.98 * true - told  # on this hop's clock, when its heartbeat left, less the age told
         proof.prove(at=at, epoch=1)
         true += step
         told = proof.age(now=0.98 * true)
@@ -282,12 +282,12 @@
 
 
 @pytest.mark.parametrize("way", ["both", "mute", "deaf"])
-def test_a_cut_off_placing_node_says_neither_410_nor_409(way: str) -> None:
+def test_cut_off_scheduler_answers_neither_410_nor_409(way: str) -> None:
     """Of a job that was accepted where it is not heard of."""
     sim, oracle, _, _ = cluster(seed=328, cores=5, edges=2, minions=2)
     settled(sim)
-    placing = sim.serving(group_id=1)[0]
-    away = [placing, sim.edge_ips[0]]
+    scheduler_ip = sim.serving(group_id=1)[0]
+    away = [scheduler_ip, sim.edge_ips[0]]
     island(sim, away, way=way)
     sim.run(seconds=0.5)
     job_id, head, accepted = "00000000000000c1", {"host": HOST}, False
@@ -306,7 +306,7 @@
             document = job if method == "POST" else None
             status, _ = sim.ask(ip=sim.edge_ips[0], method=method, path=path, document=document, headers=head)
             assert status in (503, 504), (method, status)
-        assert sim.ask(ip=placing, method="GET", path=f"/jobs/{job_id}")[0] in (0, 307, 503)
+        assert sim.ask(ip=scheduler_ip, method="GET", path=f"/jobs/{job_id}")[0] in (0, 307, 503)
     sim.heal()
     sim.run(seconds=APPLY_S)
     assert sim.ask(ip=sim.edge_ips[0], method="GET", path=f"/fast/{job_id}", headers=head)[0] == 200
