--- a/tests/integration/test_cluster.py
+++ b/tests/integration/test_cluster.py
@@ -212,7 +212,7 @@
 
 
 def test_beyond_the_most_jobs_in_hand_is_refused_at_once_and_never_runs(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("yarrowloom.scheduling.job_queue.LIVE_MOST", 3)
+    monkeypatch.setattr("yarrowloom.scheduling.admission.MAX_LIVE_JOBS", 3)
     sim, oracle, caller, _ = cluster(seed=51, work=3.0)
     job_ids = []
     for _ in range(6):
--- a/tests/integration/test_large_clusters.py
+++ b/tests/integration/test_large_clusters.py
@@ -7,38 +7,50 @@
 import pytest
 
 from tests.support.agent_harness import JOB, MINION, TASK, AgentHarness
+from tests.support.capacity_reports import report
 from yarrowloom.cluster_state.routing_table import RoutingTable
+from yarrowloom.common.resources import Resources
+from yarrowloom.jobs.model import Job
 from yarrowloom.node.core import OVERLOADED, CoreNode
 from yarrowloom.node.edge_relays import FANOUT, SELECTION_PERIOD_S, EdgeRelays
-from yarrowloom.scheduling import scheduling_cycle as cycle
-from yarrowloom.scheduling.capacity import Room, Size, Spot
-from yarrowloom.scheduling.scheduling_cycle import Ask
+from yarrowloom.scheduling.capacity import ClusterCapacity, MinionCapacity
+from yarrowloom.scheduling.scheduling_cycle import PlacementRequest, run_cycle
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.minions import cluster, config
 from yarrowloom.transport.envelope import Kind
 
 RACK = 20
-MEMBER = Size(10_000, 31_000, 1)
+MEMBER = Resources(10_000, 31_000, 1)
 STEP: dict[str, Any] = {"task-count": 1, "cpus": 4000, "mem-mb": 100, "estimate-ms": 500}
 
 
-def crowded(*, minions: int, rng: random.Random) -> Room:
+def crowded(*, minions: int, rng: random.Random) -> ClusterCapacity:
     """Minions in racks, few of which have room for a member."""
-    room = Room()
+    capacity = ClusterCapacity()
     for i in range(minions):
-        cap = Size(32_000, 131_072, 8)
+        total = Resources(32_000, 131_072, 8)
         minion_id = f"m{i}"
         labels = ("a", f"r{i // RACK}")
-        room.attach(
-            spot=Spot(minion_id=minion_id, agent="a", fence=1, seq=i, service="s", zone="z", labels=labels, cap=cap)
+        capacity.attach(
+            minion=MinionCapacity(
+                minion_id=minion_id,
+                agent_id="a",
+                fence=1,
+                attachment=i,
+                service="s",
+                zone="z",
+                labels=labels,
+                total=total,
+            )
         )
-        free: list[int | str] = [minion_id, rng.choice([rng.randint(0, 9000), 12_000]), rng.randint(0, 80_000), 2]
-        room.report(node_id="a", rows=[free], shut=[], now=1.0)
-    return room
+        report(capacity, [minion_id, rng.choice([rng.randint(0, 9000), 12_000]), rng.randint(0, 80_000), 2])
+    return capacity
 
 
-def gang(*, members: int, **more: Any) -> Ask:
-    return Ask(service="s", size=MEMBER, members=list(range(members)), need=members, tight=True, **more)
+def gang(*, members: int, **more: Any) -> PlacementRequest:
+    return PlacementRequest(
+        service="s", size=MEMBER, members=list(range(members)), min_count=members, same_rack=True, **more
+    )
 
 
 # -- gangs of one rack
@@ -47,26 +59,28 @@
 @pytest.mark.parametrize("minions", [200, 2000])
 def test_a_gang_of_one_rack_looks_only_at_minions_with_room_for_a_member(minions: int) -> None:
     """Every minion of every rack was looked at by each cycle of each waiting gang: 3.5 ms at 750 minions."""
-    room = crowded(minions=minions, rng=random.Random(5))
-    fits = sum(spot.free.cpu >= MEMBER.cpu for spot in room.spots.values())
-    room.looks = 0
-    assert not cycle.run(room=room, ask=gang(members=RACK + 1)).feasible
-    assert room.looks <= fits < 0.7 * minions
+    capacity = crowded(minions=minions, rng=random.Random(5))
+    fits = sum(minion.free.millicores >= MEMBER.millicores for minion in capacity.minions.values())
+    capacity.visited = 0
+    assert not run_cycle(capacity=capacity, request=gang(members=RACK + 1)).feasible
+    assert capacity.visited <= fits < 0.7 * minions
 
 
 @pytest.mark.parametrize("seed", range(60))
 def test_the_fullest_rack_that_holds_a_gang_is_taken(seed: int) -> None:
     """Against trying every rack whole and comparing what would be left."""
     rng = random.Random(seed)
-    room = crowded(minions=rng.choice([60, 110]), rng=rng)
+    capacity = crowded(minions=rng.choice([60, 110]), rng=rng)
     members = rng.randint(1, 6)
-    got = cycle.run(room=room, ask=gang(members=members))
+    got = run_cycle(capacity=capacity, request=gang(members=members))
     left: list[tuple[int, int, str]] = []
-    for rack in {spot.rack for spot in room.spots.values()}:
-        spots = [spot for spot in room.spots.values() if spot.rack == rack]
-        if sum(spot.free.copies(MEMBER) for spot in spots) >= members:
-            gpu, cpu = (sum(max(getattr(spot.free, part), 0) for spot in spots) for part in ("gpu", "cpu"))
-            left.append((gpu - members * MEMBER.gpu, cpu - members * MEMBER.cpu, rack))
+    for rack in {minion.rack for minion in capacity.minions.values()}:
+        minions = [minion for minion in capacity.minions.values() if minion.rack == rack]
+        if sum(minion.free.copies(MEMBER) for minion in minions) >= members:
+            gpus, millicores = (
+                sum(max(getattr(minion.free, part), 0) for minion in minions) for part in ("gpus", "millicores")
+            )
+            left.append((gpus - members * MEMBER.gpus, millicores - members * MEMBER.millicores, rack))
     assert got.feasible is bool(left)
     assert not left or got.rack == min(left)[2]
 
@@ -93,11 +107,12 @@
     holders = {backup.split(":")[0] for epoch in epochs for backup in epoch.backups}
     cut = next(ip for ip in sim.core_ips if ip not in serving | holders and sim.core(ip).agent.minions)
     silenced(sim=sim, ip=cut)
-    placer = sim.core(sim.serving(group_id=1)[0]).placers[1]
+    scheduler = sim.core(sim.serving(group_id=1)[0]).schedulers[1]
     job_ids = [caller.submit(stages=[STEP]) for _ in range(12)]
     sim.run(seconds=1.2)
-    assert placer.room.of[sim.node_ids[cut]]
-    assert not any(placer.room.spots[minion_id].open for minion_id in placer.room.of[sim.node_ids[cut]])
+    capacity = scheduler.context.capacity
+    assert capacity.minion_ids_by_agent[sim.node_ids[cut]]
+    assert not any(capacity.minions[minion_id].is_open for minion_id in capacity.minion_ids_by_agent[sim.node_ids[cut]])
     assert sim.until(cond=lambda: all(caller.state(job_id=j) == (200, "complete") for j in job_ids), limit=5.0)
     sim.heal()
     sim.run(seconds=8.0)
@@ -131,25 +146,25 @@
     job_ids = [caller.submit(stages=[{**STEP, "task-count": 30}], queue="slow") for _ in range(4)]
     sim.run(seconds=1.0)
     ip = sim.serving(group_id=1)[0]
-    placer = sim.core(ip).placers[1]
+    scheduler = sim.core(ip).schedulers[1]
     ranked: list[str] = []
-    real = placer.prio
+    real = scheduler.context.policy.priority
 
-    def prio(*, job_id: str, key: str, seen: float) -> Any:
+    def priority(*, job: Job, job_id: str, unit_key: str, first_seen: float) -> Any:
         ranked.append(job_id)
-        return real(job_id=job_id, key=key, seen=seen)
+        return real(job=job, job_id=job_id, unit_key=unit_key, first_seen=first_seen)
 
-    placer.prio = prio  # type: ignore[method-assign]
-    placer.configured()
+    scheduler.context.policy.priority = priority  # type: ignore[method-assign]
+    scheduler.on_config_change()
     assert ranked == []
     document = config(version=9, more=2)
     document["route-table"][1]["rank"] = 0
     sim.core(ip).dissemination.table = RoutingTable(document=document)
-    placer.configured()
-    waiting = {job_id for job_id, _ in placer.backlog.groups}
+    scheduler.on_config_change()
+    waiting = {job_id for job_id, _ in scheduler.context.queue.groups}
     assert set(ranked) == waiting <= set(job_ids)
     assert waiting
-    assert {group.rank for group in placer.backlog.groups.values()} == {0}
+    assert {group.rank for group in scheduler.context.queue.groups.values()} == {0}
     assert oracle.broken == []
 
 
--- a/tests/mutants/test_scheduling_mutants.py
+++ b/tests/mutants/test_scheduling_mutants.py
@@ -8,16 +8,18 @@
 from tests.support.mutant_proof import assert_guard_is_needed, settle, stream
 from tests.support.simulated_work import Day, task
 from yarrowloom.agent import lease_selection, leases
-from yarrowloom.agent.messages import LeaseRequest
+from yarrowloom.agent.messages import LeaseRequest, StoppedRun
 from yarrowloom.agent.minion import Minion
 from yarrowloom.agent.minion_table import MinionTable
 from yarrowloom.jobs.model import Job
 from yarrowloom.scheduling import scheduling_cycle as cycle
 from yarrowloom.scheduling.binding import Binding
-from yarrowloom.scheduling.capacity import Room
-from yarrowloom.scheduling.job_queue import Desk
-from yarrowloom.scheduling.pod_group import Backlog
-from yarrowloom.scheduling.scheduler import Placer
+from yarrowloom.scheduling.cancellation import Cancellation
+from yarrowloom.scheduling.capacity import ClusterCapacity
+from yarrowloom.scheduling.effects import StartedRun
+from yarrowloom.scheduling.queue_policy import QueuePolicy
+from yarrowloom.scheduling.scheduler import Scheduler
+from yarrowloom.scheduling.scheduling_queue import SchedulingQueue
 
 
 def without(*, name: str) -> tuple[tuple[str, cycle.Filter], ...]:
@@ -47,7 +49,7 @@
 def test_route_members_keep_apart() -> None:
     def out(p: pytest.MonkeyPatch) -> None:
         p.setattr(cycle, "FILTERS", without(name="spread"))
-        p.setattr(cycle, "_spread", lambda snap, ask, spot: True)
+        p.setattr(cycle, "_is_within_task_limit", lambda snapshot, request, minion: True)
         blind(patch=p, max_per_minion=0)
 
     assert_guard_is_needed(
@@ -66,7 +68,7 @@
         return day
 
     def out(p: pytest.MonkeyPatch) -> None:
-        p.setattr(Desk, "service", lambda self, *, job: "svc")
+        p.setattr(QueuePolicy, "service", lambda self, *, job: "svc")
 
     assert_guard_is_needed(rule="ROUTE", scenario=story, remove_guard=out)
 
@@ -83,7 +85,7 @@
         return day
 
     def out(p: pytest.MonkeyPatch) -> None:
-        p.setattr(cycle, "placement_feasible", lambda *, placed, ask: placed > 0)
+        p.setattr(cycle, "placement_feasible", lambda *, placed, request: placed > 0)
 
     assert_guard_is_needed(rule="GANG", scenario=story, remove_guard=out)
 
@@ -96,16 +98,16 @@
         return day
 
     def out(p: pytest.MonkeyPatch) -> None:
-        real = Placer.tick
+        real = Scheduler.tick
 
-        def tick(self: Placer) -> None:
-            self.environment.wall_now += 3.0
+        def tick(self: Scheduler) -> None:
+            self.context.environment.wall_now += 3.0
             try:
                 real(self)
             finally:
-                self.environment.wall_now -= 3.0
+                self.context.environment.wall_now -= 3.0
 
-        p.setattr(Placer, "tick", tick)
+        p.setattr(Scheduler, "tick", tick)
 
     assert_guard_is_needed(rule="ORDER", scenario=story, remove_guard=out)
 
@@ -124,22 +126,23 @@
         return day
 
     def out(p: pytest.MonkeyPatch) -> None:
-        real_orders = Binding.orders
+        real_orders = Binding.send_orders
 
-        def orders(self: Binding, rows: list[Any]) -> None:
-            with pytest.MonkeyPatch.context() as while_ordering:
-                while_ordering.setattr(Job, "has_ended", False)
-                real_orders(self, rows)
+        def send_orders(self: Binding, runs: list[StartedRun]) -> None:
+            """Takes every job for one that has not ended."""
+            with pytest.MonkeyPatch.context() as inner:
+                inner.setattr(Job, "has_ended", False)
+                real_orders(self, runs)
 
-        p.setattr(Binding, "orders", orders)
-        real = Binding.stops
+        p.setattr(Binding, "send_orders", send_orders)
+        real = Cancellation.send_stops
 
-        def stops(self: Binding, rows: list[Any]) -> None:
+        def send_stops(self: Cancellation, runs: list[StoppedRun]) -> None:
             """Stops that are told again would mend it."""
-            if not self.halting:
-                real(self, rows)
+            if not self.pending:
+                real(self, runs)
 
-        p.setattr(Binding, "stops", stops)
+        p.setattr(Cancellation, "send_stops", send_stops)
 
     assert_guard_is_needed(rule="UNASKED", scenario=story, remove_guard=out)
 
@@ -153,7 +156,7 @@
         return day
 
     def out(p: pytest.MonkeyPatch) -> None:
-        p.setattr(Room, "take_grown", lambda self: {})
-        p.setattr(Backlog, "due", lambda self, *, now: [])
+        p.setattr(ClusterCapacity, "take_grown", lambda self: {})
+        p.setattr(SchedulingQueue, "take_backoff_ended", lambda self, *, now: [])
 
     assert_guard_is_needed(rule="LOST", scenario=story, remove_guard=out)
--- a/tests/node/test_refused_calls.py
+++ b/tests/node/test_refused_calls.py
@@ -33,9 +33,9 @@
 
 def refuse_once(sim: Sim, ip: str) -> None:
     """The placing node has no room for one job, and room for all after it."""
-    placer: Any = sim.core(ip).placers[1]
+    scheduler: Any = sim.core(ip).schedulers[1]
     verdicts = ["no room"]
-    placer._refusal = lambda *, job: verdicts.pop() if verdicts else ""
+    scheduler.admission._rejection = lambda *, job: verdicts.pop() if verdicts else ""
 
 
 @pytest.mark.parametrize("seed", range(4))
--- a/tests/scheduling/test_binding.py
+++ b/tests/scheduling/test_binding.py
@@ -95,10 +95,11 @@
     assert oracle.broken == []
     assert sum(len(m.running) for m in fleet) == 0
     core = sim.core(sim.serving(group_id=1)[0])
-    placer = core.placers[1]
-    assert not placer.backlog.groups
-    assert not placer.asks
-    assert all(s.fly == (0, 0, 0) and s.free == s.cap for s in placer.room.spots.values())
+    scheduler = core.schedulers[1]
+    assert not scheduler.context.queue.groups
+    assert not scheduler.binding.open_requests
+    minions = scheduler.context.capacity.minions.values()
+    assert all(minion.in_flight == (0, 0, 0) and minion.free == minion.total for minion in minions)
 
 
 def test_a_group_that_fits_nowhere_holds_up_nobody_and_is_told_so() -> None:
@@ -109,10 +110,10 @@
     good = [caller.submit(stages=[{**TASK, "cpus": 4000}], queue="slow") for _ in range(6)]
     assert sim.until(cond=lambda: all(caller.state(job_id=j, queue="slow")[1] == "complete" for j in good), limit=30.0)
     core = sim.core(sim.serving(group_id=1)[0])
-    placer = core.placers[1]
+    scheduler = core.schedulers[1]
     for job_id in (never, odd, wide):
         assert caller.state(job_id=job_id) == (200, "pending")
-        rows = placer.explain(job_id=job_id)
+        rows = scheduler.explain(job_id=job_id)
         assert rows[0]["cycles-failed"] > 0
         assert rows[0]["last"]
     assert oracle.broken == []
@@ -122,7 +123,7 @@
     """The snapshot is old: one agent refuses; nothing starts, no room stays taken, the group is tried again."""
     sim, oracle, caller, fleet = cluster(seed=7501, minions=3)
     core = sim.core(sim.serving(group_id=1)[0])
-    placer = core.placers[1]
+    scheduler = core.schedulers[1]
     victim = fleet[0].minion_id
     agent = next(sim.core(ip).agent for ip in sim.core_ips if victim in sim.core(ip).agent.minions)
     take = agent.minions[victim].capacity
@@ -134,7 +135,7 @@
     assert sim.until(cond=lambda: caller.state(job_id=job_id)[1] == "complete", limit=20.0)
     assert oracle.broken == []
     sim.run(seconds=1.0)
-    assert all(s.free == s.cap for s in placer.room.spots.values())
+    assert all(minion.free == minion.total for minion in scheduler.context.capacity.minions.values())
 
 
 MOST_S = 24.0  # of any seed; a task has three tries of 0.8 to 2.3 s, and a run takes two waves at least
@@ -152,8 +153,8 @@
     while not all(j in records and records[j].state in ("complete", "failed") for j in job_ids):
         sim.run(seconds=0.2)
         assert sim.now - begun < MOST_S, seed
-        for unit, group in core.placers[1].backlog.groups.items():
-            seen.setdefault(unit, set()).add(group.seen)
+        for unit, group in core.schedulers[1].context.queue.groups.items():
+            seen.setdefault(unit, set()).add(group.first_seen)
     assert all(len(times) == 1 for times in seen.values())
     assert len(seen) == 4
     assert all(caller.state(job_id=j)[1] in ("complete", "failed") for j in job_ids)
--- a/tests/scheduling/test_binding_model.py
+++ b/tests/scheduling/test_binding_model.py
@@ -9,13 +9,15 @@
 import pytest
 
 from tests.support.binding_explorer import Found, Search, attached, choices, do, replay
-from tests.support.binding_model import ONE, TWO, Choice, Rep
+from tests.support.binding_model import ONE, TWO, Rep
 from yarrowloom.agent.agent import Agent
 from yarrowloom.agent.messages import AttachMinion
 from yarrowloom.agent.minion import Minion
 from yarrowloom.agent.task_runs import TaskRuns
-from yarrowloom.scheduling.lease_cache import Pool
-from yarrowloom.scheduling.scheduler import Placer
+from yarrowloom.common.effects import Effect
+from yarrowloom.scheduling.binding import Binding
+from yarrowloom.scheduling.lease_cache import LeaseCache
+from yarrowloom.scheduling.task_ends import TaskEnds
 
 TASK: dict[str, Any] = {"mem-mb": 10, "estimate-ms": 500}
 GANG: dict[str, Any] = {**TASK, "task-count": 2, "cpus": 3000, "gang": True}
@@ -73,7 +75,7 @@
 def an_order_leaves_before_its_start_is_durable(p: pytest.MonkeyPatch) -> None:
     real = Rep.commit
 
-    def commit(self: Rep, *, event: dict[str, Any], then: Choice | None = None) -> Any:
+    def commit(self: Rep, *, event: dict[str, Any], then: Effect | None = None) -> Any:
         out = real(self, event=event)
         if then is not None:
             self.w.effect(group_id=self.group_id, effect=then)
@@ -83,13 +85,13 @@
 
 
 def a_gang_starts_with_what_was_granted(p: pytest.MonkeyPatch) -> None:
-    real = Placer._settle
+    real = Binding._settle
 
-    def settle(self: Placer, *, att: Any) -> None:
-        att.bad, att.need = False, len(att.rows)
-        real(self, att=att)
+    def settle(self: Binding, *, attempt: Any) -> None:
+        attempt.has_failed, attempt.min_count = False, len(attempt.leased)
+        real(self, attempt=attempt)
 
-    p.setattr(Placer, "_settle", settle)
+    p.setattr(Binding, "_settle", settle)
 
 
 def an_agent_takes_no_note_of_a_gap(p: pytest.MonkeyPatch) -> None:
@@ -97,7 +99,7 @@
 
 
 def what_never_started_stays_in_the_record(p: pytest.MonkeyPatch) -> None:
-    p.setattr(Placer, "void", lambda self, rows: None)
+    p.setattr(TaskEnds, "never_started", lambda self, orders: None)
 
 
 def a_sent_order_is_called_never_started(p: pytest.MonkeyPatch) -> None:
@@ -112,7 +114,7 @@
 
 
 def idle_leases_are_kept_for_ever(p: pytest.MonkeyPatch) -> None:
-    p.setattr(Pool, "expire", lambda self, now: [])
+    p.setattr(LeaseCache, "take_expired", lambda self, now: [])
 
 
 MUTANTS = {
--- a/tests/scheduling/test_binding_model_found.py
+++ b/tests/scheduling/test_binding_model_found.py
@@ -8,13 +8,14 @@
 def test_a_placing_node_forgets_the_lease_of_a_gang_member_whose_order_was_lost() -> None:
     """The order of one member is lost; the other member is done before the gap makes the agent ask for a new
     attachment. The whole gang is done in the record, so the attachment lists no run, the agent has none and never
-    tells of an end, and nothing else takes the member out of `Placer.held`: its entry stays as long as the node."""
+    tells of an end, and nothing else takes the member out of `HeldLeases.by_task`: its entry stays as long
+    as the node."""
     trail: dict[int, Choice] = {10: ("lose", "p2.1", "a2"), 17: ("end", "i1", f"{TWO}.0.0.0", "done")}
     w = attached([(TWO, [GANG])])
     for step in range(200):
         c = trail.get(step, choices(w)[0])
         assert c in choices(w)
         do(w, c)
-    assert w.placers[2].jobs.jobs[TWO].state == "complete"
+    assert w.schedulers[2].context.jobs.jobs[TWO].state == "complete"
     assert not any(m.leases for a in w.agents.values() for m in a.minions.values())
     assert left(w) == []
--- a/tests/scheduling/test_lease_identity.py
+++ b/tests/scheduling/test_lease_identity.py
@@ -2,44 +2,49 @@
 
 import pytest
 
-from yarrowloom.scheduling.binding import LeaseAsk
-from yarrowloom.scheduling.capacity import Size
+from yarrowloom.common.resources import Resources
+from yarrowloom.scheduling.binding import OpenLeaseRequest
 from yarrowloom.simulator.minions import cluster
+from yarrowloom.transport.message_kinds import Kind
 
 
 def test_a_grant_of_an_agent_that_was_not_asked_leaves_the_ask_open(monkeypatch: pytest.MonkeyPatch) -> None:
     sim, _, _, _ = cluster(seed=301)
     sim.run(seconds=3.0)
     node = sim.core(sim.serving(group_id=1)[0])
-    placer = node.placers[1]
-    landed: list[int] = []
-    monkeypatch.setattr(placer, "_landed", lambda *, ask: landed.append(ask.request_id))
-    monkeypatch.setattr(placer, "_settle", lambda *, att: None)
+    scheduler = node.schedulers[1]
+    binding = scheduler.binding
+    settled: list[object] = []
+    monkeypatch.setattr(binding, "_settle", lambda *, attempt: settled.append(attempt))
     asked, other = (sim.core(ip).node_id for ip in sim.core_ips[:2])
 
     class Nothing:
-        plan: dict[str, list[int]] = {}
-        bad = False
-        group = type("Group", (), {"gang": True, "apart": 0})
+        open_requests = 1
+        has_failed = False
+        group = type("PodGroup", (), {"is_gang": True, "max_per_minion": 0})
 
-    request_id = placer.request_id + 1
-    placer.asks[request_id] = LeaseAsk(
+    attempt = Nothing()
+    request_id = binding.last_request_id + 1
+    binding.open_requests[request_id] = OpenLeaseRequest(
         request_id=request_id,
-        agent=asked,
-        at=node.now,
-        size=Size(1, 1, 0),
-        attempt=Nothing(),  # type: ignore[arg-type]
-        on=[],
-        n=1,
-        been=[],
+        agent_id=asked,
+        sent_at=node.now,
+        size=Resources(1, 1, 0),
+        attempt=attempt,  # type: ignore[arg-type]
+        minions=[],
+        count=1,
+        asked_agents=[],
     )
     answer = {"g": 1, "rid": request_id, "x": [], "to": "", "r": [], "size": [1, 1, 0]}
-    placer.grant(node_id=other, b=dict(answer))
-    assert request_id in placer.asks
-    assert landed == []
-    placer.grant(node_id=asked, b=dict(answer))
-    assert request_id not in placer.asks
-    assert landed == [request_id]
+    scheduler.on_message(node_id=other, kind=Kind.LEASE_GRANT, body=dict(answer))
+    assert request_id in binding.open_requests
+    assert settled == []
+    assert attempt.open_requests == 1
+    scheduler.on_message(node_id=asked, kind=Kind.LEASE_GRANT, body=dict(answer))
+    assert request_id not in binding.open_requests
+    assert settled == [attempt]
+    assert attempt.open_requests == 0
+    assert attempt.has_failed
 
 
 def test_the_asks_of_two_epochs_and_the_leases_of_two_lives_are_numbered_apart() -> None:
@@ -50,10 +55,10 @@
         ip = sim.serving(group_id=1)[0]
         job_id = caller.submit(stages=[{"task-count": 4, "cpus": 500, "mem-mb": 64, "estimate-ms": 200}])
         assert sim.until(cond=lambda job_id=job_id: caller.state(job_id=job_id)[1] == "complete", limit=10.0)  # type: ignore[misc]
-        placer = sim.core(ip).placers[1]
-        first = placer.replica.state_epoch << 32
-        assert first < placer.request_id < first + 1000
-        asks.append(placer.request_id >> 32)
+        scheduler = sim.core(ip).schedulers[1]
+        first = scheduler.context.replica.state_epoch << 32
+        assert first < scheduler.binding.last_request_id < first + 1000
+        asks.append(scheduler.binding.last_request_id >> 32)
         leases.append((sim.core(ip).node_id, sim.core(ip).agent.next_lease_id >> 32))
         sim.kill(ip=ip)
         sim.run(seconds=0.3)
--- a/tests/scheduling/test_warm_capacity.py
+++ b/tests/scheduling/test_warm_capacity.py
@@ -7,7 +7,7 @@
 
 from yarrowloom.common.defaults import SHIPPED, Defaults
 from yarrowloom.prediction import History
-from yarrowloom.scheduling.scheduler import Placer
+from yarrowloom.scheduling.scheduler import Scheduler
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.minions import HOST, Oracle, SimCaller, SimMinion, cluster
 
@@ -21,8 +21,8 @@
     monkeypatch.setattr("yarrowloom.node.core_environment.SHIPPED", ON)
 
 
-def placer_of(sim: Sim) -> Placer:
-    return sim.core(sim.serving(group_id=1)[0]).placers[1]
+def scheduler_of(sim: Sim) -> Scheduler:
+    return sim.core(sim.serving(group_id=1)[0]).schedulers[1]
 
 
 def beat(*, sim: Sim, caller: SimCaller, times: int, gap: float) -> list[str]:
@@ -51,20 +51,20 @@
 def test_room_is_kept_before_the_call_and_nothing_starts_in_it(warm: None) -> None:
     sim, oracle, caller, fleet = cluster(seed=8101, minions=4, work=0.4)
     beat(sim=sim, caller=caller, times=14, gap=3.0)
-    placer = placer_of(sim)
-    assert sim.until(cond=lambda: bool(placer.warmer.kept), limit=4.0)
+    scheduler = scheduler_of(sim)
+    assert sim.until(cond=lambda: bool(scheduler.warm.reservations), limit=4.0)
     assert not any(m.running for m in fleet)
-    kept = next(iter(placer.warmer.kept.values()))
-    assert sum(kept.at.values()) == 2
-    assert kept.size.cpu == 4000
+    kept = next(iter(scheduler.warm.reservations.values()))
+    assert sum(kept.tasks_by_minion.values()) == 2
+    assert kept.size.millicores == 4000
     slow = caller.submit(stages=[{**FILL, "task-count": 8}], queue="slow")
     sim.run(seconds=0.1)
     busy = {m.minion_id for m in fleet if m.running}
-    assert busy and not busy & set(kept.at), "later ranks keep off warm room"
-    hits = placer.warmer.warm.hits
+    assert busy and not busy & set(kept.tasks_by_minion), "later ranks keep off warm room"
+    hits = scheduler.warm.warm.hits
     caller.submit(stages=[URGENT])
     sim.run(seconds=0.3)
-    assert placer.warmer.warm.hits == hits + 1
+    assert scheduler.warm.warm.hits == hits + 1
     assert caller.state(job_id=slow, queue="slow")[0] == 200
     ended(sim=sim, oracle=oracle, caller=caller)
 
@@ -77,14 +77,14 @@
         caller.submit(stages=[URGENT])
         caller.submit(stages=[quick], queue="slow")
         sim.run(seconds=3.0)
-    placer = placer_of(sim)
+    scheduler = scheduler_of(sim)
     assert sim.until(
         cond=lambda: any(
-            k.room.queue == "fast" and k.room.until / 1000 - sim.now > 0.5 for k in placer.warmer.kept.values()
+            k.room.queue == "fast" and k.room.until / 1000 - sim.now > 0.5 for k in scheduler.warm.reservations.values()
         ),
         limit=6.0,
     )
-    minion_ids = {minion_id for k in placer.warmer.kept.values() for minion_id in k.at}
+    minion_ids = {minion_id for k in scheduler.warm.reservations.values() for minion_id in k.tasks_by_minion}
     caller.submit(stages=[{**quick, "task-count": 12}], queue="slow")
     sim.run(seconds=0.1)
     assert any(m.running for m in fleet if m.minion_id in minion_ids)
@@ -95,10 +95,10 @@
 def test_warm_room_dies_with_what_it_rests_on(warm: None, what: str) -> None:
     sim, oracle, caller, fleet = cluster(seed=8300 + len(what), minions=6, work=0.4, edges=2)
     beat(sim=sim, caller=caller, times=14, gap=3.0)
-    placer = placer_of(sim)
-    assert sim.until(cond=lambda: bool(placer.warmer.kept), limit=4.0)
-    kept = next(iter(placer.warmer.kept.values()))
-    victim = next(m for m in fleet if m.minion_id in kept.at)
+    scheduler = scheduler_of(sim)
+    assert sim.until(cond=lambda: bool(scheduler.warm.reservations), limit=4.0)
+    kept = next(iter(scheduler.warm.reservations.values()))
+    victim = next(m for m in fleet if m.minion_id in kept.tasks_by_minion)
     if what == "kill":
         ip = sim.serving(group_id=1)[0]
         sim.kill(ip=ip)
@@ -135,26 +135,30 @@
             == 200
         )
     sim.run(seconds=8.0)
-    placer = placer_of(sim)
-    for one in placer.warmer.kept.values():
-        assert victim.minion_id not in one.at or what in ("kill", "config")
+    scheduler = scheduler_of(sim)
+    for one in scheduler.warm.reservations.values():
+        assert victim.minion_id not in one.tasks_by_minion or what in ("kill", "config")
         assert what != "config" or one.room.queue != "fast"
-    spots = placer.room.spots.values()
-    assert all(s.keep == (0, 0, 0) for s in spots if not any(s.minion_id in k.at for k in placer.warmer.kept.values()))
+    minions = scheduler.context.capacity.minions.values()
+    assert all(
+        m.warm_reserved == (0, 0, 0)
+        for m in minions
+        if not any(m.minion_id in k.tasks_by_minion for k in scheduler.warm.reservations.values())
+    )
     if what != "config":
         ended(sim=sim, oracle=oracle, caller=caller)
     assert oracle.broken == []
 
 
-def history(placer: Placer) -> Any:
-    return placer.history.dump()
+def history(scheduler: Scheduler) -> Any:
+    return scheduler.context.history.dump()
 
 
 def test_history_outlives_kills_and_a_change_of_primary(warm: None) -> None:
     sim, oracle, caller, _ = cluster(seed=8401, minions=4, work=0.4)
     beat(sim=sim, caller=caller, times=8, gap=2.0)
     sim.run(seconds=2.0)
-    before = history(placer_of(sim))
+    before = history(scheduler_of(sim))
     for _ in range(2):
         sim.kill(ip=sim.serving(group_id=1)[0], power=True)
         assert sim.until(cond=lambda: bool(sim.serving(group_id=1)), limit=8.0)
@@ -162,7 +166,7 @@
             if not sim.procs[ip].up:
                 sim.boot(ip=ip)
         sim.run(seconds=4.0)
-        assert history(placer_of(sim)) == before
+        assert history(scheduler_of(sim)) == before
     ended(sim=sim, oracle=oracle, caller=caller)
 
 
@@ -198,10 +202,10 @@
 def test_off_keeps_nothing() -> None:
     sim, oracle, caller, fleet = cluster(seed=8601, minions=4, work=0.4)
     beat(sim=sim, caller=caller, times=14, gap=3.0)
-    placer = placer_of(sim)
-    assert not placer.warmer.kept
+    scheduler = scheduler_of(sim)
+    assert not scheduler.warm.reservations
     assert not minions_used(fleet)
-    assert placer.figures()["warm"]["on"] is False
-    assert placer.figures()["warm"]["core-s-held"] == 0
-    assert history(placer) == History().dump()
+    assert scheduler.figures()["warm"]["on"] is False
+    assert scheduler.figures()["warm"]["core-s-held"] == 0
+    assert history(scheduler) == History().dump()
     ended(sim=sim, oracle=oracle, caller=caller)
--- a/tests/support/binding_explorer.py
+++ b/tests/support/binding_explorer.py
@@ -28,7 +28,7 @@
     words = {line for line in lines if all(what == "CAPACITY_REPORT" for _, what, _ in w.lines[line])}
     out: list[Choice] = [("deliver", *line) for line in lines if line not in words]
     out[:0] = [("rooms",)] if words else []
-    out += [("write", group_id) for group_id in w.placers if w.replica(group_id=group_id).queue]
+    out += [("write", group_id) for group_id in w.schedulers if w.replica(group_id=group_id).queue]
     idle = [m for m in w.minis.values() if m.sent < 0]
     out += [("beat", m.minion_id) for m in idle if w.now >= m.due]
     ends = [
@@ -42,7 +42,7 @@
     out += [("end", minion_id, t, how) for minion_id, t, how, ripe in ends if not ripe]
     out += [("end", minion_id, t, "failed") for minion_id, t, _, _ in ends]
     out += [("lose", *line) for line in lines if w.lines[line][0][1] not in ("CLUSTER_UPDATE", "MARK")]
-    for group_id in w.placers:
+    for group_id in w.schedulers:
         out.append(("die", group_id, False))
         if w.replica(group_id=group_id).queue:
             out.append(("die", group_id, True))
@@ -84,7 +84,7 @@
                 m.end(task=task, how="lapsed")
     for a in w.agents.values():
         a.tick()
-    for p in w.placers.values():
+    for p in w.schedulers.values():
         p.tick()
     for src, dst in sorted(w.torn):
         if (src, dst) not in w.lines:
@@ -138,16 +138,16 @@
     """What is not settled yet: jobs not done in the record, room not back at the agents or in a placing node's table,
     what a placing node still remembers of runs and requests that are no more."""
     out = []
-    for group_id, p in w.placers.items():
-        out += [f"job {job_id}" for job_id, job in p.jobs.jobs.items() if not job.has_ended]
-        out += [f"held {t} by {w.node_id(group_id=group_id)}" for t in p.held] + [
-            f"ask {request_id} of {w.node_id(group_id=group_id)}" for request_id in p.asks
+    for group_id, p in w.schedulers.items():
+        out += [f"job {job_id}" for job_id, job in p.context.jobs.jobs.items() if not job.has_ended]
+        out += [f"held {t} by {w.node_id(group_id=group_id)}" for t in p.context.leases.by_task] + [
+            f"ask {request_id} of {w.node_id(group_id=group_id)}" for request_id in p.binding.open_requests
         ]
         out += [f"write {group_id}"] if w.replica(group_id=group_id).queue else []
         out += [
             f"room of {minion_id} at {w.node_id(group_id=group_id)}"
             for minion_id in w.minis
-            if (s := p.room.spots.get(minion_id)) is None or not s.open or s.free != s.cap
+            if (s := p.context.capacity.minions.get(minion_id)) is None or not s.is_open or s.free != s.total
         ]
     for a in w.agents.values():
         out += [f"lease {lease_id} on {m.minion_id}" for m in a.minions.values() for lease_id in m.leases]
@@ -167,7 +167,7 @@
     return not any(m.running or m.ends for m in w.minis.values()) and not left(w)
 
 
-SKIP = frozenset({"w", "hub", "rep", "agent", "warmer", "serial"})
+SKIP = frozenset({"w", "hub", "rep", "agent", "warm", "serial"})
 
 
 def plain(x: Any, seen: set[int]) -> Any:
@@ -200,7 +200,7 @@
     nums = {n: i for i, n in enumerate(sorted(n for rows in w.lines.values() for n, _, _ in rows))}
     document = {
         "w": {k: plain(v, set()) for k, v in vars(w).items() if k not in ("lines", "serial")},
-        "q": {group_id: plain(w.replica(group_id=group_id).queue, set()) for group_id in w.placers},
+        "q": {group_id: plain(w.replica(group_id=group_id).queue, set()) for group_id in w.schedulers},
         "l": {f"{a}>{b}": [[nums[n], what, body] for n, what, body in rows] for (a, b), rows in w.lines.items()},
         "p": {node_id: a.environment.prims for node_id, a in w.agents.items()},  # type: ignore[attr-defined]
     }
--- a/tests/support/binding_model.py
+++ b/tests/support/binding_model.py
@@ -11,6 +11,7 @@
 from yarrowloom.agent.messages import AGENT_MESSAGES
 from yarrowloom.cluster_state.routing_table import Route
 from yarrowloom.common.defaults import SHIPPED
+from yarrowloom.common.effects import Effect
 from yarrowloom.common.records import decode
 from yarrowloom.jobs.model import TaskState
 from yarrowloom.jobs.state_machine import Jobs
@@ -18,7 +19,9 @@
 from yarrowloom.jobs.task_name import task_name
 from yarrowloom.prediction import History
 from yarrowloom.replication.replica import Replica
-from yarrowloom.scheduling.scheduler import Placer
+from yarrowloom.scheduling import OrderRuns, SchedulerEnvironment, StopRuns
+from yarrowloom.scheduling.scheduler import Scheduler
+from yarrowloom.transport.effects import Reply, SendMessage
 from yarrowloom.transport.envelope import Kind
 from yarrowloom.transport.http_server import Response
 from yarrowloom.transport.message import Message
@@ -59,31 +62,39 @@
     group_id: int
     state_epoch: int
     state: Jobs
-    queue: list[tuple[dict[str, Any] | None, Choice | None]] = field(default_factory=list)
+    queue: list[tuple[dict[str, Any] | None, Effect | None]] = field(default_factory=list)
 
     def is_serving(self) -> bool:
         return True
 
-    def commit(self, *, event: dict[str, Any], then: Choice | None = None) -> Any:
+    def commit(self, *, event: dict[str, Any], then: Effect | None = None) -> Any:
         if event["t"] == "start":
             step = self.state.jobs[event["id"]].step_of(unit_key=event["u"])
             need(not step.is_gang or len(event["x"]) == step.task_count, "GANG", "below its criterion", event)
             if then is not None:
-                rows = then[2]
-                need(len({(h.agent, h.lease_id) for *_, h in rows}) == len(event["x"]), "LEASE", "shared", event)
-                for *_, h in rows:
-                    self.w.holds(node_id=self.w.node_id(group_id=self.group_id), agent=h.agent, lease_id=h.lease_id)
+                assert isinstance(then, OrderRuns)
+                leases = [run.lease for run in then.runs]
+                need(
+                    len({(lease.agent_id, lease.lease_id) for lease in leases}) == len(event["x"]),
+                    "LEASE",
+                    "shared",
+                    event,
+                )
+                for lease in leases:
+                    self.w.holds(
+                        node_id=self.w.node_id(group_id=self.group_id), agent=lease.agent_id, lease_id=lease.lease_id
+                    )
         out = self.state.apply(event)
         self.queue.append((event, then))
         return out
 
-    def barrier(self, *, then: Choice) -> None:
+    def barrier(self, *, then: Effect) -> None:
         if self.queue:
             self.queue.append((None, then))
         else:
             self.w.effect(group_id=self.group_id, effect=then)
 
-    def write(self) -> list[Choice]:
+    def write(self) -> list[Effect]:
         """All that waits is durable: what follows from it."""
         rows, self.queue = self.queue, []
         for event, _ in rows:
@@ -255,7 +266,7 @@
             for node_id, minion_id in (("a1", "i1"), ("a2", "i2"))
         }
         self.agents: dict[str, Agent] = {}
-        self.placers: dict[int, Placer] = {}
+        self.schedulers: dict[int, Scheduler] = {}
         for group_id in (1, 2):
             self.rise(group_id=group_id, n=1)
         for m in self.minis.values():
@@ -271,7 +282,7 @@
     # -- placing nodes
 
     def node_id(self, *, group_id: int) -> str:
-        return str(self.placers[group_id].environment.node_id)
+        return str(self.schedulers[group_id].context.environment.node_id)
 
     def rise(self, *, group_id: int, n: int) -> None:
         """A placing node begins with what is durable."""
@@ -279,51 +290,45 @@
         for event in self.log[group_id]:
             jobs.apply(orjson.loads(orjson.dumps(event)))
         replica = Rep(w=self, group_id=group_id, state_epoch=n, state=jobs)
-        self.placers[group_id] = Placer(
+        self.schedulers[group_id] = Scheduler(
             defaults=SHIPPED,
             history=History(),
             group_id=group_id,
-            environment=ReplicaEnvironment(w=self, node_id=f"p{group_id}.{n}"),
+            environment=cast(SchedulerEnvironment, ReplicaEnvironment(w=self, node_id=f"p{group_id}.{n}")),
             replica=cast(Replica, replica),
             jobs=jobs,
-            far=2.0,
-            status_s=120.0,
+            remote_factor=2.0,
+            retention_s=120.0,
         )
 
     def replica(self, *, group_id: int) -> Rep:
-        return cast(Rep, self.placers[group_id].replica)
+        return cast(Rep, self.schedulers[group_id].context.replica)
 
     def put(self, *, job_id: str, stages: list[dict[str, Any]]) -> None:
         """A job is handed in."""
         group_id = 1 + int(job_id[:8], 16) % 2
         row = parse_submission(body=orjson.dumps({"task-spec": f"spec-{job_id}", "stages": stages}))
         self.size[job_id] = stages[0]["cpus"]
-        self.placers[group_id].call(
+        self.schedulers[group_id].call(
             node_id="edge",
             request_id=1,
-            op="put",
-            b={"id": job_id, "q": "q", "j": {**row.document(), "svc": "s", "mt": 3}},
+            operation="put",
+            arguments={"id": job_id, "q": "q", "j": {**row.document(), "svc": "s", "mt": 3}},
         )
         for effect in self.replica(group_id=group_id).write():
             self.effect(group_id=group_id, effect=effect)
 
-    def effect(self, *, group_id: int, effect: Choice) -> None:
+    def effect(self, *, group_id: int, effect: Effect) -> None:
         """As in `node/core.py`."""
-        p = self.placers[group_id]
-        if effect[0] == "orders":
-            p.orders(effect[2])
-        elif effect[0] == "stops":
-            p.stops(effect[2])
-        elif effect[0] == "endsok":
-            p.environment.send(
-                node_id=effect[2],
-                kind=Kind.TASK_ENDS_ACK,
-                body={"g": effect[1], "m": effect[3], "f": effect[4], "x": effect[5]},
-            )
-        elif effect[0] == "send":
-            p.environment.send(node_id=effect[1], kind=Kind(effect[2]), body=effect[3])
+        scheduler = self.schedulers[group_id]
+        if isinstance(effect, OrderRuns):
+            scheduler.order_runs(effect)
+        elif isinstance(effect, StopRuns):
+            scheduler.stop_runs(effect)
+        elif isinstance(effect, SendMessage):
+            scheduler.context.environment.send_message(node_id=effect.node_id, message=effect.message)
         else:
-            need(effect[0] == "reply", "EFFECT", effect[0])
+            need(isinstance(effect, Reply), "EFFECT", effect)
 
     def durable(self, *, task: str) -> bool:
         job_id, k, s, i = task.split(".")
@@ -380,9 +385,9 @@
     def gap(self, *, src: str, dst: str) -> None:
         if dst in self.agents:
             self.agents[dst].on_lost_messages(node_id=src)
-        for p in self.placers.values():
-            if p.environment.node_id == dst:
-                p.gap(node_id=src)
+        for scheduler in self.schedulers.values():
+            if scheduler.context.environment.node_id == dst:
+                scheduler.on_messages_lost(node_id=src)
 
     def take(self, *, src: str, dst: str, what: str, b: dict[str, Any]) -> None:
         """As in `node/core.py`."""
@@ -395,9 +400,9 @@
         elif dst in self.agents:
             self.agent(a=self.agents[dst], src=src, kind=Kind[what], b=b)
         else:
-            p = self.placers[b["g"]]
-            if p.environment.node_id == dst:
-                self.placer(p=p, src=src, kind=Kind[what], b=b)
+            scheduler = self.schedulers[b["g"]]
+            if scheduler.context.environment.node_id == dst:
+                scheduler.on_message(node_id=src, kind=Kind[what], body=b)
 
     def agent(self, *, a: Agent, src: str, kind: Kind, b: dict[str, Any]) -> None:
         if kind is Kind.TASK_ORDERS:
@@ -415,18 +420,3 @@
     @staticmethod
     def to_agent(*, a: Agent, src: str, kind: Kind, b: dict[str, Any]) -> None:
         a.on_message(node_id=src, message=decode(b, into=AGENT_MESSAGES[kind]))
-
-    def placer(self, *, p: Placer, src: str, kind: Kind, b: dict[str, Any]) -> None:
-        if kind is Kind.CLAIM_MINIONS:
-            p.claim(node_id=src, b=b)
-        elif kind is Kind.TASK_ENDS:
-            p.ends(node_id=src, b=b)
-        elif kind is Kind.LEASE_GRANT:
-            p.grant(node_id=src, b=b)
-        elif kind is Kind.CAPACITY_REPORT:
-            p.room.report(node_id=src, rows=b["x"], shut=b["shut"], now=self.now)
-            p.pump()
-        elif kind is Kind.ORDERS_REJECTED and b["n"] == p.replica.state_epoch:
-            p.void(rows=b["x"])
-        elif kind is Kind.ATTACHMENT_VERDICT and b["n"] == p.replica.state_epoch:
-            p.void(rows=[[b["m"], b["seq"], t, r] for t, r in b["x"]])
--- a/tests/transport/test_lanes.py
+++ b/tests/transport/test_lanes.py
@@ -294,14 +294,14 @@
     ip = sim.serving(group_id=1)[0]
     node = sim.core(ip)
     taken: list[int] = []
-    placer = node.placers[1]
-    real = placer.call
+    scheduler = node.schedulers[1]
+    real = scheduler.call
 
-    def call(*, node_id: str, request_id: int, op: str, b: dict[str, Any]) -> None:
+    def call(*, node_id: str, request_id: int, operation: str, arguments: dict[str, Any]) -> None:
         taken.append(request_id)
-        real(node_id=node_id, request_id=request_id, op=op, b=b)
+        real(node_id=node_id, request_id=request_id, operation=operation, arguments=arguments)
 
-    placer.call = call  # type: ignore[method-assign]
+    scheduler.call = call  # type: ignore[method-assign]
     m = {"rid": 7, "g": 1, "op": "count", "b": {"q": "fast"}}
     node.replicas[1].commit(event={"t": "forget", "ids": []})  # an answer must wait for this event
     for _ in range(5):
--- a/yarrowloom/node/core.py
+++ b/yarrowloom/node/core.py
@@ -17,10 +17,10 @@
 from ..replication.handover import copied_elsewhere, may_end
 from ..replication.log_replay import ReplayError
 from ..replication.messages import RECORD_KINDS
-from ..scheduling import Placer
+from ..scheduling import OrderRuns, Scheduler, StopRuns
+from ..transport.effects import Reply, SendMessage
 from ..transport.envelope import Kind, dump
 from ..transport.http_server import Request
-from ..transport.message import Message
 from .controller import LEASE_S
 from .core_environment import CoreEnvironment
 from .edge_relays import EdgeRelays
@@ -63,6 +63,10 @@
         self.relays = EdgeRelays()
         self._effect_handlers: dict[type[Effect], Callable[[Any], None]] = {
             NoEffect: lambda _effect: None,
+            SendMessage: self._send_message,
+            Reply: self._respond_to_call,
+            StopRuns: self._stop_runs,
+            OrderRuns: self._order_runs,
         }
         self._handlers: dict[Kind, Callable[..., None]] = {
             Kind.HEARTBEAT: self._on_heartbeat,
@@ -80,11 +84,7 @@
             "none": self._none,
             "reply": self._reply,
             "publish": self._publish,
-            "send-message": self._send_message,
             "owned": self._owned,
-            "stops": self._stops,
-            "orders": self._orders,
-            "endsok": self._endsok,
             "own-heartbeat-ack": self._own_heartbeat_ack,
         }
 
@@ -117,8 +117,11 @@
     def _publish(self, update: ClusterUpdate) -> None:
         self.apply_update(update=update)
 
-    def _send_message(self, node_id: str, message: Message) -> None:
-        self.send_message(node_id=node_id, message=message)
+    def _send_message(self, effect: SendMessage) -> None:
+        self.send_message(node_id=effect.node_id, message=effect.message)
+
+    def _respond_to_call(self, effect: Reply) -> None:
+        self.reply(node_id=effect.node_id, request_id=effect.request_id, status=effect.status, document=effect.document)
 
     def _owned(self, minion_ids: list[str]) -> None:
         if self.chief is not None:
@@ -127,16 +130,13 @@
     def _own_heartbeat_ack(self, ack: HeartbeatAck) -> None:
         self._apply_heartbeat_ack(node_id=self.node_id, ack=ack)
 
-    def _stops(self, group_id: int, rows: list[Any]) -> None:
-        if group_id in self.placers:
-            self.placers[group_id].stops(rows)
-
-    def _orders(self, group_id: int, rows: list[Any]) -> None:
-        if group_id in self.placers and self.replicas[group_id].is_serving():
-            self.placers[group_id].orders(rows)
+    def _stop_runs(self, effect: StopRuns) -> None:
+        if effect.group_id in self.schedulers:
+            self.schedulers[effect.group_id].stop_runs(effect)
 
-    def _endsok(self, group_id: int, node_id: str, minion_id: str, fence: int, rows: list[Any]) -> None:
-        self.send(node_id=node_id, kind=Kind.TASK_ENDS_ACK, body={"g": group_id, "m": minion_id, "f": fence, "x": rows})
+    def _order_runs(self, effect: OrderRuns) -> None:
+        if effect.group_id in self.schedulers and self.replicas[effect.group_id].is_serving():
+            self.schedulers[effect.group_id].order_runs(effect)
 
     # -- inputs
 
@@ -177,10 +177,8 @@
     def _on_capacity_report(self, *, node_id: str, m: Any) -> None:
         if "v" in m:
             self.agent.on_capacity_summary(decode(m, into=CapacitySummary))
-        elif m["g"] in self.placers:
-            placer = self.placers[m["g"]]
-            placer.room.report(node_id=m["u"], rows=m["x"], shut=m["shut"], now=self.now)
-            placer.pump()
+        elif m["g"] in self.schedulers:
+            self.schedulers[m["g"]].on_message(node_id=m["u"], kind=Kind.CAPACITY_REPORT, body=m)
 
     def _on_call(self, *, node_id: str, m: Any) -> None:
         group_id, request_id, op, b = m["g"], m["rid"], m["op"], m["b"]
@@ -206,7 +204,7 @@
         elif group_id == 0:
             self.registry_calls.serve(node_id=node_id, request_id=request_id, operation=op, body=b)
         else:
-            self.placers[group_id].call(node_id=node_id, request_id=request_id, op=op, b=b)
+            self.schedulers[group_id].call(node_id=node_id, request_id=request_id, operation=op, arguments=b)
 
     def too_late(self, *, node_id: str, m: dict[str, Any]) -> None:
         """A call about jobs waited until its caller is about to give up: it is not taken and never will be, unless a
@@ -243,20 +241,8 @@
     def _jobs(self, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
         if kind in AGENT_MESSAGES:
             self.agent.on_message(node_id=node_id, message=decode(m, into=AGENT_MESSAGES[kind]))
-        elif m["g"] in self.placers and self.replicas[m["g"]].is_serving():
-            p = self.placers[m["g"]]
-            if kind is Kind.CLAIM_MINIONS:
-                p.claim(node_id=node_id, b=m)
-            elif kind is Kind.TASK_ENDS:
-                p.ends(node_id=node_id, b=m)
-            elif kind is Kind.LEASE_GRANT:
-                p.grant(node_id=node_id, b=m)
-            elif kind is Kind.MINION_LOST:
-                p.lost(node_id=node_id, b=m)
-            elif kind is Kind.ORDERS_REJECTED and m["n"] == self.replicas[m["g"]].state_epoch:
-                p.void(rows=m["x"])
-            elif kind is Kind.ATTACHMENT_VERDICT and m["n"] == self.replicas[m["g"]].state_epoch:
-                p.void(rows=[[m["m"], m["seq"], t, r] for t, r in m["x"]])
+        elif m["g"] in self.schedulers and self.replicas[m["g"]].is_serving():
+            self.schedulers[m["g"]].on_message(node_id=node_id, kind=kind, body=m)
 
     def _on_heartbeat(self, *, node_id: str, m: Any) -> None:
         heartbeat = decode(m, into=Heartbeat)
@@ -268,7 +254,7 @@
         if self.chief is not None and self.replicas[0].is_serving():
             ack = self._with_controller_part(ack=ack, own=self.chief.on_heartbeat(heartbeat=heartbeat))
             if ack.owned or ack.disowned:
-                self.replicas[0].barrier(then=("send-message", heartbeat.node_id, ack))
+                self.replicas[0].barrier(then=SendMessage(node_id=heartbeat.node_id, message=ack))
                 return
         self.send_message(node_id=heartbeat.node_id, message=ack)
 
@@ -348,11 +334,11 @@
 
     def gap_place(self, *, node_id: str) -> None:
         """Perhaps what an agent told a scheduler."""
-        for placer in self._serving_placers():
-            placer.gap(node_id=node_id)
+        for scheduler in self._serving_schedulers():
+            scheduler.on_messages_lost(node_id=node_id)
 
-    def _serving_placers(self) -> list[Placer]:
-        return [placer for group_id, placer in self.placers.items() if self.replicas[group_id].is_serving()]
+    def _serving_schedulers(self) -> list[Scheduler]:
+        return [scheduler for group_id, scheduler in self.schedulers.items() if self.replicas[group_id].is_serving()]
 
     def tick(self) -> None:
         """About twenty times a second: all that goes by time."""
@@ -371,8 +357,8 @@
 
     def place_chores(self) -> None:
         """Placing: may take long, so a busy process does it less often."""
-        for placer in self._serving_placers():
-            placer.tick()
+        for scheduler in self._serving_schedulers():
+            scheduler.tick()
         self._flush()
 
     def pulse(self) -> None:
--- a/yarrowloom/node/core_environment.py
+++ b/yarrowloom/node/core_environment.py
@@ -16,7 +16,7 @@
 from ..jobs.state_machine import Jobs
 from ..prediction import History
 from ..replication import Epoch, Replica
-from ..scheduling import Placer
+from ..scheduling import Scheduler
 from ..transport.envelope import Kind, dump
 from ..transport.http_server import Response
 from .controller import Chief
@@ -44,7 +44,7 @@
         defaults: Values that operators may tune by a file.
         jobs: The states of the job groups, by group id.
         replicas: This node's replicas of all groups, by group id.
-        placers: The schedulers of the job groups that are served here, by group id.
+        schedulers: The schedulers of the job groups that are served here, by group id.
         chief: The controller; None: group 0 is not served here.
         agent: The agent of the minions that are owned here.
         membership: The core members as this node knows them.
@@ -90,7 +90,7 @@
             if epoch is not None:
                 self.epochs.by_group[group_id] = epoch
             self.replicas[group_id] = Replica(group_id=group_id, environment=self, state=state, epoch=epoch)
-        self.placers: dict[int, Placer] = {}
+        self.schedulers: dict[int, Scheduler] = {}
         self.chief: Chief | None = None
         self.agent = self._make_agent()
         self.agent_lease_expires = -math.inf
@@ -150,20 +150,20 @@
             self.chief = Chief(node=self, late=previous if previous != self.node_id else "")
             self._publish_registry()
         else:
-            self.placers[group_id] = Placer(
+            self.schedulers[group_id] = Scheduler(
                 defaults=self.defaults,
                 history=self.job_histories[group_id],
                 group_id=group_id,
                 environment=self,
                 replica=self.replicas[group_id],
                 jobs=self.jobs[group_id],
-                far=self.settings.spread_factor,
-                status_s=self.settings.job_status_s,
+                remote_factor=self.settings.spread_factor,
+                retention_s=self.settings.job_status_s,
             )
 
     def deposed(self, *, group_id: int) -> None:
         """It no longer does."""
-        self.placers.pop(group_id, None)
+        self.schedulers.pop(group_id, None)
         if group_id == 0:
             self.chief = None
 
@@ -273,8 +273,8 @@
 
     def configured(self) -> None:
         """A newer configuration is in force here."""
-        for placer in self.placers.values():
-            placer.configured()
+        for scheduler in self.schedulers.values():
+            scheduler.on_config_change()
 
     # -- group 0
 
@@ -368,6 +368,6 @@
                 m.minion_id: {"phase": m.phase.value, "free": list(m.free()), "runs": len(m.runs)}
                 for m in self.agent.minions.values()
             },
-            "backlog": {str(group_id): len(p.backlog) for group_id, p in self.placers.items()},
-            "placing": {str(group_id): p.figures() for group_id, p in self.placers.items()},
+            "backlog": {str(group_id): p.waiting_groups() for group_id, p in self.schedulers.items()},
+            "placing": {str(group_id): p.figures() for group_id, p in self.schedulers.items()},
         }
--- a/yarrowloom/node/http_routes.py
+++ b/yarrowloom/node/http_routes.py
@@ -134,7 +134,7 @@
         node.respond(call=call, response=Response.of(400, {"error": "not a job id"}))
         return
     group_id = group_of(job_id=job_id, groups=JOB_GROUPS)
-    if group_id in node.placers and node.replicas[group_id].is_serving():
+    if group_id in node.schedulers and node.replicas[group_id].is_serving():
         job = node.jobs[group_id].jobs.get(job_id)
         node.respond(
             call=call,
@@ -146,7 +146,7 @@
                     "id": job_id,
                     "queue": job.queue,
                     "state": job.state.value,
-                    "groups": node.placers[group_id].explain(job_id=job_id),
+                    "groups": node.schedulers[group_id].explain(job_id=job_id),
                 },
             ),
         )
--- a/yarrowloom/replication/batch.py
+++ b/yarrowloom/replication/batch.py
@@ -3,6 +3,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from ..common.effects import AnyEffect
+
 
 @dataclass(slots=True, kw_only=True)
 class Batch:
@@ -14,7 +16,7 @@
     first: int
     last: int
     events: list[dict[str, Any]]
-    effects: list[tuple[Any, ...]]
+    effects: list[AnyEffect]
     begun_at: float
     sent_at: float = 0.0
     local_durable: bool = False
--- a/yarrowloom/replication/environment.py
+++ b/yarrowloom/replication/environment.py
@@ -6,6 +6,7 @@
 
 import orjson
 
+from ..common.effects import AnyEffect
 from ..transport.envelope import Kind, dump
 from .epoch import Epoch
 
@@ -50,7 +51,7 @@
     def write(self, *, record: dict[str, Any], done: tuple[Any, ...]) -> None:
         """To disk; `done` comes back as an effect once synced."""
 
-    def effect(self, *, effect: tuple[Any, ...]) -> None:
+    def effect(self, *, effect: AnyEffect) -> None:
         """Carry out an effect that is now durable."""
 
     def partners(self, *, first: Sequence[str]) -> list[str]:
--- a/yarrowloom/replication/replica.py
+++ b/yarrowloom/replication/replica.py
@@ -2,6 +2,7 @@
 
 from typing import Any
 
+from ..common.effects import AnyEffect
 from ..common.records import decode
 from ..transport.envelope import Kind
 from .batch import Batch
@@ -32,7 +33,7 @@
         self.last_heartbeat = 0.0
         self.resting_until = 0.0
         self.election: Election | None = None
-        self.pending_events: list[tuple[dict[str, Any] | None, tuple[Any, ...] | None]] = []
+        self.pending_events: list[tuple[dict[str, Any] | None, AnyEffect | None]] = []
         self.in_flight: Batch | None = None
         self.next_review = 0.0
         self.resumed_at = 0.0  # when this process last stood still: silence counts from then
@@ -58,7 +59,7 @@
         """May act as the primary right now."""
         return self.role is Role.PRIMARY and self.lease.valid()
 
-    def commit(self, *, event: dict[str, Any], then: tuple[Any, ...] | None = None) -> Any:
+    def commit(self, *, event: dict[str, Any], then: AnyEffect | None = None) -> Any:
         """Apply an event; `then` is carried out once it is durable. Only while serving."""
         result = self._apply(event=event)
         self.pending_events.append((event, then))
@@ -84,7 +85,7 @@
         self.last_applied += 1
         return result
 
-    def barrier(self, *, then: tuple[Any, ...]) -> None:
+    def barrier(self, *, then: AnyEffect) -> None:
         """Carry out an effect once all that was applied so far is durable."""
         if self.pending_events:
             self.pending_events.append((None, then))
--- a/yarrowloom/scheduling/__init__.py
+++ b/yarrowloom/scheduling/__init__.py
@@ -1,6 +1,7 @@
-"""Placing nodes: the primary of a job group holds its backlog and feeds agents."""
+"""The scheduler: the primary of a job group holds its waiting work and places it on the agents' minions."""
 
+from .effects import OrderRuns, StopRuns
 from .environment import SchedulerEnvironment
-from .scheduler import Placer
+from .scheduler import Scheduler
 
-__all__ = ["Placer", "SchedulerEnvironment"]
+__all__ = ["OrderRuns", "Scheduler", "SchedulerEnvironment", "StopRuns"]
--- a/yarrowloom/scheduling/admission.py
+++ b/yarrowloom/scheduling/admission.py
@@ -1,101 +1,160 @@
-"""Calls of edges about jobs: handing in, asking, cancelling; and which jobs are not taken."""
+"""Admission: calls of edges about jobs are taken or rejected; a response waits until what it rests on is durable."""
 
 from typing import Any
 
-from ..common.records import decode
+from msgspec import UNSET
+
+from ..common.records import MalformedRecordError, decode
 from ..jobs.model import Job
-from . import job_queue as desk
-from .binding import Binding
-from .job_queue import LATE
-
-
-class Admission(Binding):
-    """Invariant: an answer waits until what it rests on is durable; what is refused never runs."""
-
-    def call(self, *, node_id: str, request_id: int, op: str, b: dict[str, Any]) -> None:
-        """A caller's request; the answer waits until what it rests on is durable."""
-        job_id = b.get("id", "")
-        job = self.jobs.jobs.get(job_id)
-        if op == "put":
-            self._put(node_id=node_id, request_id=request_id, b=b, job_id=job_id, job=job)
-        elif op == "count" and "cv" in b and self._unrouted(b=b):
-            self._refuse_route(node_id=node_id, request_id=request_id, b=b)
-        elif op == "count":
-            self.replica.barrier(
-                then=("reply", node_id, request_id, 200, {"pending": self.jobs.pending_by_queue.get(b["q"], 0)})
-            )
-        elif job is None or job.queue != b["q"]:
-            self.replica.barrier(then=("reply", node_id, request_id, 410, {}))
-        elif op == "get":
-            self.replica.barrier(then=("reply", node_id, request_id, 200, {"state": job.state.value}))
-        elif op == "del":
-            if job.has_ended:
-                self.replica.barrier(then=("reply", node_id, request_id, 200, {}))
-            else:
-                self.effects(
-                    self.replica.commit(
-                        event={"t": "cancel", "id": job_id, "at": int(self.environment.wall_now * 1000)},
-                        then=("reply", node_id, request_id, 200, {}),
-                    )
-                )
-
-    def _put(self, *, node_id: str, request_id: int, b: dict[str, Any], job_id: str, job: Job | None) -> None:
-        if job is not None:
-            self.replica.barrier(then=("reply", node_id, request_id, 200 if job.queue == b["q"] else 409, {}))
-            return
-        if "cv" in b and self._unrouted(b=b):
-            self._refuse_route(node_id=node_id, request_id=request_id, b=b)
+from ..transport.effects import Reply
+from .calls import JobCall
+from .context import SchedulerContext
+from .job_queue import JobQueue
+from .queue_policy import WORTHLESS_AFTER_TARGETS
+
+MAX_LIVE_JOBS = 5000  # jobs that have not ended; what comes beyond is rejected at once and never runs
+OK, BAD_REQUEST, NOT_FOUND, CONFLICT, GONE, TOO_MANY, UNAVAILABLE = 200, 400, 404, 409, 410, 429, 503
+NO_QUEUE = {"error": "no such queue"}
+
+
+class Admission:
+    """Takes the calls. Invariant: a job that was rejected never runs."""
+
+    def __init__(self, *, context: SchedulerContext, job_queue: JobQueue) -> None:
+        self.context = context
+        self.job_queue = job_queue
+
+    def call(self, *, node_id: str, request_id: int, operation: str, arguments: dict[str, Any]) -> bool:
+        """Take a call of a node.
+
+        Args:
+            node_id: The caller.
+            request_id: The caller's number of the call.
+            operation: "put", "get" or "del" of one job, or "count" of a queue's pending jobs.
+            arguments: Of the call, with the encoded keys.
+
+        Returns:
+            Whether a job was admitted.
+        """
+        try:
+            call = decode(arguments, into=JobCall)
+            if operation == "put":
+                return self._submit(node_id=node_id, request_id=request_id, call=call)
+        except MalformedRecordError as error:
+            self._reject(node_id=node_id, request_id=request_id, status=BAD_REQUEST, document={"error": error.text})
+            return False
+        if operation == "count":
+            self._count_pending(node_id=node_id, request_id=request_id, call=call)
+            return False
+        job = self.context.jobs.jobs.get(call.job_id)
+        if job is None or job.queue != call.queue:
+            self._respond(node_id=node_id, request_id=request_id, status=GONE, document={})
+        elif operation == "get":
+            self._respond(node_id=node_id, request_id=request_id, status=OK, document={"state": job.state.value})
+        elif operation == "del":
+            self._cancel(node_id=node_id, request_id=request_id, job_id=call.job_id, job=job)
+        return False
+
+    def _respond(self, *, node_id: str, request_id: int, status: int, document: object) -> None:
+        """Respond once all that was committed so far is durable."""
+        reply = Reply(node_id=node_id, request_id=request_id, status=status, document=document)
+        self.context.replica.barrier(then=reply)
+
+    def _reject(self, *, node_id: str, request_id: int, status: int, document: object) -> None:
+        """Respond at once: the response rests on nothing in the record."""
+        self.context.environment.reply(node_id=node_id, request_id=request_id, status=status, document=document)
+
+    def _count_pending(self, *, node_id: str, request_id: int, call: JobCall) -> None:
+        if self._is_misrouted(call=call):
+            self._reject_route(node_id=node_id, request_id=request_id, call=call)
             return
-        row = {**b["j"], "q": b["q"], "at": int(self.environment.wall_now * 1000)}
-        why = self._refusal(job=decode(row, into=Job))
-        if why:
-            self.environment.reply(node_id=node_id, request_id=request_id, status=429, document={"error": why})
+        pending = self.context.jobs.pending_by_queue.get(call.queue, 0)
+        self._respond(node_id=node_id, request_id=request_id, status=OK, document={"pending": pending})
+
+    def _cancel(self, *, node_id: str, request_id: int, job_id: str, job: Job) -> None:
+        if job.has_ended:
+            self._respond(node_id=node_id, request_id=request_id, status=OK, document={})
             return
-        self.live += 1
-        self.effects(
-            self.replica.commit(
-                event={"t": "job", "id": job_id, "j": row}, then=("reply", node_id, request_id, 200, {})
-            )
+        self.job_queue.commit(
+            {"t": "cancel", "id": job_id, "at": self.context.wall_now_ms},
+            then=Reply(node_id=node_id, request_id=request_id, status=OK, document={}),
+        )
+
+    def _submit(self, *, node_id: str, request_id: int, call: JobCall) -> bool:
+        """Admit a job, unless it is known already, was routed wrongly or can't be taken; True if admitted."""
+        known = self.context.jobs.jobs.get(call.job_id)
+        if known is not None:
+            status = OK if known.queue == call.queue else CONFLICT
+            self._respond(node_id=node_id, request_id=request_id, status=status, document={})
+            return False
+        if self._is_misrouted(call=call):
+            self._reject_route(node_id=node_id, request_id=request_id, call=call)
+            return False
+        submission = call.submission if call.submission is not UNSET else {}
+        document = {**submission, "q": call.queue, "at": self.context.wall_now_ms}
+        reason = self._rejection(job=decode(document, into=Job))
+        if reason:
+            self._reject(node_id=node_id, request_id=request_id, status=TOO_MANY, document={"error": reason})
+            return False
+        self.job_queue.live_jobs += 1
+        self.job_queue.commit(
+            {"t": "job", "id": call.job_id, "j": document},
+            then=Reply(node_id=node_id, request_id=request_id, status=OK, document={}),
         )
-        self.pump()
+        return True
 
-    def _unrouted(self, *, b: dict[str, Any]) -> bool:
-        """Whether an edge routed a call by an older configuration than this node's, in which the queue is gone, or
-        in which the path (told while the edge's may be out of date) is not the queue's.
+    # -- routes
+
+    def _is_misrouted(self, *, call: JobCall) -> bool:
+        """Whether the edge routed a call by an older configuration than this node's, and wrongly.
+
+        That is so if the queue is gone, or if the path (told while the edge's configuration may be out of date) is
+        not the queue's.
         """
-        if self.environment.config_version() <= b["cv"]:
+        environment = self.context.environment
+        if call.config_version is UNSET or environment.config_version() <= call.config_version:
             return False
-        if self.environment.route(name=b["q"]) is None:
+        if environment.route(name=call.queue) is None:
             return True
-        return "at" in b and self.environment.select(host=b["at"][0], path=b["at"][1]) != b["q"]
+        return call.caller_route is not UNSET and self._queue_of(call.caller_route) != call.queue
 
-    def _refuse_route(self, *, node_id: str, request_id: int, b: dict[str, Any]) -> None:
+    def _queue_of(self, caller_route: tuple[str, str]) -> str:
+        host, path = caller_route
+        return self.context.environment.select(host=host, path=path)
+
+    def _reject_route(self, *, node_id: str, request_id: int, call: JobCall) -> None:
         """404 where the path leads nowhere for sure; else the caller is to ask again."""
-        nowhere = "at" in b and not self.environment.select(host=b["at"][0], path=b["at"][1])
-        self.environment.reply(
-            node_id=node_id, request_id=request_id, status=404 if nowhere else 503, document={"error": "no such queue"}
-        )
+        leads_nowhere = call.caller_route is not UNSET and not self._queue_of(call.caller_route)
+        status = NOT_FOUND if leads_nowhere else UNAVAILABLE
+        self._reject(node_id=node_id, request_id=request_id, status=status, document=NO_QUEUE)
 
-    def _refusal(self, *, job: Job) -> str:
-        """Why a job can't be taken: too many in hand, or what waits before it would take so long that it could earn
-        nothing any more.
+    # -- load
+
+    def _rejection(self, *, job: Job) -> str:
+        """Why a job can't be taken; empty if it can.
+
+        Either there are too many, or what waits before it would take so long that it could earn nothing any more.
         """
-        if self.live >= desk.LIVE_MOST:
+        if self.job_queue.live_jobs >= MAX_LIVE_JOBS:
             return "too many jobs in hand"
-        if job.repeat_count or any(s.is_long_running for s in job.steps):
+        if job.repeat_count or any(step.is_long_running for step in job.steps):
             return ""
-        wait = self.expected(service=self.service(job=job), rank=self.rank(job=job))
-        if wait + sum(s.estimate_ms for s in job.steps) > LATE * self.aim(job=job):
+        policy = self.context.policy
+        wait_ms = self.expected_wait_ms(service=policy.service(job=job), rank=policy.rank(job=job))
+        run_ms = sum(step.estimate_ms for step in job.steps)
+        if wait_ms + run_ms > WORTHLESS_AFTER_TARGETS * policy.target_ms(job=job):
             return "would start too late"
         return ""
 
-    def expected(self, *, service: str, rank: int) -> float:
-        """Milliseconds until the work that waits, of this rank and earlier ones, has had room."""
-        shelf = self.room.shelves.get(service)
-        if shelf is None or not shelf.count:
+    def expected_wait_ms(self, *, service: str, rank: int) -> float:
+        """Milliseconds until the work that waits, of this rank and earlier ones, has had its resources."""
+        index = self.context.capacity.services.get(service)
+        if index is None or not index.minion_count:
             return 0.0
-        rows = [row for (s, r), row in self.backlog.load.items() if s == service and r <= rank]
-        return max(
-            sum(row[0] for row in rows) / max(shelf.total.cpu, 1),
-            sum(row[1] for row in rows) / shelf.total.gpu if shelf.total.gpu else 0.0,
-        )
+        waiting = [
+            work
+            for (work_service, work_rank), work in self.context.queue.waiting_work.items()
+            if work_service == service and work_rank <= rank
+        ]
+        core_work, gpu_work = sum(work[0] for work in waiting), sum(work[1] for work in waiting)
+        return max(core_work / max(index.total.millicores, 1), gpu_work / index.total.gpus if index.total.gpus else 0.0)
--- a/yarrowloom/scheduling/binding.py
+++ b/yarrowloom/scheduling/binding.py
@@ -1,322 +1,473 @@
 """Binding: what a cycle decided becomes leases of the agents, then durable starts, then orders."""
 
 from dataclasses import dataclass, field
-from typing import Any
 
-from ..jobs.model import RUNNING, WAITING
+from msgspec import structs
+
+from ..agent.messages import LeaseGrant, LeaseRequest, MinionCount, RejectedOrder, TaskOrder, TaskOrders
+from ..common.resources import NO_RESOURCES, Resources
+from ..jobs.model import RUNNING, WAITING, JobState
 from ..jobs.task_name import task_name
-from ..transport.envelope import Kind
-from .capacity import Size
-from .job_queue import Desk
-from .lease_cache import Held
-from .pod_group import Group, Phase
+from ..prediction import kind_key
+from .attachment import NO_ESTIMATE_MS, Attachments
+from .capacity import MinionCapacity
+from .context import SchedulerContext
+from .effects import OrderRuns, StartedRun
+from .job_queue import JobQueue
+from .lease_cache import HeldLease
+from .pod_group import Phase, PodGroup
 from .scheduling_cycle import Decision
+from .task_ends import TaskEnds
+from .warm_capacity import WarmCapacity
 
-ASK_S = 0.6
-ASKS_PER_EPOCH = 1 << 32
-MARK_S = 2.0  # an earmark for a gang lapses after this long at the agent
-HOPS = 4
+REQUEST_TIMEOUT_S = 0.6
+REQUESTS_PER_EPOCH = 1 << 32  # request numbers of two epochs never meet
+GANG_HOLD_S = 2.0  # an agent holds a gang's lease unused for this long
+MAX_AGENTS_ASKED = 4  # by a request and the redirects that follow it
 
 
 @dataclass(slots=True, kw_only=True)
-class Attempt:
-    """One binding of one group. Invariants: `plan` holds, by minion, the members not yet given a lease; a gang's
-    `rows` start only once no ask is open and none was refused; else all go back.
+class BindingAttempt:
+    """One binding of one group.
+
+    Invariant: a gang's members start only once no request is open and none was refused; else all leases go back.
+
+    Attributes:
+        group: The group.
+        min_count: How many members were placed: all of them must start, if it is a gang.
+        unleased: By minion, the members without a lease.
+        leased: Members with their lease, not started yet.
+        open_requests: Lease requests that have not been answered.
+        has_failed: A request was refused or not answered in time.
     """
 
-    group: Group
-    need: int
-    plan: dict[str, list[int]]
-    rows: list[tuple[int, Held]] = field(default_factory=list)
-    open: int = 0
-    bad: bool = False
+    group: PodGroup
+    min_count: int
+    unleased: dict[str, list[int]]
+    leased: list[tuple[int, HeldLease]] = field(default_factory=list)
+    open_requests: int = 0
+    has_failed: bool = False
 
+    def take_unleased(self, *, minion_id: str) -> int | None:
+        """A member without a lease: one placed on this minion if there is one, else any other."""
+        members = self.unleased.get(minion_id) or next((rest for rest in self.unleased.values() if rest), None)
+        return members.pop() if members else None
 
-@dataclass(slots=True, kw_only=True)
-class LeaseAsk:
-    """A request to one agent that has not been answered. `on` is (minion, attachment, how many)."""
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class RequestedMinion:
+    """Leases asked for on one minion, under the attachment of that time."""
+
+    minion_id: str
+    attachment: int
+    count: int
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class OpenLeaseRequest:
+    """A request to one agent that has not been answered.
+
+    Attributes:
+        request_id: Its number.
+        agent_id: The agent that was asked.
+        sent_at: Monotonic seconds.
+        size: What each lease is to hold.
+        attempt: The binding that it is a part of.
+        minions: What the cycle chose; empty for a redirect: the agent chooses.
+        count: How many leases.
+        asked_agents: The agents that were asked one after another, this one included.
+    """
 
     request_id: int
-    agent: str
-    at: float
-    size: Size
-    attempt: Attempt
-    on: list[tuple[str, int, int]]
-    n: int
-    been: list[str]
+    agent_id: str
+    sent_at: float
+    size: Resources
+    attempt: BindingAttempt
+    minions: list[RequestedMinion]
+    count: int
+    asked_agents: list[str]
+
+
+class Binding:
+    """Asks agents for leases, records starts and orders them.
 
+    A grant answers a request only if it has its number, which names the epoch too, and comes from the agent asked.
 
-class Binding(Desk):
-    """A grant answers an ask only if it has its number, which names the epoch too, and comes from the agent asked.
+    Invariants: an order leaves only after its start is durable, and only if nothing came in between; a minion's
+    `in_flight` capacity is the sum of the open requests on it.
 
-    Invariant: an order leaves only after its start is durable, and only if nothing came in between; the room's
-    `fly` of a minion is the sum of the open asks on it.
+    Attributes:
+        open_requests: By number, in the order in which they were sent.
+        last_request_id: The newest number; no two epochs of a group share one.
     """
 
-    def __init__(self, **kw: Any) -> None:
-        self.asks: dict[int, LeaseAsk] = {}
-        super().__init__(**kw)
-        self.request_id = (
-            self.replica.state_epoch * ASKS_PER_EPOCH
-        )  # whoever places in another epoch numbers its asks otherwise
+    def __init__(
+        self,
+        *,
+        context: SchedulerContext,
+        job_queue: JobQueue,
+        attachments: Attachments,
+        task_ends: TaskEnds,
+        warm: WarmCapacity,
+    ) -> None:
+        self.context = context
+        self.job_queue = job_queue
+        self.attachments = attachments
+        self.task_ends = task_ends
+        self.warm = warm
+        self.open_requests: dict[int, OpenLeaseRequest] = {}
+        self.last_request_id = context.replica.state_epoch * REQUESTS_PER_EPOCH
 
-    def bind(self, *, group: Group, decision: Decision) -> None:
-        """Cached leases serve at once, agents are asked for the rest, all in parallel: they answer at once, so no
+    # -- lease requests
+
+    def bind(self, *, group: PodGroup, decision: Decision) -> None:
+        """Bind the members that a cycle placed.
+
+        Cached leases serve at once. Agents are asked for the rest, all in parallel: they answer at once, so no
         attempt ever waits for another's.
         """
-        plan: dict[str, list[int]] = {}
-        for idx, minion_id in decision.placed:
-            plan.setdefault(minion_id, []).append(idx)
-        att = Attempt(group=group, need=len(decision.placed), plan=plan)
-        asks: dict[str, list[tuple[str, int, int]]] = {}
-        back: list[Held] = []
-        group.out.update(decision.placed)
-        for minion_id, idxs in plan.items():
-            spot = self.room.spots[minion_id]
-            for held in self.pool.take(minion_id=minion_id, size=group.size, n=len(idxs)):
-                att.rows.append((idxs.pop(), held))
-            if idxs:
-                bare = spot.view.plus(spot.owed).plus(spot.fly, -1)
-                if not bare.holds(Size(0, 0, 0).plus(group.size, len(idxs))):
-                    back += self.pool.clear(minion_id=minion_id)
-                asks.setdefault(spot.agent, []).append((minion_id, spot.seq, len(idxs)))
-        self.release(back)
-        for node_id, on in sorted(asks.items()):
-            for minion_id, _, n in on:
-                self.room.reserve(spot=self.room.spots[minion_id], size=group.size, n=n)
-            self._ask(att=att, agent=node_id, on=on, n=sum(n for _, _, n in on), been=[node_id])
-        self._settle(att=att)
-
-    def _ask(self, *, att: Attempt, agent: str, on: list[tuple[str, int, int]], n: int, been: list[str]) -> None:
-        """Send a request for room: metadata only."""
-        group = att.group
-        avoid = self._there(group=group) if group.apart else {}
-        for minion_id, _, k in on if group.apart else ():
-            avoid[minion_id] -= k  # what is asked for now is not there yet
-        self.request_id += 1
-        att.open += 1
-        self.asks[self.request_id] = LeaseAsk(
-            request_id=self.request_id,
-            agent=agent,
-            at=self.environment.now,
+        unleased: dict[str, list[int]] = {}
+        for member, minion_id in decision.placements:
+            unleased.setdefault(minion_id, []).append(member)
+        attempt = BindingAttempt(group=group, min_count=len(decision.placements), unleased=unleased)
+        group.binding.update(decision.placements)
+        requested: list[RequestedMinion] = []
+        for minion_id, members in unleased.items():
+            minion = self.context.capacity.minions[minion_id]
+            self._use_cached(attempt=attempt, minion=minion)
+            if members:
+                row = RequestedMinion(minion_id=minion_id, attachment=minion.attachment, count=len(members))
+                requested.append(row)
+        self._return_obstructing(group=group, requested=requested)
+        by_agent: dict[str, list[RequestedMinion]] = {}
+        for row in requested:
+            by_agent.setdefault(self.context.capacity.minions[row.minion_id].agent_id, []).append(row)
+        for node_id, minions in sorted(by_agent.items()):
+            self._reserve(minions=minions, size=group.size, sign=1)
+            count = sum(row.count for row in minions)
+            self._request(attempt=attempt, agent_id=node_id, minions=minions, count=count, asked_agents=[node_id])
+        self._settle(attempt=attempt)
+
+    def _use_cached(self, *, attempt: BindingAttempt, minion: MinionCapacity) -> None:
+        members = attempt.unleased[minion.minion_id]
+        cache = self.context.leases.cache
+        for lease in cache.take(minion_id=minion.minion_id, size=attempt.group.size, count=len(members)):
+            attempt.leased.append((members.pop(), lease))
+
+    def _return_obstructing(self, *, group: PodGroup, requested: list[RequestedMinion]) -> None:
+        """Give idle leases back where what is asked for fits only in place of them."""
+        returned: list[HeldLease] = []
+        for row in requested:
+            minion = self.context.capacity.minions[row.minion_id]
+            without_idle = minion.reported.plus(minion.returned).plus(minion.in_flight, -1)
+            if not without_idle.holds(NO_RESOURCES.plus(group.size, row.count)):
+                returned += self.context.leases.cache.take_all(minion_id=row.minion_id)
+        self.context.leases.give_back(returned)
+
+    def _reserve(self, *, minions: list[RequestedMinion], size: Resources, sign: int) -> None:
+        """Count what is asked for on these minions as in flight (`sign` 1), or no longer (-1)."""
+        for row in minions:
+            minion = self.context.capacity.current(minion_id=row.minion_id, attachment=row.attachment)
+            if minion is not None:
+                self.context.capacity.add_in_flight(minion=minion, size=size, count=sign * row.count)
+
+    def _request(
+        self,
+        *,
+        attempt: BindingAttempt,
+        agent_id: str,
+        minions: list[RequestedMinion],
+        count: int,
+        asked_agents: list[str],
+    ) -> None:
+        """Send a lease request: metadata only."""
+        group = attempt.group
+        members_by_minion = self.members_by_minion(group=group) if group.max_per_minion else {}
+        for row in minions if group.max_per_minion else ():
+            members_by_minion[row.minion_id] -= row.count  # what is asked for now is not there yet
+        self.last_request_id += 1
+        attempt.open_requests += 1
+        self.open_requests[self.last_request_id] = OpenLeaseRequest(
+            request_id=self.last_request_id,
+            agent_id=agent_id,
+            sent_at=self.context.now,
             size=group.size,
-            attempt=att,
-            on=on,
-            n=n,
-            been=been,
+            attempt=attempt,
+            minions=minions,
+            count=count,
+            asked_agents=asked_agents,
         )
-        body: dict[str, Any] = {
-            "g": self.group_id,
-            "rid": self.request_id,
-            "svc": group.service,
-            "cpu": group.size.cpu,
-            "mem": group.size.mem,
-            "gpu": group.size.gpu,
-            "req": group.req,
-            "near": group.near,
-            "n": n,
-            "been": been,
-            "apart": group.apart,
-            "avoid": avoid,
-            "on": [[minion_id, k] for minion_id, _, k in on],
-        }
-        if group.gang:
-            body.update(all=True, mark=MARK_S)
-        self.environment.send(node_id=agent, kind=Kind.LEASE_REQUEST, body=body)
-
-    def _there(self, *, group: Group) -> dict[str, int]:
-        """Members that run or are on their way, by minion."""
-        unit = self.jobs.jobs[group.job_id].units[group.key]
-        out: dict[str, int] = {}
-        for minion_id in group.out.values():
-            out[minion_id] = out.get(minion_id, 0) + 1
-        for i in unit.indices(state=RUNNING):
-            out[unit.minion_ids[i]] = out.get(unit.minion_ids[i], 0) + 1
-        return out
-
-    def grant(self, *, node_id: str, b: dict[str, Any]) -> None:
-        """An agent's decision, with what it has left on the minions asked for."""
-        ask = self.asks.get(b["rid"])
-        if ask is not None and ask.agent != node_id:
-            ask = None
-        if ask is not None:
-            del self.asks[ask.request_id]
-            self._landed(ask=ask)
-        if b.get("r"):
-            self.room.report(node_id=node_id, rows=b["r"], shut=[], now=self.environment.now)
-        got: list[Held] = []
-        size = ask.size if ask is not None else Size(*b["size"])
-        for lease_id, minion_id, seq in b["x"]:
-            spot = self.room.spots.get(minion_id)
-            if spot is not None and spot.seq == seq:
-                got.append(
-                    Held(
-                        agent=node_id,
-                        minion_id=minion_id,
-                        lease_id=lease_id,
-                        seq=seq,
-                        since=self.environment.now,
-                        size=size,
-                    )
-                )
-        if ask is None:
-            self.release(got)
-            return
-        att = ask.attempt
-        for held in got:
-            idxs = att.plan.get(held.minion_id) or next((v for v in att.plan.values() if v), None)
-            if idxs:
-                att.rows.append((idxs.pop(), held))
-            else:
-                self.release([held])
-        if len(got) < ask.n:
-            if b["to"] and not att.group.gang and not att.group.apart and len(ask.been) < HOPS:
-                self._ask(att=att, agent=b["to"], on=[], n=ask.n - len(got), been=[*ask.been, b["to"]])
+        message = LeaseRequest(
+            group_id=self.context.group_id,
+            request_id=self.last_request_id,
+            service=group.service,
+            millicores=group.size.millicores,
+            memory_mb=group.size.memory_mb,
+            gpus=group.size.gpus,
+            required_label=group.required_label,
+            preferred_label=group.preferred_label,
+            count=count,
+            asked_agents=asked_agents,
+            max_per_minion=group.max_per_minion,
+            members_by_minion=members_by_minion,
+            minions=[MinionCount(minion_id=row.minion_id, count=row.count) for row in minions],
+        )
+        if group.is_gang:
+            message = structs.replace(message, all_or_nothing=True, hold_s=GANG_HOLD_S)
+        self.context.environment.send_message(node_id=agent_id, message=message)
+
+    def members_by_minion(self, *, group: PodGroup) -> dict[str, int]:
+        """How many members of a group run or are being bound, by minion."""
+        unit = self.context.jobs.jobs[group.job_id].units[group.unit_key]
+        counts: dict[str, int] = {}
+        for minion_id in group.binding.values():
+            counts[minion_id] = counts.get(minion_id, 0) + 1
+        for index in unit.indices(state=RUNNING):
+            counts[unit.minion_ids[index]] = counts.get(unit.minion_ids[index], 0) + 1
+        return counts
+
+    # -- answers
+
+    def take_grant(self, *, node_id: str, grant: LeaseGrant) -> bool:
+        """An agent's decision, with what is left free on the minions that were asked for.
+
+        Returns:
+            Whether it answers an open request; else its leases are given back.
+        """
+        request = self.open_requests.get(grant.request_id)
+        if request is not None and request.agent_id != node_id:
+            request = None
+        if request is not None:
+            self._close(request)
+        if grant.free:
+            self.context.capacity.apply_report(node_id=node_id, rows=grant.free, closed=[], now=self.context.now)
+        leases = self._granted_leases(
+            node_id=node_id, grant=grant, size=request.size if request is not None else grant.size
+        )
+        if request is None:
+            self.context.leases.give_back(leases)
+            return False
+        attempt = request.attempt
+        for lease in leases:
+            member = attempt.take_unleased(minion_id=lease.minion_id)
+            if member is not None:
+                attempt.leased.append((member, lease))
             else:
-                att.bad = True
-        self._settle(att=att)
-        self.pump()
-
-    def silence(self, *, node_id: str) -> None:
-        """An agent fell silent: what it told of its room counts no longer, and it is to tell all of it once it can."""
-        self.room.close(node_id=node_id)
-        self.environment.send(node_id=node_id, kind=Kind.CAPACITY_REPORT_REQUEST, body={"g": self.group_id})
-
-    def _landed(self, *, ask: LeaseAsk) -> None:
-        """An ask is answered or given up: its room no longer flies."""
-        ask.attempt.open -= 1
-        for minion_id, seq, n in ask.on:
-            spot = self.room.spots.get(minion_id)
-            if spot is not None and spot.seq == seq:
-                self.room.reserve(spot=spot, size=ask.size, n=-n)
-
-    def _settle(self, *, att: Attempt) -> None:
-        """Start what may start; once nothing is open, what was refused waits again."""
-        group = att.group
-        live = group.phase is not Phase.GONE
-        fresh = [(i, h) for i, h in att.rows if (s := self.room.spots.get(h.minion_id)) is not None and s.seq == h.seq]
-        if not group.gang:
-            att.rows = []
-            if live and fresh:
-                self.start(group=group, batch=fresh)
+                self.context.leases.give_back([lease])
+        missing = request.count - len(leases)
+        if missing > 0:
+            self._redirect(request=request, agent_id=grant.redirect, count=missing)
+        self._settle(attempt=attempt)
+        return True
+
+    def _granted_leases(self, *, node_id: str, grant: LeaseGrant, size: Resources) -> list[HeldLease]:
+        return [
+            HeldLease(
+                agent_id=node_id,
+                minion_id=granted.minion_id,
+                lease_id=granted.lease_id,
+                attachment=granted.attachment,
+                idle_since=self.context.now,
+                size=size,
+            )
+            for granted in grant.leases
+            if self.context.capacity.current(minion_id=granted.minion_id, attachment=granted.attachment) is not None
+        ]
+
+    def _redirect(self, *, request: OpenLeaseRequest, agent_id: str, count: int) -> None:
+        """Ask the agent that the last one named for the leases that are missing, if the group allows it."""
+        attempt, group = request.attempt, request.attempt.group
+        may_follow = not group.is_gang and not group.max_per_minion and len(request.asked_agents) < MAX_AGENTS_ASKED
+        if agent_id and may_follow:
+            asked_agents = [*request.asked_agents, agent_id]
+            self._request(attempt=attempt, agent_id=agent_id, minions=[], count=count, asked_agents=asked_agents)
+        else:
+            attempt.has_failed = True
+
+    def _close(self, request: OpenLeaseRequest) -> None:
+        """A request is answered or given up: what it asked for is no longer in flight."""
+        del self.open_requests[request.request_id]
+        request.attempt.open_requests -= 1
+        self._reserve(minions=request.minions, size=request.size, sign=-1)
+
+    def give_up_late_requests(self) -> None:
+        """Requests that were not answered in time count as refused.
+
+        An agent that has said nothing since it was asked is asked no more until it is heard again: at high load its
+        minions seem to be the only ones with free capacity.
+        """
+        late: list[OpenLeaseRequest] = []
+        for request in self.open_requests.values():
+            if self.context.now - request.sent_at <= REQUEST_TIMEOUT_S:
+                break
+            late.append(request)
+        last_report = self.context.capacity.last_report
+        silent = {
+            request.agent_id for request in late if last_report.get(request.agent_id, request.sent_at) < request.sent_at
+        }
+        for node_id in sorted(silent):
+            self.attachments.ignore_silent_agent(node_id=node_id)
+        for request in late:
+            self._close(request)
+            request.attempt.has_failed = True
+            self._settle(attempt=request.attempt)
+
+    # -- starts
+
+    def _settle(self, *, attempt: BindingAttempt) -> None:
+        """Start what may start; once no request is open, members that were refused wait again."""
+        group = attempt.group
+        is_live = group.phase is not Phase.GONE
+        valid = [(member, lease) for member, lease in attempt.leased if self._is_valid(lease)]
+        if not group.is_gang:
+            attempt.leased = []
+            if is_live and valid:
+                self._start(group=group, leased=valid)
             else:
-                self.release([h for _, h in fresh])
-        if att.open:
+                self.context.leases.give_back([lease for _, lease in valid])
+        if attempt.open_requests:
             return
-        if group.gang:
-            rows, att.rows = att.rows, []
-            if live and not att.bad and len(fresh) == att.need:
-                self.start(group=group, batch=sorted(fresh, key=lambda r: r[0]))
-            else:
-                self.release([h for _, h in fresh])
-                self.environment.trace(event="gang-put-off", id=group.job_id, unit=group.key, n=att.need, got=len(rows))
-                att.bad = True
-                group.out.clear()
-        left = [i for idxs in att.plan.values() for i in idxs]
-        for i in left:
-            group.out.pop(i, None)
-        if live and (att.bad or left):  # the snapshot was old
-            if group.gang and group.phase is Phase.BOUND:
-                self.backlog.wake(group=group)
-                group.move(Phase.TURN)
-                self.backlog.park(group=group, now=self.environment.now)
-            else:
-                self.backlog.wake(group=group)
-        if live:
-            self.weigh(group=group)
-
-    def start(self, *, group: Group, batch: list[tuple[int, Held]]) -> None:
-        """Record starts; the orders follow once durable."""
-        job_id, key = group.job_id, group.key
-        job = self.jobs.jobs[job_id]
-        unit = job.units[key]
-        top = max(unit.run_ids) if group.gang else 0
-        x: list[tuple[int, int, str]] = []
-        orders: list[Any] = []
-        for i, held in batch:
-            group.out.pop(i, None)
-            if unit.task_states[i] is not WAITING:
-                self.release([held])
+        if group.is_gang:
+            self._settle_gang(attempt=attempt, valid=valid)
+        unleased = [member for members in attempt.unleased.values() for member in members]
+        for member in unleased:
+            group.binding.pop(member, None)
+        if not is_live:
+            return
+        if attempt.has_failed or unleased:
+            self._requeue(group=group)
+        self.job_queue.count_waiting(group=group)
+
+    def _is_valid(self, lease: HeldLease) -> bool:
+        return self.context.capacity.current(minion_id=lease.minion_id, attachment=lease.attachment) is not None
+
+    def _settle_gang(self, *, attempt: BindingAttempt, valid: list[tuple[int, HeldLease]]) -> None:
+        """Start all members, or give all leases back."""
+        group, granted = attempt.group, len(attempt.leased)
+        attempt.leased = []
+        if group.phase is not Phase.GONE and not attempt.has_failed and len(valid) == attempt.min_count:
+            self._start(group=group, leased=sorted(valid, key=lambda row: row[0]))
+            return
+        self.context.leases.give_back([lease for _, lease in valid])
+        self.context.environment.trace(
+            event="gang-binding-failed", id=group.job_id, unit=group.unit_key, n=attempt.min_count, got=granted
+        )
+        attempt.has_failed = True
+        group.binding.clear()
+
+    def _requeue(self, *, group: PodGroup) -> None:
+        """The snapshot was out of date: the group waits again, a gang with backoff."""
+        queue = self.context.queue
+        was_bound = group.phase is Phase.BOUND
+        queue.activate(group=group)
+        if group.is_gang and was_bound:
+            group.transition(Phase.SCHEDULING)
+            queue.mark_unschedulable(group=group, now=self.context.now)
+
+    def _start(self, *, group: PodGroup, leased: list[tuple[int, HeldLease]]) -> None:
+        """Record starts; the orders follow once they are durable."""
+        job_id, unit_key = group.job_id, group.unit_key
+        self._use_warm_capacity(group=group)
+        unit = self.context.jobs.jobs[job_id].units[unit_key]
+        last_gang_run = max(unit.run_ids) if group.is_gang else 0
+        starts: list[StartedRun] = []
+        for index, lease in leased:
+            group.binding.pop(index, None)
+            if unit.task_states[index] is not WAITING:
+                self.context.leases.give_back([lease])
                 continue
-            run = top + 1 if group.gang else unit.run_ids[i] + 1
-            x.append((i, run, held.minion_id))
-            self.held[task_name(job_id=job_id, unit_key=key, index=i)] = held
-            orders.append([job_id, key, i, run, held])
-        if not x:
+            run = 1 + (last_gang_run if group.is_gang else unit.run_ids[index])
+            self.context.leases.by_task[task_name(job_id=job_id, unit_key=unit_key, index=index)] = lease
+            starts.append(StartedRun(job_id=job_id, unit_key=unit_key, index=index, run=run, lease=lease))
+        if not starts:
             return
-        self.environment.trace(
-            event="start",
-            id=job_id,
-            unit=key,
-            queue=job.queue,
-            n=len(x),
-            of=len(unit.task_states),
-            est=group.est,
-            wait=round(self.environment.now - group.since, 2),
-            near=group.near,
-            cycles=group.tries,
+        self._trace_start(group=group, count=len(starts))
+        self.context.nominator.drop(unit_id=group.unit_id, now=self.context.now)
+        self.job_queue.commit(
+            {
+                "t": "start",
+                "id": job_id,
+                "u": unit_key,
+                "x": [(start.index, start.run, start.lease.minion_id) for start in starts],
+                "at": self.context.wall_now_ms,
+            },
+            then=OrderRuns(group_id=self.context.group_id, runs=starts),
         )
-        self.nominator.drop(unit=(job_id, key), now=self.environment.now)
-        self.effects(
-            self.replica.commit(
-                event={"t": "start", "id": job_id, "u": key, "x": x, "at": int(self.environment.wall_now * 1000)},
-                then=("orders", self.group_id, orders),
+        for start in starts:
+            self.context.running.started(job_id=job_id, unit_key=unit_key, index=start.index)
+        self.job_queue.count_waiting(group=group)
+
+    def _use_warm_capacity(self, *, group: PodGroup) -> None:
+        """A job's first tasks use up the capacity kept warm for it."""
+        job = self.context.jobs.jobs[group.job_id]
+        if self.warm.is_on and group.unit_key.startswith("0.") and job.state is JobState.PENDING:
+            self.warm.job_started(
+                queue=job.queue,
+                kind=kind_key(q=job.queue, steps=job.steps),
+                now=self.context.now,
+                wait_ms=self.context.environment.wall_now * 1000 - job.accepted_at_ms,
             )
+
+    def _trace_start(self, *, group: PodGroup, count: int) -> None:
+        job = self.context.jobs.jobs[group.job_id]
+        self.context.environment.trace(
+            event="tasks-started",
+            id=group.job_id,
+            unit=group.unit_key,
+            queue=job.queue,
+            n=count,
+            of=len(job.units[group.unit_key].task_states),
+            est=group.estimate_ms,
+            wait=round(self.context.now - group.waiting_since, 2),
+            near=group.preferred_label,
+            cycles=group.failed_cycles,
         )
-        for i in [row[0] for row in x]:
-            self._began(job_id=job_id, key=key, i=i)
-        self.weigh(group=group)
 
-    def orders(self, rows: list[Any]) -> None:
-        """Starts are durable: order them, unless something came in between."""
-        by: dict[str, list[Any]] = {}
+    # -- orders
+
+    def send_orders(self, runs: list[StartedRun]) -> None:
+        """Starts are durable: order the runs, unless something came in between."""
+        orders: dict[str, list[TaskOrder]] = {}
         specs: dict[str, dict[str, str]] = {}
-        late = []
-        for job_id, key, i, run, held in rows:
-            job, spot = self.jobs.jobs.get(job_id), self.room.spots.get(held.minion_id)
-            if job is None or job.is_trimmed or spot is None or spot.seq != held.seq:
+        cancelled: list[RejectedOrder] = []
+        for started in runs:
+            lease = started.lease
+            job = self.context.jobs.jobs.get(started.job_id)
+            minion = self.context.capacity.current(minion_id=lease.minion_id, attachment=lease.attachment)
+            if job is None or job.is_trimmed or minion is None:
                 continue
-            unit, step = job.units[key], job.step_of(unit_key=key)
-            if not unit.is_running(index=i, run_id=run):
+            if not job.units[started.unit_key].is_running(index=started.index, run_id=started.run):
                 continue
+            order = self._order(started=started)
             if job.has_ended:
-                late.append([held.minion_id, spot.seq, task_name(job_id=job_id, unit_key=key, index=i), run])
+                cancelled.append(
+                    RejectedOrder(
+                        minion_id=order.minion_id, attachment=order.attachment, task=order.task, run=order.run
+                    )
+                )
                 continue
-            by.setdefault(spot.agent, []).append(
-                [
-                    held.minion_id,
-                    spot.seq,
-                    held.lease_id,
-                    task_name(job_id=job_id, unit_key=key, index=i),
-                    run,
-                    unit.saved_progress[0 if step.is_gang else i],
-                    -1 if step.is_long_running else step.estimate_ms,
-                ]
-            )
-            specs.setdefault(spot.agent, {})[job_id] = job.spec
-        for node_id, part in by.items():
-            self.environment.send(
-                node_id=node_id,
-                kind=Kind.TASK_ORDERS,
-                body={"g": self.group_id, "n": self.replica.state_epoch, "sp": specs[node_id], "x": part},
+            orders.setdefault(minion.agent_id, []).append(order)
+            specs.setdefault(minion.agent_id, {})[started.job_id] = job.spec
+        for node_id, agent_orders in orders.items():
+            message = TaskOrders(
+                group_id=self.context.group_id,
+                epoch_number=self.context.replica.state_epoch,
+                specs=specs[node_id],
+                orders=agent_orders,
             )
-        if late:
-            self.void(rows=late)
+            self.context.environment.send_message(node_id=node_id, message=message)
+        if cancelled:
+            self.task_ends.never_started(cancelled)
 
-    def give_up(self) -> None:
-        """Asks that were not answered in time count as refused. An agent that has said nothing since it was asked is
-        asked no more until it is heard again: at high load its minions seem to be the only ones with room.
-        """
-        now = self.environment.now
-        late: list[LeaseAsk] = []
-        for ask in self.asks.values():
-            if now - ask.at <= ASK_S:
-                break
-            late.append(ask)
-        for node_id in sorted({ask.agent for ask in late if self.room.heard.get(ask.agent, ask.at) < ask.at}):
-            self.silence(node_id=node_id)
-        for ask in late:
-            del self.asks[ask.request_id]
-            self._landed(ask=ask)
-            ask.attempt.bad = True
-            self._settle(att=ask.attempt)
+    def _order(self, *, started: StartedRun) -> TaskOrder:
+        job = self.context.jobs.jobs[started.job_id]
+        step, unit = job.step_of(unit_key=started.unit_key), job.units[started.unit_key]
+        return TaskOrder(
+            minion_id=started.lease.minion_id,
+            attachment=started.lease.attachment,
+            lease_id=started.lease.lease_id,
+            task=task_name(job_id=started.job_id, unit_key=started.unit_key, index=started.index),
+            run=started.run,
+            checkpoint=unit.saved_progress[0 if step.is_gang else started.index],
+            estimate_ms=NO_ESTIMATE_MS if step.is_long_running else step.estimate_ms,
+        )
--- /dev/null
+++ b/yarrowloom/scheduling/calls.py
@@ -0,0 +1,36 @@
+"""The arguments of the calls about jobs that edges make of the scheduler."""
+
+from typing import Any
+
+from msgspec import UNSET, UnsetType
+
+from ..common.records import Record
+
+
+class JobCall(
+    Record,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "job_id": "id",
+        "queue": "q",
+        "config_version": "cv",
+        "caller_route": "at",
+        "submission": "j",
+    },
+):
+    """A call about one job, or about all jobs of a queue.
+
+    Attributes:
+        job_id: The job; empty in a call about a queue.
+        queue: The queue that the edge routed the call to.
+        config_version: The version of the configuration by which it did.
+        caller_route: Host and path that the caller named; absent while the edge's configuration is up to date.
+        submission: The job's record, without what the scheduler adds; absent in calls that submit nothing.
+    """
+
+    job_id: str = ""
+    queue: str
+    config_version: int | UnsetType = UNSET
+    caller_route: tuple[str, str] | UnsetType = UNSET
+    submission: dict[str, Any] | UnsetType = UNSET
--- /dev/null
+++ b/yarrowloom/scheduling/effects.py
@@ -0,0 +1,34 @@
+"""Effects of the scheduler: what its node carries out once the events before them are durable."""
+
+from dataclasses import dataclass
+
+from ..agent.messages import StoppedRun
+from ..common.effects import Effect
+from .lease_cache import HeldLease
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class StartedRun:
+    """A run whose start was recorded, to be ordered on a lease."""
+
+    job_id: str
+    unit_key: str
+    index: int
+    run: int
+    lease: HeldLease
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class OrderRuns(Effect):
+    """Order runs of a job group whose starts are durable."""
+
+    group_id: int
+    runs: list[StartedRun]
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class StopRuns(Effect):
+    """Tell agents to stop runs of a job group."""
+
+    group_id: int
+    runs: list[StoppedRun]
--- a/yarrowloom/scheduling/environment.py
+++ b/yarrowloom/scheduling/environment.py
@@ -1,23 +1,29 @@
-"""What a placing node asks of the node that it is a part of."""
+"""What the scheduler needs of the node that it is a part of."""
 
-from typing import Any, Protocol
+from typing import Protocol
 
 from ..cluster_state.routing_table import Route
-from ..transport.envelope import Kind
+from ..transport.message import Message
 
 
 class SchedulerEnvironment(Protocol):
-    """What a placing node needs of its node."""
+    """The node, as the scheduler sees it.
+
+    Attributes:
+        now: Monotonic seconds.
+        wall_now: Wall seconds.
+        node_id: The node's id.
+    """
 
     now: float
     wall_now: float
     node_id: str
 
-    def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
-        """To another node, or to itself."""
+    def send_message(self, *, node_id: str, message: Message) -> None:
+        """Send a message to another node, or to this one."""
 
     def route(self, *, name: str) -> Route | None:
-        """The queue's route in the newest configuration."""
+        """The row of a queue in the newest configuration; None if there is none."""
 
     def config_version(self) -> int:
         """The version of the configuration in force here."""
@@ -25,17 +31,17 @@
     def select(self, *, host: str, path: str) -> str:
         """The queue that a path belongs to; empty: none."""
 
-    def reply(self, *, node_id: str, request_id: int, status: int, document: Any) -> None:
-        """Answer a call."""
+    def reply(self, *, node_id: str, request_id: int, status: int, document: object) -> None:
+        """Answer a call of another node."""
 
     def note(self, *, event: str, **fields: object) -> None:
-        """Log."""
+        """Log an event."""
 
     def trace(self, *, event: str, **fields: object) -> None:
-        """Log in detail."""
+        """Log an event at debug level."""
 
     def ranks(self) -> dict[str, int]:
-        """The queues of the newest configuration, with their ranks."""
+        """The rank of each queue of the newest configuration."""
 
     def evacuations(self) -> frozenset[str]:
-        """Sites to which nothing is to be sent."""
+        """Zones to which nothing is to be sent."""
--- a/yarrowloom/scheduling/lease_cache.py
+++ b/yarrowloom/scheduling/lease_cache.py
@@ -1,74 +1,95 @@
-"""Leases that a placing node holds of agents, cached per minion and size."""
+"""Leases that the scheduler holds and no run uses, cached by minion and size for the next task of that size."""
 
 from collections import deque
 from dataclasses import dataclass, field
 
-from .capacity import Room, Size
+from ..common.resources import Resources
+from .capacity import ClusterCapacity
 
-IDLE_S = 0.5  # the design's default: an idle lease goes back after this long
+MAX_IDLE_S = 0.5  # the default of the design: an idle lease goes back after this long
 
 
 @dataclass(slots=True, kw_only=True)
-class Held:
-    """A lease held. Invariant: idle in the pool, or bound to one run, or part of a gang's attempt; never two."""
+class HeldLease:
+    """A lease granted to this scheduler.
 
-    agent: str
+    Invariant: it is idle in the cache, or bound to one run, or part of a gang's binding attempt; never two of these.
+
+    Attributes:
+        agent_id: The agent that granted it.
+        minion_id: The minion whose resources it stands for.
+        lease_id: Its number at the agent.
+        attachment: The attachment under which it was granted; it is void under any other.
+        size: The resources it stands for.
+        idle_since: When it was granted or last became idle, monotonic seconds.
+    """
+
+    agent_id: str
     minion_id: str
     lease_id: int
-    seq: int
-    size: Size
-    since: float
+    attachment: int
+    size: Resources
+    idle_since: float
 
 
 @dataclass(slots=True, kw_only=True)
-class Pool:
-    """Idle leases. Invariant: the room's `idle` of a minion is the sum of its leases here."""
+class LeaseCache:
+    """Idle leases.
+
+    Invariant: `idle_leased` of a minion in `capacity` is the sum of its leases here. `by_age` may name leases that
+    are idle no longer; these are passed over.
+    """
 
-    room: Room
-    by: dict[str, dict[Size, list[Held]]] = field(default_factory=dict)
-    old: deque[Held] = field(default_factory=deque)
+    capacity: ClusterCapacity
+    idle: dict[str, dict[Resources, list[HeldLease]]] = field(default_factory=dict)
+    by_age: deque[HeldLease] = field(default_factory=deque)
 
-    def put(self, *, held: Held, now: float) -> bool:
-        """Keep an idle lease for the next task of its size; False: its minion was attached anew, it is void."""
-        spot = self.room.spots.get(held.minion_id)
-        if spot is None or spot.seq != held.seq:
+    def put(self, *, lease: HeldLease, now: float) -> bool:
+        """Keep a lease that became idle.
+
+        Returns:
+            False if its minion was attached anew: the lease is void.
+        """
+        minion = self.capacity.current(minion_id=lease.minion_id, attachment=lease.attachment)
+        if minion is None:
             return False
-        held.since = now
-        self.by.setdefault(held.minion_id, {}).setdefault(held.size, []).append(held)
-        self.old.append(held)
-        self.room.hold(spot=spot, size=held.size, n=1)
+        lease.idle_since = now
+        self.idle.setdefault(lease.minion_id, {}).setdefault(lease.size, []).append(lease)
+        self.by_age.append(lease)
+        self.capacity.add_idle(minion=minion, size=lease.size, count=1)
         return True
 
-    def take(self, *, minion_id: str, size: Size, n: int) -> list[Held]:
-        """Up to `n` idle leases of a size, for runs."""
-        rows = self.by.get(minion_id, {}).get(size, [])
-        out = rows[len(rows) - n :] if n < len(rows) else list(rows)
-        del rows[len(rows) - len(out) :]
-        if out:
-            self.room.hold(spot=self.room.spots[minion_id], size=size, n=-len(out))
-        return out
+    def take(self, *, minion_id: str, size: Resources, count: int) -> list[HeldLease]:
+        """Up to `count` idle leases of a size, for runs."""
+        leases = self.idle.get(minion_id, {}).get(size, [])
+        taken = leases[len(leases) - count :] if count < len(leases) else list(leases)
+        del leases[len(leases) - len(taken) :]
+        if taken:
+            self.capacity.add_idle(minion=self.capacity.minions[minion_id], size=size, count=-len(taken))
+        return taken
 
-    def clear(self, *, minion_id: str) -> list[Held]:
+    def take_all(self, *, minion_id: str) -> list[HeldLease]:
         """All idle leases of a minion, to be given back."""
-        out: list[Held] = []
-        for size, rows in self.by.pop(minion_id, {}).items():
-            if rows:
-                self.room.hold(spot=self.room.spots[minion_id], size=size, n=-len(rows))
-                out += rows
-        return out
-
-    def expire(self, *, now: float) -> list[Held]:
-        """Take out what has been idle too long."""
-        out: list[Held] = []
-        while self.old and now - self.old[0].since >= IDLE_S:
-            held = self.old.popleft()
-            rows = self.by.get(held.minion_id, {}).get(held.size, [])
-            if held in rows and now - held.since >= IDLE_S:
-                rows.remove(held)
-                self.room.hold(spot=self.room.spots[held.minion_id], size=held.size, n=-1)
-                out.append(held)
-        return out
+        taken: list[HeldLease] = []
+        for size, leases in self.idle.pop(minion_id, {}).items():
+            if leases:
+                self.capacity.add_idle(minion=self.capacity.minions[minion_id], size=size, count=-len(leases))
+                taken += leases
+        return taken
+
+    def take_expired(self, *, now: float) -> list[HeldLease]:
+        """Leases that have been idle for too long, to be given back."""
+        taken: list[HeldLease] = []
+        while self.by_age and now - self.by_age[0].idle_since >= MAX_IDLE_S:
+            lease = self.by_age.popleft()
+            leases = self.idle.get(lease.minion_id, {}).get(lease.size, [])
+            if lease in leases:
+                leases.remove(lease)
+                minion = self.capacity.minions[lease.minion_id]
+                self.capacity.add_idle(minion=minion, size=lease.size, count=-1)
+                taken.append(lease)
+        return taken
 
     def forget(self, *, minion_id: str) -> None:
         """Leases on a minion that is attached anew, or gone, are void."""
-        self.by.pop(minion_id, None)
+        self.idle.pop(minion_id, None)
--- a/yarrowloom/scheduling/pod_group.py
+++ b/yarrowloom/scheduling/pod_group.py
@@ -1,267 +1,116 @@
-"""Groups and their queue: a step of a job at one of its times is placed as one unit."""
+"""Pod groups: the tasks of one step of a job, of one of its runs, which are scheduled as a unit."""
 
 import enum
-import heapq
-from bisect import insort
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
-from .capacity import Size
+from ..common.resources import Resources
 
 
 class Phase(enum.Enum):
-    """Where a group stands."""
+    """Where a group stands. The values are shown to the operator."""
 
     ACTIVE = "active"  # in the queue, waits for its cycle
-    TURN = "turn"  # popped: its cycle runs
-    PARKED = "parked"  # its last cycle failed: waits for room or for the end of its backoff
-    BOUND = "bound"  # every unscheduled member is on its way: nothing to place
+    SCHEDULING = "turn"  # taken from the queue: its cycle runs
+    UNSCHEDULABLE = "parked"  # its last cycle failed: waits for capacity or for the end of its backoff
+    BOUND = "bound"  # every member runs or has a lease asked for: nothing to schedule
     GONE = "gone"
 
 
-MOVES: dict[Phase, frozenset[Phase]] = {
-    Phase.ACTIVE: frozenset({Phase.TURN, Phase.GONE}),
-    Phase.TURN: frozenset({Phase.ACTIVE, Phase.PARKED, Phase.BOUND, Phase.GONE}),
-    Phase.PARKED: frozenset({Phase.ACTIVE, Phase.TURN, Phase.GONE}),
+TRANSITIONS: dict[Phase, frozenset[Phase]] = {
+    Phase.ACTIVE: frozenset({Phase.SCHEDULING, Phase.GONE}),
+    Phase.SCHEDULING: frozenset({Phase.ACTIVE, Phase.UNSCHEDULABLE, Phase.BOUND, Phase.GONE}),
+    Phase.UNSCHEDULABLE: frozenset({Phase.ACTIVE, Phase.SCHEDULING, Phase.GONE}),
     Phase.BOUND: frozenset({Phase.ACTIVE, Phase.GONE}),
     Phase.GONE: frozenset(),
 }
-Prio = tuple[bool, int, float, float, str, str]
-Entry = tuple[Prio, str, str, int]  # a group's place in a list, its name, the group's mark when it was put there
-BACKOFF_S = 0.1
-BACKOFF_MOST_S = 2.0
-SLACK = 64  # entries of groups that moved on which a list may hold beyond as many as there are groups
+
+
+class Priority(NamedTuple):
+    """A group's place in the queue; the lesser one goes first.
+
+    Attributes:
+        is_worthless: Its job can earn nothing any more.
+        rank: The rank of its job's queue; 0 goes first.
+        latest_start_ms: The latest start by which the job can still meet its target, wall milliseconds.
+        first_seen: When the group entered the queue first, monotonic seconds.
+        job_id: The job.
+        unit_key: The unit of the job: "run.step".
+    """
+
+    is_worthless: bool
+    rank: int
+    latest_start_ms: float
+    first_seen: float
+    job_id: str
+    unit_key: str
 
 
 @dataclass(slots=True, kw_only=True)
-class Group:
-    """A step's tasks. Invariants: `out` holds the members that a cycle placed and whose leases are not granted yet,
-    with their minions; `prio` is its place in the queue: past use, the queue's rank, the latest start within its aim,
-    the time first seen, then its name.
+class PodGroup:
+    """The tasks of one step of a job, of one of its runs.
+
+    Attributes:
+        job_id: The job.
+        unit_key: The unit of the job: "run.step".
+        service: The service whose minions run its tasks.
+        size: What one member needs.
+        priority: Its place in the queue.
+        waiting_since: Since when a member has waited, monotonic seconds.
+        required_label: A label that a member's minion must have; empty: any.
+        preferred_label: The label of minions where the members' data is; empty: anywhere.
+        is_gang: The members run all at once or not at all.
+        prefers_same_rack: The members of a gang run in one rack.
+        max_per_minion: The most members on one minion; 0: any number.
+        estimate_ms: How long a member is expected to run.
+        worthless_after: Wall seconds after which the job can earn nothing any more.
+        binding: Members that a cycle placed and whose leases are not granted yet, with their minions.
+        phase: Where the group stands.
+        failed_cycles: Cycles in a row that failed.
+        backoff_until: End of the backoff after the last of them, monotonic seconds.
+        last_failure: Why the last of them failed.
+        first_seen: When it entered the queue first, monotonic seconds.
+        entry_number: Of its newest entry in a list of the queue; older entries are void.
+        waiting_count: Members counted as waiting work.
+        failed_minion_ids: Minions on which a member failed.
+        exceeds_cluster: No open minions could hold it, were they empty: it keeps nobody waiting.
     """
 
     job_id: str
-    key: str
+    unit_key: str
     service: str
-    size: Size
-    prio: Prio
-    since: float
-    req: str = ""
-    near: str = ""
-    gang: bool = False
-    tight: bool = False
-    apart: int = 0
-    est: int = 0
-    late_at: float = 0.0  # wall seconds after which it earns nothing any more
-    out: dict[int, str] = field(default_factory=dict)
+    size: Resources
+    priority: Priority
+    waiting_since: float
+    required_label: str = ""
+    preferred_label: str = ""
+    is_gang: bool = False
+    prefers_same_rack: bool = False
+    max_per_minion: int = 0
+    estimate_ms: int = 0
+    worthless_after: float = 0.0
+    binding: dict[int, str] = field(default_factory=dict)
     phase: Phase = Phase.ACTIVE
-    tries: int = 0  # failed cycles in a row
-    again: float = 0.0  # end of its backoff
-    why: str = ""  # of its last failed cycle
-    seen: float = 0.0
-    mark: int = 0  # of its newest entry in a list
-    load: int = 0  # members counted in the queue's load
-    sore: set[str] = field(default_factory=set)  # minions on which a member failed
-    never: bool = False  # no minions known could hold it, were they empty: it is nobody's wait
+    failed_cycles: int = 0
+    backoff_until: float = 0.0
+    last_failure: str = ""
+    first_seen: float = 0.0
+    entry_number: int = 0
+    waiting_count: int = 0
+    failed_minion_ids: set[str] = field(default_factory=set)
+    exceeds_cluster: bool = False
+
+    @property
+    def unit_id(self) -> tuple[str, str]:
+        """The job's id and the unit's key: the group's key in every table."""
+        return self.job_id, self.unit_key
 
     @property
     def rank(self) -> int:
-        """The queue's rank; 0 goes first."""
-        return self.prio[1]
+        """The rank of the job's queue; 0 goes first."""
+        return self.priority.rank
 
-    def move(self, phase: Phase) -> None:
-        """Change phase by the table."""
-        assert phase is self.phase or phase in MOVES[self.phase], (self.phase, phase)
+    def transition(self, phase: Phase) -> None:
+        """Change phase, as `TRANSITIONS` allows."""
+        assert phase is self.phase or phase in TRANSITIONS[self.phase], (self.phase, phase)
         self.phase = phase
-
-
-@dataclass(slots=True)
-class Walk:
-    """A pass over one service's parked groups, made in slices of bounded work. Invariants: `grown` is where room grew
-    before the pass began, `later` where it grew since: that is the next pass's; `none` holds sizes (with a label)
-    for which no open minion had room in this pass. What fits in nothing grown, or needs at least as much as one of
-    `none`, is passed over.
-    """
-
-    on: bool = False
-    after: Prio | None = None
-    looks: int = 0
-    grown: list[Size] = field(default_factory=list)
-    later: list[Size] = field(default_factory=list)
-    none: list[tuple[Size, str]] = field(default_factory=list)
-    top: dict[str, int] = field(default_factory=dict)  # by label: the earliest rank that waits for its room
-    passed: int = 0
-
-    def begin(self, *, top: dict[str, int]) -> None:
-        """Go on where the pass stopped, or begin the next one where there is cause."""
-        self.top = top
-        if not self.on:
-            self.grown, self.later, self.none, self.after = self.later, [], [], None
-            self.on = bool(self.grown)
-
-    def grow(self, *, sizes: list[Size]) -> None:
-        """Room grew to this on some minions."""
-        self.later = [s for s in self.later if not any(o.holds(s) for o in sizes)] + sizes
-
-    def note(self, *, size: Size, req: str) -> None:
-        """No minion has room for this."""
-        self.none = [(s, r) for s, r in self.none if not (s.holds(size) and req in ("", r))][:15] + [(size, req)]
-
-    def hopeless(self, group: Group) -> bool:
-        """Whether a cycle of this group would find nothing."""
-        if any(not req and top < group.rank for req, top in self.top.items()):
-            return True
-        size, want = group.size, group.req
-        return any(size.holds(s) and req in ("", want) for s, req in self.none)
-
-    def skip(self, group: Group) -> bool:
-        """Whether nothing has changed for a parked group since its last cycle."""
-        self.passed += 1
-        size = group.size
-        if not any(s.holds(size) for s in self.grown) or self.hopeless(group):
-            return True
-        self.passed -= 1
-        return False
-
-
-class Backlog:
-    """Groups that wait. Invariants: an ACTIVE group stands in `active` under its `prio`, a PARKED one in its
-    service's list, each by exactly one entry that bears its `mark`; other entries are dropped when they are met.
-    `load` sums up the work that waits, in core- and accelerator-milliseconds by service and rank.
-    """
-
-    def __init__(self) -> None:
-        self.groups: dict[tuple[str, str], Group] = {}
-        self.of: dict[str, set[str]] = {}
-        self.active: dict[str, list[Entry]] = {}
-        self.parked: dict[str, list[Entry]] = {}
-        self.wait: list[tuple[float, str, str]] = []
-        self.load: dict[tuple[str, int], list[int]] = {}
-
-    def __len__(self) -> int:
-        """Groups that wait for a cycle."""
-        return sum(group.phase in (Phase.ACTIVE, Phase.PARKED) for group in self.groups.values())
-
-    def add(self, *, group: Group) -> None:
-        """A group enters."""
-        self.groups[group.job_id, group.key] = group
-        self.of.setdefault(group.job_id, set()).add(group.key)
-        self._push(group)
-
-    def _push(self, group: Group) -> None:
-        group.mark += 1
-        heapq.heappush(self.active.setdefault(group.service, []), (group.prio, group.job_id, group.key, group.mark))
-
-    def _lie(self, group: Group) -> None:
-        group.mark += 1
-        rows = self.parked.setdefault(group.service, [])
-        if len(rows) > SLACK + 2 * len(self.groups):  # woken by time, and no pass met their entries
-            rows[:] = [row for row in rows if self._live(row, Phase.PARKED) is not None]
-        insort(rows, (group.prio, group.job_id, group.key, group.mark))
-
-    def weigh(self, *, group: Group, n: int) -> None:
-        """`n` of the group's members wait now."""
-        if n != group.load:
-            row = self.load.setdefault((group.service, group.rank), [0, 0])
-            row[0] += (n - group.load) * group.est * group.size.cpu
-            row[1] += (n - group.load) * group.est * group.size.gpu
-            group.load = n
-
-    def remove(self, *, job_id: str, key: str) -> None:
-        """A group leaves."""
-        group = self.groups.pop((job_id, key), None)
-        if group is not None:
-            self.weigh(group=group, n=0)
-            group.move(Phase.GONE)
-            keys = self.of[job_id]
-            keys.discard(key)
-            if not keys:
-                del self.of[job_id]
-
-    def wake(self, *, group: Group) -> None:
-        """Back to the active queue at once, its timestamp kept."""
-        if group.phase is not Phase.ACTIVE:
-            group.move(Phase.ACTIVE)
-            self._push(group)
-
-    def park(self, *, group: Group, now: float) -> None:
-        """A failed cycle: backoff doubles with each."""
-        group.move(Phase.PARKED)
-        group.again = now + min(BACKOFF_S * 2.0 ** min(group.tries, 10), BACKOFF_MOST_S)
-        group.tries += 1
-        self._lie(group)
-        heapq.heappush(self.wait, (group.again, group.job_id, group.key))
-
-    def bind(self, *, group: Group) -> None:
-        """All members are on their way."""
-        group.move(Phase.BOUND)
-
-    def rekey(self, *, group: Group, prio: Prio, service: str) -> None:
-        """Its priority or service changed."""
-        if prio == group.prio and service == group.service:
-            return
-        n = group.load
-        self.weigh(group=group, n=0)
-        group.prio, group.service = prio, service
-        self.weigh(group=group, n=n)
-        if group.phase is Phase.ACTIVE:
-            self._push(group)
-        elif group.phase is Phase.PARKED:
-            self._lie(group)
-
-    def due(self, *, now: float) -> list[Group]:
-        """Parked groups whose backoff has ended."""
-        out = []
-        while self.wait and self.wait[0][0] <= now:
-            _, job_id, key = heapq.heappop(self.wait)
-            group = self.groups.get((job_id, key))
-            if group is not None and group.phase is Phase.PARKED and group.again <= now:
-                out.append(group)
-        return out
-
-    def _live(self, row: Entry, phase: Phase) -> Group | None:
-        group = self.groups.get((row[1], row[2]))
-        return group if group is not None and group.phase is phase and group.mark == row[3] else None
-
-    def pop(self, *, service: str, walk: "Walk") -> Group | None:
-        """The first waiting group of a service in order of priority: active ones, and, while the walk is on, parked
-        ones beyond its place that it doesn't pass over. None: nothing left, or the walk has no looks left.
-        """
-        heap, rows = self.active.get(service, []), self.parked.get(service, [])
-        while walk.looks > 0:
-            while heap and self._live(heap[0], Phase.ACTIVE) is None:
-                heapq.heappop(heap)
-            at = self._find(rows, walk.after) if walk.on else len(rows)
-            parked = None
-            while at < len(rows) and parked is None:
-                parked = self._live(rows[at], Phase.PARKED)
-                if parked is None:
-                    del rows[at]
-            if parked is None:
-                walk.on = False
-            walk.looks -= 1
-            if parked is not None and (not heap or rows[at][0] < heap[0][0]):
-                walk.after = rows[at][0]
-                if walk.skip(parked):
-                    continue
-                del rows[at]
-                parked.move(Phase.TURN)
-                return parked
-            if not heap:
-                return None
-            group = self.groups[heapq.heappop(heap)[1:3]]
-            group.move(Phase.TURN)
-            return group
-        return None
-
-    @staticmethod
-    def _find(rows: list[Entry], after: Prio | None) -> int:
-        if after is None:
-            return 0
-        low, high = 0, len(rows)
-        while low < high:
-            middle = (low + high) // 2
-            if rows[middle][0] <= after:
-                low = middle + 1
-            else:
-                high = middle
-        return low
--- a/yarrowloom/scheduling/scheduling_cycle.py
+++ b/yarrowloom/scheduling/scheduling_cycle.py
@@ -1,211 +1,277 @@
-"""The group cycle: a pure function from one snapshot of the room and one group to a decision.
+"""The scheduling cycle: a pure function from a snapshot of the capacity and one pod group to a decision.
 
-After "PodGroup Scheduling": all unscheduled members in a fixed order, filter and score for each, what fits is
-reserved in the snapshot until the cycle ends, the criterion is judged after each member on the cumulative result,
-and nothing binds below it. Candidate subsets (racks) are tried whole, as in the source's placement algorithm.
+After Kubernetes' "PodGroup Scheduling": all unscheduled members in a fixed order, filter and score for each; what
+fits is reserved in the snapshot until the cycle ends; the criterion is judged after each member on the cumulative
+result, and nothing binds below it. Candidate subsets (racks) are tried whole, as in its placement algorithm.
 """
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from .capacity import Room, Size, Spot
+from ..common.resources import Resources
+from .capacity import ClusterCapacity, MinionCapacity
 
 
 @dataclass(slots=True, kw_only=True)
-class Ask:
-    """One group at its turn. `members` are the indices of its unscheduled tasks, sorted by priority, then by the
-    time first seen, then by index (one step's tasks share the first two). `need` is the criterion: how many more
-    members must be placed for any to bind.
+class PlacementRequest:
+    """One group in its cycle.
+
+    Attributes:
+        service: The service whose minions run the tasks.
+        size: What one member needs.
+        members: Indices of the unscheduled tasks, by priority, then by the time first seen, then by index (the tasks
+            of one step share the first two).
+        min_count: The criterion: how many members must be placed for any to bind.
+        required_label: A label that the minions must have; empty: any.
+        preferred_label: The label of minions where the data is, which are preferred; empty: none.
+        only_preferred: Only these minions will do.
+        same_rack: All members go to one rack.
+        max_per_minion: The most members on one minion; 0: any number.
+        tasks_by_minion: Members that run or are being bound, by minion.
+        reserved_labels: Labels of minions whose capacity is kept for groups of an earlier rank.
+        nominated_for_others: Minions nominated for other groups.
+        failed_minion_ids: Minions on which a member failed: taken only where no other has capacity.
+        excludes_failed: They are not taken at all yet.
+        now: Monotonic seconds.
+        rank: The rank of the group's queue; 0 goes first.
+        longest_run_s: How long a member runs at most, as learned; kept warm capacity serves what ends in time.
     """
 
     service: str
-    size: Size
+    size: Resources
     members: list[int]
-    need: int
-    req: str = ""
-    near: str = ""
-    strict: bool = False  # only where the data is
-    tight: bool = False  # all of it in one rack
-    apart: int = 0  # members on one minion at most; 0: any
-    there: dict[str, int] = field(default_factory=dict)  # members that run, by minion
-    shun: tuple[str, ...] = ()  # labels left to work of an earlier rank
-    off: frozenset[str] = frozenset()  # minions nominated for other groups
-    sore: frozenset[str] = frozenset()  # minions on which a member failed: only where no other has room,
-    bar: bool = False  # or not at all yet
+    min_count: int
+    required_label: str = ""
+    preferred_label: str = ""
+    only_preferred: bool = False
+    same_rack: bool = False
+    max_per_minion: int = 0
+    tasks_by_minion: dict[str, int] = field(default_factory=dict)
+    reserved_labels: tuple[str, ...] = ()
+    nominated_for_others: frozenset[str] = frozenset()
+    failed_minion_ids: frozenset[str] = frozenset()
+    excludes_failed: bool = False
     now: float = 0.0
     rank: int = 0
-    upper_s: float = 0.0  # how long a member runs at most, as learned; warm room serves what ends in it
+    longest_run_s: float = 0.0
 
 
 @dataclass(slots=True, kw_only=True)
 class Decision:
-    """What a cycle found. Invariant: `placed` is empty unless the criterion is met."""
+    """What a cycle found.
 
-    placed: list[tuple[int, str]]
+    Invariant: `placements` is empty unless `feasible`.
+
+    Attributes:
+        placements: Member and minion.
+        feasible: The criterion is met.
+        fitting: Members for which a minion was found, also where the criterion was not met.
+        rejections: By filter, how many minions it rejected (of those looked at).
+        rack: The rack that was chosen for `same_rack`.
+    """
+
+    placements: list[tuple[int, str]]
     feasible: bool
-    fit: int  # members that had room, also where the criterion was not met
-    refused: dict[str, int]  # by filter: minions it turned away (of those looked at)
+    fitting: int
+    rejections: dict[str, int]
     rack: str = ""
 
 
 class Snapshot:
-    """The room as it stands when a group is popped; reservations are an overlay that dies with the cycle. Taking it
-    costs nothing: the table changes only between cycles, and the overlay holds what the cycle touches.
+    """The capacity as it stands when a group is taken from the queue, with this cycle's reservations.
+
+    Taking it costs nothing: the capacity changes only between cycles, and the reservations hold only what the cycle
+    touches; they end with the cycle.
     """
 
-    def __init__(self, *, room: Room) -> None:
-        self.room = room
-        self.over: dict[str, Size] = {}
-        self.mine: dict[str, int] = {}
+    def __init__(self, *, capacity: ClusterCapacity) -> None:
+        self.capacity = capacity
+        self.free_after_reservations: dict[str, Resources] = {}
+        self.reserved_tasks: dict[str, int] = {}
 
-    def free(self, *, spot: Spot) -> Size:
-        """Room left on a minion."""
-        return self.over.get(spot.minion_id, spot.free)
+    def free(self, *, minion: MinionCapacity) -> Resources:
+        """What is free on a minion."""
+        return self.free_after_reservations.get(minion.minion_id, minion.free)
 
-    def reserve(self, *, spot: Spot, size: Size) -> None:
-        """Until the cycle ends."""
-        self.over[spot.minion_id] = self.free(spot=spot).plus(size, -1)
-        self.mine[spot.minion_id] = self.mine.get(spot.minion_id, 0) + 1
+    def reserve(self, *, minion: MinionCapacity, size: Resources) -> None:
+        """Reserve resources for one member until the cycle ends."""
+        self.free_after_reservations[minion.minion_id] = self.free(minion=minion).plus(size, -1)
+        self.reserved_tasks[minion.minion_id] = self.reserved_tasks.get(minion.minion_id, 0) + 1
 
 
-Filter = Callable[[Snapshot, Ask, Spot], bool]
+Filter = Callable[[Snapshot, PlacementRequest, MinionCapacity], bool]
 
 
-def _room(snap: Snapshot, ask: Ask, spot: Spot) -> bool:
-    free = snap.free(spot=spot)
-    if spot.keep.cpu + spot.keep.gpu and ask.rank > spot.keep_rank and ask.now + ask.upper_s > spot.keep_till:
-        free = free.plus(spot.keep, -1)
-    return free.holds(ask.size)
+def _has_capacity(snapshot: Snapshot, request: PlacementRequest, minion: MinionCapacity) -> bool:
+    free = snapshot.free(minion=minion)
+    warm = minion.warm_reserved
+    if (
+        warm.millicores + warm.gpus
+        and request.rank > minion.warm_rank
+        and request.now + request.longest_run_s > minion.warm_until
+    ):
+        free = free.plus(warm, -1)
+    return free.holds(request.size)
 
 
-def _label(snap: Snapshot, ask: Ask, spot: Spot) -> bool:
-    return not ask.req or ask.req in spot.labels
+def _has_required_label(snapshot: Snapshot, request: PlacementRequest, minion: MinionCapacity) -> bool:
+    return not request.required_label or request.required_label in minion.labels
 
 
-def _data(snap: Snapshot, ask: Ask, spot: Spot) -> bool:
-    return not ask.strict or ask.near in spot.labels
+def _is_data_local(snapshot: Snapshot, request: PlacementRequest, minion: MinionCapacity) -> bool:
+    return not request.only_preferred or request.preferred_label in minion.labels
 
 
-def _rank(snap: Snapshot, ask: Ask, spot: Spot) -> bool:
-    return not any(label in spot.labels for label in ask.shun)
+def _is_not_reserved(snapshot: Snapshot, request: PlacementRequest, minion: MinionCapacity) -> bool:
+    return not any(label in minion.labels for label in request.reserved_labels)
 
 
-def _nominated(snap: Snapshot, ask: Ask, spot: Spot) -> bool:
-    return spot.minion_id not in ask.off
+def _is_not_nominated(snapshot: Snapshot, request: PlacementRequest, minion: MinionCapacity) -> bool:
+    return minion.minion_id not in request.nominated_for_others
 
 
-def _spread(snap: Snapshot, ask: Ask, spot: Spot) -> bool:
-    return not ask.apart or ask.there.get(spot.minion_id, 0) + snap.mine.get(spot.minion_id, 0) < ask.apart
+def _is_within_task_limit(snapshot: Snapshot, request: PlacementRequest, minion: MinionCapacity) -> bool:
+    if not request.max_per_minion:
+        return True
+    tasks = request.tasks_by_minion.get(minion.minion_id, 0) + snapshot.reserved_tasks.get(minion.minion_id, 0)
+    return tasks < request.max_per_minion
 
 
-def _sound(snap: Snapshot, ask: Ask, spot: Spot) -> bool:
-    return spot.shy <= ask.now
+def _is_healthy(snapshot: Snapshot, request: PlacementRequest, minion: MinionCapacity) -> bool:
+    return minion.avoid_until <= request.now
 
 
-# Order: the cheapest and most selective first. A hook per filter was weighed: see docs/design.md.
+# The cheapest and most selective first. The names are shown to the operator as causes of a failed cycle. Why it is
+# a plain table and not hooks: docs/design.md, "Placing by groups".
 FILTERS: tuple[tuple[str, Filter], ...] = (
-    ("room", _room),
-    ("label", _label),
-    ("data", _data),
-    ("spread", _spread),
-    ("nominated", _nominated),
-    ("rank", _rank),
-    ("sound", _sound),
+    ("room", _has_capacity),
+    ("label", _has_required_label),
+    ("data", _is_data_local),
+    ("spread", _is_within_task_limit),
+    ("nominated", _is_not_nominated),
+    ("rank", _is_not_reserved),
+    ("sound", _is_healthy),
 )
+REJECTED_RACK = "rack"
 
 
-def placement_feasible(*, placed: int, ask: Ask) -> bool:
+def placement_feasible(*, placed: int, request: PlacementRequest) -> bool:
     """The criterion on the cumulative result: a minimum count.
 
-    >>> placement_feasible(placed=2, ask=Ask(service="s", size=Size(1, 1, 0), members=[0, 1, 2], need=3))
+    >>> size = Resources(1, 1, 0)
+    >>> placement_feasible(placed=2, request=PlacementRequest(service="s", size=size, members=[0, 1, 2], min_count=3))
     False
     """
-    return placed >= max(ask.need, 1)
+    return placed >= max(request.min_count, 1)
 
 
-def _passes(*, snap: Snapshot, ask: Ask, spot: Spot, refused: dict[str, int]) -> bool:
-    for name, fn in FILTERS:
-        if not fn(snap, ask, spot):
-            refused[name] = refused.get(name, 0) + 1
+def _passes_filters(
+    *, snapshot: Snapshot, request: PlacementRequest, minion: MinionCapacity, rejections: dict[str, int]
+) -> bool:
+    for name, accepts in FILTERS:
+        if not accepts(snapshot, request, minion):
+            rejections[name] = rejections.get(name, 0) + 1
             return False
     return True
 
 
-def _ordered(*, snap: Snapshot, ask: Ask) -> Iterator[Spot]:
-    """Score: where the data is first, then the tightest fit; where a member failed, last. A minion that took a
-    member is an even tighter fit, so it stays the best until it is full.
+def _by_score(*, snapshot: Snapshot, request: PlacementRequest) -> Iterator[MinionCapacity]:
+    """Candidates in order of score: where the data is first, then the tightest fit; where a member failed, last.
+
+    A minion that took a member is an even tighter fit, so it stays the best until it is full.
     """
-    put_off: list[Spot] = []
-    if ask.near:
-        for spot in snap.room.labelled(service=ask.service, label=ask.near):
-            if spot.minion_id in ask.sore:
-                put_off.append(spot)
-            else:
-                yield spot
-    if not ask.strict:
-        for spot in snap.room.ordered(service=ask.service, size=ask.size):
-            if ask.near and ask.near in spot.labels:
-                continue
-            if spot.minion_id in ask.sore:
-                put_off.append(spot)
-            else:
-                yield spot
-    if not ask.bar:
-        yield from put_off
-
-
-def _fill(*, snap: Snapshot, ask: Ask, spots: Iterator[Spot]) -> Decision:
+    candidates = _local_then_tightest(snapshot=snapshot, request=request)
+    if not request.failed_minion_ids:
+        yield from candidates
+        return
+    failed: list[MinionCapacity] = []
+    for minion in candidates:
+        if minion.minion_id in request.failed_minion_ids:
+            failed.append(minion)
+        else:
+            yield minion
+    if not request.excludes_failed:
+        yield from failed
+
+
+def _local_then_tightest(*, snapshot: Snapshot, request: PlacementRequest) -> Iterator[MinionCapacity]:
+    locality = request.preferred_label
+    if locality:
+        yield from snapshot.capacity.with_label(service=request.service, label=locality)
+    if not request.only_preferred:
+        for minion in snapshot.capacity.tightest_first(service=request.service, size=request.size):
+            if not (locality and locality in minion.labels):
+                yield minion
+
+
+def _place_members(*, snapshot: Snapshot, request: PlacementRequest, candidates: Iterator[MinionCapacity]) -> Decision:
     """The default algorithm: each member in order gets the best minion that passes all filters."""
-    placed: list[tuple[int, str]] = []
-    refused: dict[str, int] = {}
+    placements: list[tuple[int, str]] = []
+    rejections: dict[str, int] = {}
     feasible = False
-    best: Spot | None = None
-    for idx in ask.members:
-        if best is None or not (_room(snap, ask, best) and _spread(snap, ask, best)):
-            best = next((s for s in spots if _passes(snap=snap, ask=ask, spot=s, refused=refused)), None)
+    best: MinionCapacity | None = None
+    for member in request.members:
+        if best is None or not (
+            _has_capacity(snapshot, request, best) and _is_within_task_limit(snapshot, request, best)
+        ):
+            best = next(
+                (
+                    minion
+                    for minion in candidates
+                    if _passes_filters(snapshot=snapshot, request=request, minion=minion, rejections=rejections)
+                ),
+                None,
+            )
         if best is None:
             break  # members are alike: where one finds nothing, none does
-        snap.reserve(spot=best, size=ask.size)
-        placed.append((idx, best.minion_id))
-        feasible = feasible or placement_feasible(placed=len(placed), ask=ask)
-    return Decision(placed=placed if feasible else [], feasible=feasible, fit=len(placed), refused=refused)
+        snapshot.reserve(minion=best, size=request.size)
+        placements.append((member, best.minion_id))
+        feasible = feasible or placement_feasible(placed=len(placements), request=request)
+    return Decision(
+        placements=placements if feasible else [], feasible=feasible, fitting=len(placements), rejections=rejections
+    )
+
 
+def _place_in_one_rack(*, capacity: ClusterCapacity, request: PlacementRequest) -> Decision:
+    """The placement algorithm for `same_rack`: racks are the candidate subsets; of the feasible ones the fullest wins.
 
-def _by_rack(*, room: Room, ask: Ask) -> Decision:
-    """Placement algorithm: racks are the candidate subsets; of the feasible ones the fullest wins. What is left of a
-    rack is what is free there less what the group takes, so the first feasible one in the order of what is free is the
-    fullest. Only minions with room for a member are looked at, as the index gives them, the tightest fit first.
+    What is left of a rack is what is free there less what the group takes, so the first feasible one in the order of
+    what is free is the fullest. Only minions with capacity for a member are looked at, the tightest fit first.
     """
-    spots: dict[str, list[Spot]] = {}
-    for spot in room.ordered(service=ask.service, size=ask.size):
-        spots.setdefault(spot.rack, []).append(spot)
-    spots.pop("", None)  # of no rack
-    racks = room.racks(service=ask.service)
-    most, refused = 0, {"rack": sum(len(rack.minion_ids) for name, rack in racks.items() if name and name not in spots)}
-    for name in sorted(spots, key=lambda name: (racks[name].free.gpu, racks[name].free.cpu, name)):
-        rows = spots[name]
-        if racks[name].free.copies(ask.size) < ask.need or sum(s.free.copies(ask.size) for s in rows) < ask.need:
-            refused["rack"] += len(racks[name].minion_ids)
+    by_rack: dict[str, list[MinionCapacity]] = {}
+    for minion in capacity.tightest_first(service=request.service, size=request.size):
+        by_rack.setdefault(minion.rack, []).append(minion)
+    by_rack.pop("", None)  # minions of no rack
+    racks = capacity.racks(service=request.service)
+    without_capacity = (rack for name, rack in racks.items() if name and name not in by_rack)
+    rejections = {REJECTED_RACK: sum(len(rack.minion_ids) for rack in without_capacity)}
+    most_fitting = 0
+    for name in sorted(by_rack, key=lambda name: (racks[name].free.gpus, racks[name].free.millicores, name)):
+        minions, rack = by_rack[name], racks[name]
+        if rack.free.copies(request.size) < request.min_count or (
+            sum(minion.free.copies(request.size) for minion in minions) < request.min_count
+        ):
+            rejections[REJECTED_RACK] += len(rack.minion_ids)
             continue
-        order = [s for s in rows if s.minion_id not in ask.sore]
-        if not ask.bar:
-            order += [s for s in rows if s.minion_id in ask.sore]
-        got = _fill(snap=Snapshot(room=room), ask=ask, spots=iter(order))
-        if got.feasible:
-            got.rack = name
-            return got
-        most = max(most, got.fit)
-    return Decision(placed=[], feasible=False, fit=most, refused=refused)
-
-
-def run(*, room: Room, ask: Ask) -> Decision:
-    """One cycle: one snapshot, one decision. Same input, same decision.
-
-    >>> room = Room()
-    >>> run(room=room, ask=Ask(service="s", size=Size(1, 1, 0), members=[0], need=1)).feasible
+        candidates = [minion for minion in minions if minion.minion_id not in request.failed_minion_ids]
+        if not request.excludes_failed:
+            candidates += [minion for minion in minions if minion.minion_id in request.failed_minion_ids]
+        decision = _place_members(snapshot=Snapshot(capacity=capacity), request=request, candidates=iter(candidates))
+        if decision.feasible:
+            decision.rack = name
+            return decision
+        most_fitting = max(most_fitting, decision.fitting)
+    return Decision(placements=[], feasible=False, fitting=most_fitting, rejections=rejections)
+
+
+def run_cycle(*, capacity: ClusterCapacity, request: PlacementRequest) -> Decision:
+    """One cycle: one snapshot, one decision. The same input gives the same decision.
+
+    >>> request = PlacementRequest(service="s", size=Resources(1, 1, 0), members=[0], min_count=1)
+    >>> run_cycle(capacity=ClusterCapacity(), request=request).feasible
     False
     """
-    if ask.tight:
-        return _by_rack(room=room, ask=ask)
-    snap = Snapshot(room=room)
-    return _fill(snap=snap, ask=ask, spots=_ordered(snap=snap, ask=ask))
+    if request.same_rack:
+        return _place_in_one_rack(capacity=capacity, request=request)
+    snapshot = Snapshot(capacity=capacity)
+    return _place_members(snapshot=snapshot, request=request, candidates=_by_score(snapshot=snapshot, request=request))
--- /dev/null
+++ b/yarrowloom/scheduling/task_ends.py
@@ -0,0 +1,113 @@
+"""Ends of runs: those that minions report, and orders that never started."""
+
+from collections.abc import Iterable
+
+from ..agent.messages import AcknowledgedEnd, RejectedOrder, TaskEnd, TaskEndsAcknowledged, TaskEndsReport
+from ..jobs.model import Job
+from ..jobs.task_name import parse_task_name
+from ..transport.effects import SendMessage
+from .context import SchedulerContext
+from .job_queue import JobQueue
+
+DONE, FAILED, LEFT_ALONE, NEVER_STARTED = "done", "failed", "alone", "void"  # how a run ended
+
+
+class TaskEnds:
+    """Notes ends in the record and learns from them which minions fail.
+
+    Invariant: an end is acknowledged only once it is durable.
+    """
+
+    def __init__(self, *, context: SchedulerContext, job_queue: JobQueue) -> None:
+        self.context = context
+        self.job_queue = job_queue
+
+    def report(self, *, node_id: str, report: TaskEndsReport) -> None:
+        """Ends that an agent passes on."""
+        for end in report.ends:
+            self._note(minion_id=report.minion_id, end=end)
+        message = TaskEndsAcknowledged(
+            group_id=self.context.group_id,
+            minion_id=report.minion_id,
+            fence=report.fence,
+            ends=[AcknowledgedEnd(number=end.number, task=end.task, run=end.run) for end in report.ends],
+        )
+        self.context.replica.barrier(then=SendMessage(node_id=node_id, message=message))
+
+    def _note(self, *, minion_id: str, end: TaskEnd) -> None:
+        name = parse_task_name(end.task)
+        job = self.context.jobs.jobs.get(name[0]) if name is not None else None
+        lease = self.context.leases.by_task.pop(end.task, None)
+        if name is not None and job is not None and not job.is_trimmed:
+            job_id, unit_key, index = name
+            self._learn(minion_id=minion_id, job=job, name=name, end=end)
+            self.context.running.ended(task=end.task, run=end.run)
+            self.job_queue.commit(
+                {
+                    "t": "end",
+                    "id": job_id,
+                    "u": unit_key,
+                    "i": index,
+                    "run": end.run,
+                    "how": end.outcome,
+                    "v": end.checkpoint,
+                    "mt": self.context.policy.max_attempts(job=job),
+                    "at": self.context.wall_now_ms,
+                }
+            )
+        if lease is not None:
+            self.context.leases.cache.put(lease=lease, now=self.context.now)
+
+    def _learn(self, *, minion_id: str, job: Job, name: tuple[str, str, int], end: TaskEnd) -> None:
+        """What an end tells of its minion."""
+        job_id, unit_key, index = name
+        environment, capacity = self.context.environment, self.context.capacity
+        if end.outcome == LEFT_ALONE:
+            environment.note(event="gang-member-alone", task=end.task, run=end.run)
+        unit = job.units.get(unit_key)
+        if unit is None or not unit.is_running(index=index, run_id=end.run):
+            return
+        if end.outcome == DONE:
+            capacity.record_success(minion_id=minion_id)
+        elif end.outcome == FAILED:
+            group = self.context.queue.groups.get((job_id, unit_key))
+            if group is not None:
+                group.failed_minion_ids.add(minion_id)
+            is_first_failure = not any(unit.failures)
+            if is_first_failure and capacity.record_failure(minion_id=minion_id, job_id=job_id, now=self.context.now):
+                streak = capacity.minions[minion_id].failure_streak
+                environment.note(event="minion-avoided", minion=minion_id, streak=streak)
+
+    def never_started(self, orders: Iterable[RejectedOrder]) -> None:
+        """Runs whose orders were not carried out and never will be: their tasks wait again."""
+        for order in orders:
+            minion = self.context.capacity.current(minion_id=order.minion_id, attachment=order.attachment)
+            name = parse_task_name(order.task)
+            if name is None or minion is None:
+                continue
+            lease = self.context.leases.by_task.pop(order.task, None)
+            if lease is not None:
+                self.context.leases.give_back([lease])
+            job_id, unit_key, index = name
+            job = self.context.jobs.jobs.get(job_id)
+            unit = job.units.get(unit_key) if job is not None else None
+            if unit is None or not unit.is_running(index=index, run_id=order.run):
+                continue
+            if unit.minion_ids[index] == order.minion_id:
+                self._note_never_started(order=order, name=name)
+
+    def _note_never_started(self, *, order: RejectedOrder, name: tuple[str, str, int]) -> None:
+        job_id, unit_key, index = name
+        self.context.running.ended(task=order.task, run=order.run)
+        self.job_queue.commit(
+            {
+                "t": "end",
+                "id": job_id,
+                "u": unit_key,
+                "i": index,
+                "run": order.run,
+                "how": NEVER_STARTED,
+                "v": "",
+                "mt": 1,
+            }
+        )
--- /dev/null
+++ b/yarrowloom/transport/effects.py
@@ -0,0 +1,31 @@
+"""Effects that any replicated group may have: a message to a node, and the response to a node's call."""
+
+from dataclasses import dataclass
+
+from ..common.effects import Effect
+from .message import Message
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class SendMessage(Effect):
+    """Send a message to a node."""
+
+    node_id: str
+    message: Message
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class Reply(Effect):
+    """Respond to the call of a node.
+
+    Attributes:
+        node_id: The caller.
+        request_id: The caller's number of the call.
+        status: As an HTTP status.
+        document: The response's body, as plain data.
+    """
+
+    node_id: str
+    request_id: int
+    status: int
+    document: object
