--- a/tests/agent/test_task_ends.py
+++ b/tests/agent/test_task_ends.py
@@ -1,6 +1,8 @@
 """Ends are reported until their groups have them, and only then acknowledged to the minion."""
 
-from tests.support.agent_harness import FENCE, MINION, TASK, AgentHarness
+import pytest
+
+from tests.support.agent_harness import FENCE, JOB, MINION, TASK, AgentHarness
 from yarrowloom.agent.messages import TaskEndsAcknowledged
 from yarrowloom.agent.task_ends import REPORT_AGAIN_S
 from yarrowloom.transport.message_kinds import Kind
@@ -38,7 +40,22 @@
     assert harness.environment.last(Kind.TASK_ENDS)["x"] == [[1, TASK, 1, "done", ""]]
 
 
-def test_end_of_no_job_is_acknowledged_at_once(harness: AgentHarness) -> None:
+@pytest.mark.parametrize(
+    "task",
+    [
+        "",
+        "no-task",
+        "....",
+        "zzzzzzzzzzzzzzzz.0.0.0",
+        f"{JOB}.0.0",
+        f"{JOB}.-1.0.0",
+        f"{JOB}.0.0.x",
+        f"{JOB}.0.0.\u00b3",
+        f"{JOB}.0.0.{'9' * 5000}",
+    ],
+)
+def test_end_of_no_task_is_acknowledged_at_once(harness: AgentHarness, task: str) -> None:
+    """A job id that is no number in base 16 once raised an error after half of the heartbeat was taken over."""
     harness.environment.sent.clear()
-    assert harness.heartbeat(finished=[[1, "no-task", 1, "done", ""]])["last-seen"] == 1
+    assert harness.heartbeat(finished=[[1, task, 1, "done", ""]])["last-seen"] == 1
     assert not harness.environment.has_sent(Kind.TASK_ENDS)
--- a/yarrowloom/agent/heartbeat.py
+++ b/yarrowloom/agent/heartbeat.py
@@ -6,7 +6,7 @@
 from ..common.records import MalformedRecordError, Record
 from ..common.resources import Resources
 from ..transport.http_server import JSON, Response
-from .messages import TaskEnd
+from .messages import MinionInt, TaskEnd
 
 DRAINING = "draining"
 
@@ -20,7 +20,7 @@
     """
 
     task: str
-    run: int
+    run: MinionInt
     checkpoint: str = ""
     percent: float = 0.0
 
@@ -30,9 +30,9 @@
 ):
     """All that a minion offers: thousandths of a core, megabytes, accelerators."""
 
-    millicores: int = 0
-    memory_mb: int = 0
-    gpus: int = 0
+    millicores: MinionInt = 0
+    memory_mb: MinionInt = 0
+    gpus: MinionInt = 0
 
     @property
     def resources(self) -> Resources:
@@ -62,7 +62,7 @@
         finished: Ends of runs whose numbers have not been acknowledged.
     """
 
-    call_number: int | UnsetType = UNSET
+    call_number: MinionInt | UnsetType = UNSET
     service: str | UnsetType = UNSET
     zone: str | UnsetType = UNSET
     labels: list[str] | UnsetType = UNSET
--- a/yarrowloom/agent/messages.py
+++ b/yarrowloom/agent/messages.py
@@ -5,13 +5,20 @@
 Rows (`...Row` and the like) are encoded as lists, in the order of their fields.
 """
 
-from typing import ClassVar
+from typing import Annotated, ClassVar
+
+import msgspec
 
 from ..common.records import Record
 from ..common.resources import Resources
 from ..transport.envelope import Kind
 from ..transport.message import Message
 
+LARGEST_INT = 2**53  # the whole numbers that every JSON parser keeps exactly
+
+# A number that a minion chose: bounded where it enters, so that every message that repeats it can be encoded.
+MinionInt = Annotated[int, msgspec.Meta(ge=-LARGEST_INT, le=LARGEST_INT)]
+
 # -- attaching minions: claim, attachment, verdict
 
 
@@ -375,9 +382,9 @@
         checkpoint: What the run's last checkpoint left; empty: nothing.
     """
 
-    number: int
+    number: MinionInt
     task: str
-    run: int
+    run: MinionInt
     outcome: str
     checkpoint: str = ""
 
--- a/yarrowloom/agent/task_ends.py
+++ b/yarrowloom/agent/task_ends.py
@@ -1,6 +1,6 @@
 """Reports the ends of runs to their groups until they are durable there."""
 
-from ..jobs.submission import group_of
+from ..jobs.submission import group_of, is_job_id
 from ..jobs.task_name import parse_task_name
 from .messages import TaskEnd, TaskEndsAcknowledged, TaskEndsReport
 from .minion import Minion
@@ -9,7 +9,6 @@
 from .timing import NEVER
 
 REPORT_AGAIN_S = 0.5
-JOB_ID_LENGTH = 16
 
 
 class TaskEndReporter:
@@ -56,7 +55,7 @@
 
     def _group_of(self, end: TaskEnd) -> int | None:
         """The group of the job that an end belongs to; None: the task's name is no published one."""
-        parts = parse_task_name(end.task)
-        if parts is None or len(parts[0]) != JOB_ID_LENGTH:
+        address = parse_task_name(end.task)
+        if address is None or not is_job_id(text=address.job_id):
             return None
-        return group_of(job_id=parts[0], groups=len(self._table.group_ids))
+        return group_of(job_id=address.job_id, groups=len(self._table.group_ids))
--- a/yarrowloom/jobs/task_name.py
+++ b/yarrowloom/jobs/task_name.py
@@ -2,6 +2,8 @@
 
 from typing import NamedTuple
 
+MOST_DIGITS = 18  # of the numbers in a name
+
 
 class TaskAddress(NamedTuple):
     """Where a task stands in the state of its job group.
@@ -31,10 +33,14 @@
 
     >>> parse_task_name("ab.0.1.3")
     TaskAddress(job_id='ab', unit_key='0.1', task_index=3)
-    >>> parse_task_name("nonsense") is None
-    True
+    >>> parse_task_name("nonsense") is None, parse_task_name("ab.0.1.\u00b3") is None
+    (True, True)
     """
     parts = name.split(".")
-    if len(parts) != 4 or not all(part.isdigit() for part in parts[1:]):
+    if len(parts) != 4 or not all(_is_number(part) for part in parts[1:]):
         return None
     return TaskAddress(job_id=parts[0], unit_key=f"{parts[1]}.{parts[2]}", task_index=int(parts[3]))
+
+
+def _is_number(text: str) -> bool:
+    return text.isascii() and text.isdigit() and len(text) <= MOST_DIGITS
