--- a/tests/node/test_busy_process.py
+++ b/tests/node/test_busy_process.py
@@ -7,8 +7,8 @@
 
 from yarrowloom.node.node_base import JOB_GROUPS
 from yarrowloom.replication import election as ballot
-from yarrowloom.replication.environment import Reducer, decode, encode
-from yarrowloom.replication.timing import DOUBT_S
+from yarrowloom.replication.environment import Reducer, decode_state, encode_state
+from yarrowloom.replication.timing import BACKUP_TIMEOUT_S
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.minions import cluster
 from yarrowloom.transport.envelope import Kind
@@ -35,7 +35,7 @@
         assert sim.serving(group_id=group_id) == [ip]
     assert epochs(sim)[group_id] == before[group_id]
     assert oracle.broken == []
-    assert epochs(sim) == before or seconds > DOUBT_S  # as a backup of another group it was replaced
+    assert epochs(sim) == before or seconds > BACKUP_TIMEOUT_S  # as a backup of another group it was replaced
 
 
 def test_all_that_stood_still_together_go_on_as_before() -> None:
@@ -74,7 +74,7 @@
 
     def count(*, state: Reducer) -> str:
         made.append(1)
-        return encode(state=state)
+        return encode_state(state=state)
 
     sim, oracle, caller, _ = cluster(seed=94, cores=5)
     sim.run(seconds=8.0)
@@ -82,7 +82,7 @@
     sim.run(seconds=2.0)
     ip = sim.serving(group_id=1)[0]
     before = epochs(sim)[1]
-    monkeypatch.setattr(ballot, "encode", count)
+    monkeypatch.setattr(ballot, "encode_state", count)
     sent = tap(sim)
     for other in sim.core_ips:
         if other != ip:
@@ -119,4 +119,4 @@
     caller.submit(stages=[{"task-count": 2, "cpus": 100, "mem-mb": 10}])
     sim.run(seconds=2.0)
     jobs = sim.core(sim.serving(group_id=1)[0]).jobs[1]
-    assert decode(text=encode(state=jobs)) == decode(text=jobs.dump()) == jobs.dump()
+    assert decode_state(encoded=encode_state(state=jobs)) == decode_state(encoded=jobs.dump()) == jobs.dump()
--- a/tests/node/test_recovery.py
+++ b/tests/node/test_recovery.py
@@ -6,15 +6,17 @@
 
 import orjson
 import pytest
+from msgspec.structs import replace
 
 from tests.support.ring_cluster import RingSim
 from yarrowloom.common.log import Log
 from yarrowloom.node.core import CoreNode
 from yarrowloom.node.recovery import last_snapshot, records_since, recover
 from yarrowloom.replication import Replica
-from yarrowloom.replication.environment import Role
 from yarrowloom.replication.log_replay import ReplayError
 from yarrowloom.replication.replica_storage import ReplicaStorage
+from yarrowloom.replication.roles import Role
+from yarrowloom.replication.stored_records import StateRecord, StoredRecord
 from yarrowloom.simulator import minions
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.minions import Oracle, SimCaller, cluster, config
@@ -114,12 +116,12 @@
     """A snapshot carries the number of the last event sent, as it did before events had numbers."""
     records = ReplicaStorage.records
 
-    def sent(self: ReplicaStorage, *, whole: bool) -> list[dict[str, Any]]:
+    def sent(self: ReplicaStorage, *, with_state: bool) -> list[StoredRecord]:
         assert isinstance(self, Replica)
         queued = sum(event is not None for event, _ in self.pending_events)
         return [
-            {**record, "applied": record["applied"] - queued} if record["k"] == "st" else record
-            for record in records(self, whole=whole)
+            replace(record, last_applied=record.last_applied - queued) if isinstance(record, StateRecord) else record
+            for record in records(self, with_state=with_state)
         ]
 
     monkeypatch.setattr(ReplicaStorage, "records", sent)
--- a/tests/replication/test_install.py
+++ b/tests/replication/test_install.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from yarrowloom.replication.environment import Role
-from yarrowloom.replication.timing import PROMISE_S
+from yarrowloom.replication.roles import Role
+from yarrowloom.replication.timing import LEASE_S
 from yarrowloom.simulator.machines.process import Proc
 from yarrowloom.simulator.minions import cluster
 from yarrowloom.transport.envelope import Kind
@@ -41,7 +41,7 @@
     for ip in sim.core_ips:
         if ip != primary:
             sim.cut(a=primary, b=ip)
-    assert replica.lease.until <= other.last_heartbeat + PROMISE_S
+    assert replica.lease.valid_until <= other.last_heartbeat + LEASE_S
     for _ in range(120):
         sim.run(seconds=0.02)
         assert len(sim.serving(group_id=0)) <= 1
--- a/tests/replication/test_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -10,13 +10,18 @@
 from tests.support.replication_adapter import Member
 from tests.support.replication_explorer import ALL, Search, calm, do, ready, replay
 from tests.support.replication_model import Op, World
-from yarrowloom.common.records import decode
+from yarrowloom.common.effects import AnyEffect, NoEffect
+from yarrowloom.common.records import Record
 from yarrowloom.replication import election as ballot
 from yarrowloom.replication import replica
+from yarrowloom.replication.acceptor import Acceptor
 from yarrowloom.replication.election import Election
-from yarrowloom.replication.environment import Role
-from yarrowloom.replication.epoch import Acceptor, Epoch
+from yarrowloom.replication.epoch import Epoch
+from yarrowloom.replication.messages import GroupMessage, PrepareResponse, decode_message
 from yarrowloom.replication.replica import Replica
+from yarrowloom.replication.roles import Role
+from yarrowloom.replication.stored_records import AcceptorRecord, StateRecord, StoredRecord
+from yarrowloom.transport.effects import SendMessage
 from yarrowloom.transport.envelope import Kind
 
 TWO_COMMITS = (Op(commit=True), Op(commit=True), Op(commit=True, last=True), Op(commit=False, last=True))
@@ -50,9 +55,9 @@
     """What waits for a sync is said before it."""
     real = Member.write
 
-    def write(self: Member, *, record: dict[str, Any], done: tuple[Any, ...]) -> None:
-        if done[0] == "send" and Kind(done[2]) in kinds:
-            real(self, record=record, done=("none",))
+    def write(self: Member, *, record: Record, done: AnyEffect) -> None:
+        if isinstance(done, SendMessage) and done.message.KIND in kinds:
+            real(self, record=record, done=NoEffect())
             self.effect(effect=done)
         else:
             real(self, record=record, done=done)
@@ -61,15 +66,11 @@
 
 
 def an_acceptor_forgets_its_promise_over_a_restart(p: Patch) -> None:
-    def load(self: Acceptor, document: dict[str, Any]) -> None:
-        self.decided, self.promised, self.accepted_number, self.accepted_value = (
-            decode(document["e"], into=Epoch),
-            None,
-            None,
-            None,
-        )
+    def restore(self: Acceptor, record: AcceptorRecord) -> None:
+        self.decided = record.decided
+        self.promised = self.accepted_number = self.accepted_value = None
 
-    p.setattr(Acceptor, "load", load)
+    p.setattr(Acceptor, "restore", restore)
 
 
 def a_vote_leaves_before_it_is_synced(p: Patch) -> None:
@@ -87,10 +88,11 @@
 def a_backup_answers_the_old_epoch_after_its_election_began(p: Patch) -> None:
     real = Replica.on
 
-    def on(self: Replica, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
-        if kind is Kind.LEADER_LEASE_REQUEST and self.role is Role.CANDIDATE and self.state_epoch == m["n"]:
-            self.environment.send(node_id=node_id, kind=Kind.LEADER_LEASE_GRANTED, body=m)
-        real(self, node_id=node_id, kind=kind, m=m)
+    def on(self: Replica, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
+        if kind is Kind.LEADER_LEASE_REQUEST and self.role is Role.CANDIDATE and self.state_epoch == body["n"]:
+            granted = decode_message(kind=Kind.LEADER_LEASE_GRANTED, body=body)
+            self.environment.send_message(node_id=node_id, message=granted)
+        real(self, node_id=node_id, kind=kind, body=body)
 
     p.setattr(Replica, "on", on)
 
@@ -100,7 +102,7 @@
 
 
 def a_backup_is_less_patient_than_the_lease_is_long(p: Patch) -> None:
-    p.setattr(replica, "SILENCE_S", 0.7)
+    p.setattr(replica, "LEADER_TIMEOUT_S", 0.7)
 
 
 def a_majority_is_counted_of_the_wrong_set(p: Patch) -> None:
@@ -108,19 +110,21 @@
 
 
 def an_election_replaces_a_value_that_was_accepted(p: Patch) -> None:
-    real = Election.on
+    real = Election.on_response
 
-    def on(self: Election, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
-        real(self, node_id=node_id, kind=kind, m={**m, "ab": None} if kind is Kind.PROMISE else m)
+    def on_response(self: Election, *, node_id: str, message: GroupMessage) -> None:
+        if isinstance(message, PrepareResponse):
+            message = msgspec.structs.replace(message, accepted_number=None)
+        real(self, node_id=node_id, message=message)
 
-    p.setattr(Election, "on", on)
+    p.setattr(Election, "on_response", on_response)
 
 
 def a_copy_is_installed_whatever_its_tag(p: Patch) -> None:
     real = Replica._install_snapshot
 
     def unpack(self: Replica, *, epoch: Epoch) -> bool:
-        rows = [tag for tag, record in self.pending_snapshots.items() if record["inst"] == epoch.number]
+        rows = [tag for tag, record in self.pending_snapshots.items() if record.epoch_number == epoch.number]
         named = msgspec.structs.replace(epoch, snapshot_id=rows[-1]) if rows else epoch
         return real(self, epoch=named)
 
@@ -160,14 +164,15 @@
 def a_snapshot_names_the_last_event_sent_instead_of_the_last_applied(p: Patch) -> None:
     real = Replica.snapshot_records
 
-    def checkpoint(self: Replica) -> list[dict[str, Any]]:
+    def snapshot_records(self: Replica) -> list[StoredRecord]:
         waiting = sum(1 for event, _ in self.pending_events if event is not None)
+        applied = self.last_applied - waiting
         return [
-            {**record, "applied": self.last_applied - waiting} if record["k"] == "st" else record
+            msgspec.structs.replace(record, last_applied=applied) if isinstance(record, StateRecord) else record
             for record in real(self)
         ]
 
-    p.setattr(Replica, "snapshot_records", checkpoint)
+    p.setattr(Replica, "snapshot_records", snapshot_records)
 
 
 def a_restarted_backup_forgets_the_election_it_began(p: Patch) -> None:
@@ -175,8 +180,8 @@
 
 
 def a_witness_that_lost_its_disk_votes(p: Patch) -> None:
-    def is_open(self: Acceptor, *, n: int) -> bool:
-        return self.decided is not None and n == self.decided.number + 1
+    def is_open(self: Acceptor, *, epoch_number: int) -> bool:
+        return self.decided is not None and epoch_number == self.decided.number + 1
 
     p.setattr(Acceptor, "_is_open", is_open)
 
--- a/tests/replication/test_snapshot.py
+++ b/tests/replication/test_snapshot.py
@@ -4,7 +4,10 @@
 import pytest
 
 from tests.support.replica_cell import Cell, Member, Role
+from yarrowloom.common.records import MalformedRecordError
+from yarrowloom.replication.epoch import ProposalNumber
 from yarrowloom.replication.log_replay import ReplayError
+from yarrowloom.replication.messages import PrepareRequest
 from yarrowloom.transport.envelope import Kind
 
 
@@ -86,11 +89,14 @@
 def test_a_witness_record_that_waited_while_a_snapshot_was_taken_takes_nothing_back() -> None:
     cell = Cell()
     member = cell.primary()
-    waiting = orjson.dumps({"k": "w", "g": 0, **member.replica.acceptor.dump()})
+    waiting = member.replica.acceptor.stored_record(group_id=0).encoded()
     assert member.replica.acceptor.decided is not None
-    member.replica.acceptor.prepare(n=member.replica.acceptor.decided.number + 1, ballot=[5, "b:1#0"])
+    promised = ProposalNumber(round=5, node_id="b:1#0", incarnation=1)
+    epoch_number = member.replica.acceptor.decided.number + 1
+    request = PrepareRequest(group_id=0, epoch_number=epoch_number, proposal_number=promised)
+    assert member.replica.acceptor.prepare(request) is not None
     replica, _ = member.replayed(journal=[*member.snapshot(), waiting])
-    assert replica.acceptor.promised == [5, "b:1#0"]
+    assert replica.acceptor.promised == promised
 
 
 def test_a_snapshot_that_was_cut_off_does_not_count() -> None:
@@ -118,7 +124,7 @@
     assert [kind for _, _, kind, _ in cell.wire] == [Kind.SNAPSHOT_STORED]  # the backup has synced the copy
     backup.rotate(count=0)
     backup.restart()
-    assert [record["inst"] for record in backup.replica.pending_snapshots.values()] == [2]
+    assert [record.epoch_number for record in backup.replica.pending_snapshots.values()] == [2]
     assert cell.settle(seconds=10.0, until=lambda: len(cell.decided) >= 2 and bool(cell.serving()))
     assert all(member.state.rows == [1] for member in holders(cell))
 
@@ -152,7 +158,7 @@
     """Older journals numbered batches."""
     cell = Cell()
     primary = cell.primary()
-    with pytest.raises((ReplayError, KeyError)):
+    with pytest.raises((ReplayError, MalformedRecordError)):
         primary.replayed(journal=[*primary.journal, orjson.dumps(record)])
 
 
@@ -166,7 +172,7 @@
         backup.replica.on(
             node_id=primary.node_id,
             kind=Kind.APPEND_BATCH,
-            m={"g": 0, "n": base, "first": start + first, "evs": [{"x": x} for x in events], "t": cell.now},
+            body={"g": 0, "n": base, "first": start + first, "evs": [{"x": x} for x in events], "t": cell.now},
         )
         backup.sync(count=len(backup.unsynced))
         rows = [orjson.loads(body)["last"] - start for _, _, kind, body in cell.wire if kind is Kind.BATCH_APPENDED]
@@ -180,7 +186,7 @@
     assert backup.state.rows == [1, 2, 3]
     assert log(first=5, events=[5]) == []
     assert backup.state.rows == [1, 2, 3]
-    assert backup.notes[-1][0] == "log-gap"
+    assert backup.notes[-1][0] == "log-gap-found"
     _, replayed = backup.replayed(journal=backup.journal)
     assert replayed.rows == [1, 2, 3]
 
@@ -253,7 +259,7 @@
     assert backup.replica.role is Role.IDLE
     assert backup.replica.state_epoch == -1
     assert 2 not in cell.confirmed
-    assert [name for name, _ in backup.notes].count("copy-void") == 1
+    assert [name for name, _ in backup.notes].count("state-discarded") == 1
     assert cell.settle(seconds=20.0, until=lambda: 2 in cell.confirmed)
     assert all(member.state.rows == [1, 2] for member in holders(cell))
     assert all(member.state.rows == [1, 2] for member in cell.members.values() if member.replica.role is not Role.IDLE)
--- a/tests/replication/test_snapshot_any_order.py
+++ b/tests/replication/test_snapshot_any_order.py
@@ -6,11 +6,13 @@
 from contextlib import contextmanager
 
 import pytest
+from msgspec.structs import replace
 
 from tests.support.replica_cell import Cell, Member, Role
 from yarrowloom.replication.election import Election
 from yarrowloom.replication.log_replay import unapplied
 from yarrowloom.replication.replica_storage import ReplicaStorage
+from yarrowloom.replication.stored_records import StateRecord, StoredRecord
 
 STEPS = 1500
 SEEDS = 30
@@ -148,10 +150,11 @@
         unapplied(first=first, events=events, applied=applied)
         return events
 
-    def sent(self: ReplicaStorage, *, whole: bool) -> list[dict[str, object]]:
-        out = records(self, whole=whole)
+    def sent(self: ReplicaStorage, *, with_state: bool) -> list[StoredRecord]:
+        out = records(self, with_state=with_state)
         queued = sum(event is not None for event, _ in self.pending_events)  # type: ignore[attr-defined]
-        return [{**record, "applied": self.last_applied - queued} if record["k"] == "st" else record for record in out]
+        applied = self.last_applied - queued
+        return [replace(record, last_applied=applied) if isinstance(record, StateRecord) else record for record in out]
 
     with monkeypatch.context() as patch:
         if guard == "replay passes over what it has":
@@ -161,7 +164,7 @@
         elif guard == "a backup that began to take over confirms nothing more":
             patch.setattr(ReplicaStorage, "proposed_snapshot", lambda self, epoch_number: None)
         elif guard == "a life does not serve in an epoch that an earlier one may have served in":
-            patch.setattr(Election, "resumed", property(lambda self: False, lambda self, value: None), raising=False)
+            patch.setattr(Election, "is_resumed", property(lambda self: False, lambda self, value: None), raising=False)
         yield
 
 
--- a/tests/replication/test_stalled_process.py
+++ b/tests/replication/test_stalled_process.py
@@ -167,7 +167,7 @@
         sim.run(seconds=0.05)
         assert len(sim.serving(group_id=0)) <= 1
         if newest(sim, group_id=0).number == number:
-            assert replica.lease.until <= before + 1.2
+            assert replica.lease.valid_until <= before + 1.2
     assert newest(sim, group_id=0).number > number
     assert len(sim.serving(group_id=0)) == 1
 
--- a/tests/replication/test_successive_losses.py
+++ b/tests/replication/test_successive_losses.py
@@ -7,7 +7,7 @@
 from tests.replication.test_handover import CATCH_UP_S, change, served, version
 from tests.replication.test_quorum_contact import holders, newest
 from yarrowloom.node.node_base import JOB_GROUPS
-from yarrowloom.replication.timing import DOUBT_S, PING_S, SILENCE_S, TURN_S
+from yarrowloom.replication.timing import BACKUP_TIMEOUT_S, LEADER_TIMEOUT_S, LEASE_RENEWAL_S, TAKEOVER_STAGGER_S
 from yarrowloom.simulator import minions
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.machines.process import Proc
@@ -81,7 +81,7 @@
 
 def bound(*, losses: int, slow_sync_s: float, copy_s: float) -> float:
     """Detection (by the last of the backups), and the steps of one campaign."""
-    detection = max(DOUBT_S + PING_S, SILENCE_S + TURN_S * (losses - 1)) + TICK_S
+    detection = max(BACKUP_TIMEOUT_S + LEASE_RENEWAL_S, LEADER_TIMEOUT_S + TAKEOVER_STAGGER_S * (losses - 1)) + TICK_S
     return detection + copy_s * losses + SYNCS * slow_sync_s * 1.5 / 2 + 4 * TICK_S
 
 
--- a/tests/storage/stored_data.py
+++ b/tests/storage/stored_data.py
@@ -5,11 +5,9 @@
 """
 
 import gzip
-import inspect
 import pathlib
-import re
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, get_args
 
 import orjson
 
@@ -20,7 +18,7 @@
 from yarrowloom.jobs.events import job_event_tags
 from yarrowloom.node.core import NODE_RECORDS, CoreNode
 from yarrowloom.node.recovery import recover
-from yarrowloom.replication.replica_storage import ReplicaStorage
+from yarrowloom.replication.stored_records import AnyStoredRecord
 from yarrowloom.storage import JournalState, RingJournal
 
 DATA = pathlib.Path(__file__).parent / "data"
@@ -103,7 +101,7 @@
 
 def known_kinds() -> KnownKinds:
     """The kinds that the reducers and the replay of records dispatch on."""
-    record_kinds = re.findall(r'kind == "(\w+)"', inspect.getsource(ReplicaStorage.restore))
+    record_kinds = [str(record_class.__struct_config__.tag) for record_class in get_args(AnyStoredRecord)]
     return KnownKinds(
         records=frozenset({*record_kinds, *NODE_RECORDS}),
         registry_events=registry_event_tags(),
--- a/tests/storage/write_data.py
+++ b/tests/storage/write_data.py
@@ -54,7 +54,7 @@
 
     def message(self, *, source: str, kind: Kind, group: int, **body: Any) -> None:
         """Give the node a message of a group."""
-        self.node.replicas[group].on(node_id=source, kind=kind, m={"g": group, **body})
+        self.node.replicas[group].on(node_id=source, kind=kind, body={"g": group, **body})
         self.write()
 
     def log(self, *, source: str, group: int, events: list[dict[str, Any]], first: int = 0) -> None:
--- a/tests/support/replica_cell.py
+++ b/tests/support/replica_cell.py
@@ -6,14 +6,18 @@
 
 import orjson
 
+from yarrowloom.common.effects import AnyEffect, NoEffect
+from yarrowloom.common.records import Record
 from yarrowloom.node.recovery import last_snapshot, records_since
-from yarrowloom.replication.environment import Role
+from yarrowloom.replication.effects import BatchSynced, SnapshotSynced
 from yarrowloom.replication.epoch import Epoch
 from yarrowloom.replication.replica import Replica
+from yarrowloom.replication.roles import Role
 from yarrowloom.storage import SNAPSHOT_END
+from yarrowloom.transport.effects import SendMessage
 from yarrowloom.transport.envelope import Kind
+from yarrowloom.transport.message import Message
 
-Effect = tuple[Any, ...]
 Built = Callable[..., Replica]
 STEP_S = 0.05
 
@@ -46,7 +50,7 @@
         self.node_id = node_id
         self.incarnation = 1
         self.journal: list[bytes] = []
-        self.unsynced: list[tuple[bytes, Effect]] = []
+        self.unsynced: list[tuple[bytes, AnyEffect]] = []
         self.notes: list[tuple[str, dict[str, object]]] = []
         self.state = Rows()
         self.replica: Replica
@@ -57,22 +61,24 @@
     def now(self) -> float:
         return self.cell.now
 
-    def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
-        self.cell.wire.append((self.node_id, node_id, kind, orjson.dumps(body)))
-
-    def write(self, *, record: dict[str, Any], done: Effect) -> None:
-        self.unsynced.append((orjson.dumps(record), done))
-
-    def effect(self, *, effect: Effect) -> None:
-        if effect[0] == "near":
-            self.replica.batch_synced(epoch_number=effect[2], last_event=effect[3])
-        elif effect[0] == "copied":
-            if self.replica.election is not None:
-                self.replica.election.copied(tag=effect[2], node_id="")
-        elif effect[0] == "send":
-            self.send(node_id=effect[1], kind=Kind(effect[2]), body=effect[3])
-        elif effect[0] == "confirmed":
-            self.cell.confirmed.append(effect[1])
+    def send_message(self, *, node_id: str, message: Message) -> None:
+        self.cell.wire.append((self.node_id, node_id, message.KIND, message.encoded()))
+
+    def write(self, *, record: Record, done: AnyEffect) -> None:
+        self.unsynced.append((record.encoded(), done))
+
+    def effect(self, *, effect: AnyEffect) -> None:
+        match effect:
+            case BatchSynced():
+                self.replica.batch_synced(epoch_number=effect.epoch_number, last_event=effect.last_event)
+            case SnapshotSynced():
+                self.replica.snapshot_synced(snapshot_id=effect.snapshot_id)
+            case SendMessage():
+                self.send_message(node_id=effect.node_id, message=effect.message)
+            case ("confirmed", number):
+                self.cell.confirmed.append(number)
+            case _:
+                assert effect == NoEffect(), effect
 
     def partners(self, *, first: Sequence[str]) -> list[str]:
         return sorted((u for u in self.cell.members if u != self.node_id), key=lambda u: (u not in first, u))
@@ -115,16 +121,15 @@
         self.journal += [body for body, _ in batch]
         self.ran(batch=batch)
 
-    def ran(self, *, batch: list[tuple[bytes, Effect]]) -> None:
+    def ran(self, *, batch: list[tuple[bytes, AnyEffect]]) -> None:
         for _, done in batch:
             self.effect(effect=done)
         self.replica.flush()
 
     def snapshot(self) -> list[bytes]:
         """The head of a ring file."""
-        return [
-            orjson.dumps(record) for record in ({"k": "id", "uid": self.node_id}, *self.replica.snapshot_records())
-        ] + [SNAPSHOT_END]
+        identity = orjson.dumps({"k": "id", "uid": self.node_id})
+        return [identity, *(record.encoded() for record in self.replica.snapshot_records()), SNAPSHOT_END]
 
     def rotate(self, *, count: int) -> None:
         """As the writer does: a snapshot of what is now, then records that waited all along."""
@@ -138,7 +143,7 @@
         state = Rows()
         replica = built(group_id=0, environment=self, state=state, epoch=None)
         for record in records:
-            if record["k"] not in ("id", "none"):
+            if record.get("k") not in ("id", "none"):
                 replica.restore(record)
         replica.finish_restore()
         return replica, state
@@ -183,7 +188,7 @@
         _src, dst, kind, body = self.wire.pop(at)
         if dst in self.members:
             member = self.members[dst]
-            member.replica.on(node_id=_src, kind=kind, m=orjson.loads(body))
+            member.replica.on(node_id=_src, kind=kind, body=orjson.loads(body))
             member.replica.flush()
 
     def settle(self, *, seconds: float, until: Callable[[], bool] = lambda: False) -> bool:
--- a/tests/support/replication_adapter.py
+++ b/tests/support/replication_adapter.py
@@ -9,14 +9,20 @@
 
 from tests.support.binding_model import Broken
 from yarrowloom.cluster_state.registry import Registry
-from yarrowloom.common.records import decode
-from yarrowloom.replication.environment import Reducer, ReplicaEnvironment, Role
+from yarrowloom.common.effects import AnyEffect, NoEffect
+from yarrowloom.common.records import Record, decode
+from yarrowloom.replication.effects import BatchSynced, SnapshotSynced
+from yarrowloom.replication.environment import Reducer, ReplicaEnvironment
 from yarrowloom.replication.epoch import Epoch, addr_of
 from yarrowloom.replication.handover import may_end
 from yarrowloom.replication.log_replay import ReplayError
+from yarrowloom.replication.messages import BatchAppended
 from yarrowloom.replication.replica import Replica
-from yarrowloom.replication.timing import DOUBT_S, SILENCE_S, SUSPECT_S
+from yarrowloom.replication.roles import Role
+from yarrowloom.replication.timing import BACKUP_TIMEOUT_S, DISK_TIMEOUT_S, LEADER_TIMEOUT_S
+from yarrowloom.transport.effects import SendMessage
 from yarrowloom.transport.envelope import LANES, Kind, Lane
+from yarrowloom.transport.message import Message
 
 if TYPE_CHECKING:
     from tests.support.replication_model import World
@@ -85,7 +91,7 @@
     asked_votes: int = -1  # the newest of these for which votes were asked
     draws: int = 0
     synced: list[dict[str, Any]] = field(default_factory=list)
-    pending: list[tuple[int, dict[str, Any], tuple[Any, ...]]] = field(default_factory=list)
+    pending: list[tuple[int, dict[str, Any], AnyEffect]] = field(default_factory=list)
     last_heard: dict[str, float] = field(default_factory=dict)
     view: list[str] = field(default_factory=list)  # the uids that it takes for members
     replica: Replica = field(init=False)
@@ -96,30 +102,30 @@
     def now(self) -> float:
         return self.w.start + (self.w.now - self.w.start) * self.rate
 
-    def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
+    def send_message(self, *, node_id: str, message: Message) -> None:
+        kind, body = message.KIND, orjson.loads(message.encoded())
         self.w.check_send(member=self, kind=kind, body=body)
         self.w.send(src=self, dst=addr_of(node_id=node_id), kind=kind.name, body=body, copy=LANES[kind] is Lane.COPY)
 
-    def write(self, *, record: dict[str, Any], done: tuple[Any, ...]) -> None:
-        if done[0] == "send" and Kind(done[2]) is Kind.BATCH_APPENDED:
-            self.w.check_left(member=self, n=done[3]["n"])
-        self.pending.append((self.w.next_serial(), copy_of(record), done))
-
-    def effect(self, *, effect: tuple[Any, ...]) -> None:
-        what = effect[0]
-        if what == "near":
-            self.replica.batch_synced(epoch_number=effect[2], last_event=effect[3])
-        elif what == "copied":
-            if self.replica.election is not None:
-                self.replica.election.copied(tag=effect[2], node_id="")
-        elif what == "send":
-            self.send(node_id=effect[1], kind=Kind(effect[2]), body=effect[3])
-        elif what == "ack":
-            self.w.acked_by(member=self, numbers=[effect[1]])
-        elif what == "answer":
-            self.w.acked_by(member=self, numbers=effect[1])
-        else:
-            assert what == "none", effect
+    def write(self, *, record: Record, done: AnyEffect) -> None:
+        if isinstance(done, SendMessage) and isinstance(done.message, BatchAppended):
+            self.w.check_left(member=self, n=done.message.epoch_number)
+        self.pending.append((self.w.next_serial(), orjson.loads(record.encoded()), done))
+
+    def effect(self, *, effect: AnyEffect) -> None:
+        match effect:
+            case BatchSynced():
+                self.replica.batch_synced(epoch_number=effect.epoch_number, last_event=effect.last_event)
+            case SnapshotSynced():
+                self.replica.snapshot_synced(snapshot_id=effect.snapshot_id)
+            case SendMessage():
+                self.send_message(node_id=effect.node_id, message=effect.message)
+            case ("ack", number):
+                self.w.acked_by(member=self, numbers=[number])
+            case ("answer", numbers):
+                self.w.acked_by(member=self, numbers=numbers)
+            case _:
+                assert effect == NoEffect(), effect
 
     def partners(self, *, first: Sequence[str]) -> list[str]:
         rows = [(not self.up(node_id=u), u not in first, u) for u in self.view if u != self.node_id]
@@ -148,8 +154,8 @@
         return (self.draws * 0.381966 + self.index * 0.27 + self.incarnation * 0.11) % 1.0
 
     def note(self, *, event: str, **fields: object) -> None:
-        if event == "campaign":
-            self.left = max(self.left, int(str(fields["after"])))
+        if event == "election-started":
+            self.left = max(self.left, int(str(fields["epoch"])))
 
     def installed(self, *, group_id: int, epoch: Epoch) -> None:
         self.w.learnt(member=self, epoch=epoch)
@@ -218,7 +224,7 @@
         return replica
 
     def checkpoint(self) -> list[dict[str, Any]]:
-        rows: list[dict[str, Any]] = copy_of(self.replica.snapshot_records())
+        rows: list[dict[str, Any]] = [orjson.loads(record.encoded()) for record in self.replica.snapshot_records()]
         return rows
 
     def commit(self, *, number: int) -> None:
@@ -234,10 +240,10 @@
         if kind == "CLUSTER_UPDATE":
             self.replica.learn(decode(body["e"], into=Epoch))
         else:
-            self.replica.on(node_id=node_id, kind=Kind[kind], m=body)
+            self.replica.on(node_id=node_id, kind=Kind[kind], body=body)
         self.replica.flush()
 
-    def done(self, *, effects: list[tuple[Any, ...]]) -> None:
+    def done(self, *, effects: list[AnyEffect]) -> None:
         for effect in effects:
             self.effect(effect=effect)
         self.replica.flush()
@@ -262,9 +268,19 @@
         replica = self.replica
         if replica.role is Role.PRIMARY:
             flight = replica.in_flight.begun_at if replica.in_flight is not None else 0.0
-            answers = [at + DOUBT_S for at in replica.lease._answers.values()]
-            return [replica.lease.until, replica.lease.contact.until, flight + SUSPECT_S, flight + DOUBT_S, *answers]
-        return [replica.last_heartbeat + SILENCE_S + replica._turn()] if replica.role is Role.BACKUP else []
+            answers = [at + BACKUP_TIMEOUT_S for at in replica.lease._answered.values()]
+            return [
+                replica.lease.valid_until,
+                replica.lease.contact.valid_until,
+                flight + DISK_TIMEOUT_S,
+                flight + BACKUP_TIMEOUT_S,
+                *answers,
+            ]
+        return (
+            [replica.last_heartbeat + LEADER_TIMEOUT_S + replica._takeover_delay_s()]
+            if replica.role is Role.BACKUP
+            else []
+        )
 
     def on_disk(self, *, kind: Kind, body: dict[str, Any]) -> bool:
         """Whether what an answer says is synced."""
--- a/tests/support/replication_explorer.py
+++ b/tests/support/replication_explorer.py
@@ -29,7 +29,9 @@
 SWAPS = frozenset({"sync", "deliver", "op", "tick", "edge", "rotate"})
 FAULTS = frozenset({"lose", "repeat", "kill", "power", "disk", "replace", "cut", "freeze", "leave"})
 ALL = SWAPS | FAULTS
-LINKS = frozenset({"w", "hub", "_hub", "rep", "_member"})  # attributes that lead back to others
+LINKS = frozenset(
+    {"w", "environment", "_environment", "replica", "_candidate", "_member"}
+)  # attributes that lead back to others
 _TAG = re.compile(rb"10\.0\.0\.\d+:7000#\d+/[0-9.]+/\d+")
 
 
@@ -212,7 +214,7 @@
     members = []
     for m in w.members:
         own = {k: v for k, v in vars(m).items() if k not in LINKS | {"pending", "synced"}}
-        waiting = [[place[n], record, list(done)] for n, record, done in m.pending]
+        waiting = [[place[n], record, type(done).__name__, done] for n, record, done in m.pending]
         members.append([m.synced, flat([own, m.replica, waiting], m.now, set())])
     document = [
         lines,
--- a/yarrowloom/node/core.py
+++ b/yarrowloom/node/core.py
@@ -14,9 +14,10 @@
 from ..common.log import Log
 from ..common.records import decode
 from ..common.settings import NodeSettings
+from ..replication.effects import BatchSynced, SnapshotSynced
 from ..replication.handover import copied_elsewhere, may_end
 from ..replication.log_replay import ReplayError
-from ..replication.messages import RECORD_KINDS
+from ..replication.messages import GROUP_MESSAGE_KINDS
 from ..scheduling import OrderRuns, Scheduler, StopRuns
 from ..transport.effects import Reply, SendMessage
 from ..transport.envelope import Kind, dump
@@ -63,6 +64,8 @@
         self.relays = EdgeRelays()
         self._effect_handlers: dict[type[Effect], Callable[[Any], None]] = {
             NoEffect: lambda _effect: None,
+            BatchSynced: self._batch_synced,
+            SnapshotSynced: self._snapshot_synced,
             SendMessage: self._send_message,
             Reply: self._respond_to_call,
             StopRuns: self._stop_runs,
@@ -75,11 +78,9 @@
             Kind.CALL: self._on_call,
             Kind.REPLY: self._on_reply,
             Kind.CAPACITY_REPORT: self._on_capacity_report,
-            **{kind: partial(self._on_replication, kind=kind) for kind in RECORD_KINDS},
+            **{kind: partial(self._on_replication, kind=kind) for kind in GROUP_MESSAGE_KINDS},
         }
         self._effects: dict[str, Callable[..., None]] = {
-            "near": self._near,
-            "copied": self._copied,
             "send": self._sendeff,
             "none": self._none,
             "reply": self._reply,
@@ -100,13 +101,15 @@
     def _none(self) -> None:
         pass
 
-    def _near(self, group_id: int, n: int, last: int) -> None:
-        self.replicas[group_id].batch_synced(epoch_number=n, last_event=last)
+    def _batch_synced(self, effect: BatchSynced) -> None:
+        replica = self.replicas[effect.group_id]
+        replica.batch_synced(epoch_number=effect.epoch_number, last_event=effect.last_event)
 
-    def _copied(self, group_id: int, tag: str) -> None:
-        election = self.replicas[group_id].election
-        if election is not None:
-            election.copied(tag=tag, node_id="")
+    def _snapshot_synced(self, effect: SnapshotSynced) -> None:
+        self.replicas[effect.group_id].snapshot_synced(snapshot_id=effect.snapshot_id)
+
+    def _send_message(self, effect: SendMessage) -> None:
+        self.send_message(node_id=effect.node_id, message=effect.message)
 
     def _sendeff(self, node_id: str, kind: int, body: dict[str, Any]) -> None:
         self.send(node_id=node_id, kind=Kind(kind), body=body)
@@ -117,9 +120,6 @@
     def _publish(self, update: ClusterUpdate) -> None:
         self.apply_update(update=update)
 
-    def _send_message(self, effect: SendMessage) -> None:
-        self.send_message(node_id=effect.node_id, message=effect.message)
-
     def _respond_to_call(self, effect: Reply) -> None:
         self.reply(node_id=effect.node_id, request_id=effect.request_id, status=effect.status, document=effect.document)
 
@@ -319,7 +319,7 @@
         self.calls.reply(node_id=node_id, m=m)
 
     def _on_replication(self, *, node_id: str, m: Any, kind: Kind) -> None:
-        self.replicas[m["g"]].on(node_id=node_id, kind=kind, m=m)
+        self.replicas[m["g"]].on(node_id=node_id, kind=kind, body=m)
 
     def gap(self, *, node_id: str) -> None:
         """Frames from a node were lost."""
@@ -445,5 +445,5 @@
         """Records that stand for all that this node keeps."""
         out = [dump(body={"k": "id", "uid": self.node_id, "inc": self.incarnation})]
         for replica in self.replicas.values():
-            out += [dump(body=record) for record in replica.snapshot_records()]
+            out += [record.encoded() for record in replica.snapshot_records()]
         return out
--- a/yarrowloom/node/core_environment.py
+++ b/yarrowloom/node/core_environment.py
@@ -12,12 +12,13 @@
 from ..common.defaults import SHIPPED, Defaults
 from ..common.effects import AnyEffect
 from ..common.log import Log
+from ..common.records import Record
 from ..common.settings import NodeSettings
 from ..jobs.state_machine import Jobs
 from ..prediction import History
 from ..replication import Epoch, Replica
 from ..scheduling import Scheduler
-from ..transport.envelope import Kind, dump
+from ..transport.envelope import Kind
 from ..transport.http_server import Response
 from .controller import Chief
 from .group_calls import first_number
@@ -135,9 +136,9 @@
         """Job groups."""
         return range(1, JOB_GROUPS + 1)
 
-    def write(self, *, record: dict[str, Any], done: AnyEffect) -> None:
+    def write(self, *, record: Record, done: AnyEffect) -> None:
         """To disk."""
-        self.out.writes.append((dump(body=record), done))
+        self.out.writes.append((record.encoded(), done))
 
     def elected(self, *, group_id: int) -> None:
         """This node now serves the group."""
--- a/yarrowloom/replication/batch.py
+++ b/yarrowloom/replication/batch.py
@@ -1,16 +1,38 @@
 """Events on their way to the disks of all holders."""
 
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 from ..common.effects import AnyEffect
 
 
+class PendingEvent(NamedTuple):
+    """Something that waits for the next batch.
+
+    Attributes:
+        event: An event that is applied and not yet sent; None: only the effect waits, for the events before it.
+        effect: What is to be done once the batch is durable.
+    """
+
+    event: dict[str, Any] | None
+    effect: AnyEffect | None
+
+
 @dataclass(slots=True, kw_only=True)
 class Batch:
-    """Events `first` to `last` of an epoch, sent together; one batch is in flight at a time. Invariant: `effects` are
-    carried out only once the batch is `local_durable` and `acknowledged_by` names all backups. Times are seconds of the
-    node's steady clock.
+    """Events of an epoch that are sent together; one batch is in flight at a time.
+
+    Invariant: `effects` are carried out only once the batch is `local_durable` and `acknowledged_by` names all backups.
+
+    Attributes:
+        first: Number of the first event.
+        last: Number of the last event.
+        events: The events.
+        effects: What is to be done then.
+        begun_at: When it was first sent, in seconds of the node's steady clock.
+        sent_at: When it was last sent.
+        local_durable: The primary's own disk has it.
+        acknowledged_by: Backups whose disks have it.
     """
 
     first: int
--- a/yarrowloom/replication/environment.py
+++ b/yarrowloom/replication/environment.py
@@ -1,55 +1,61 @@
-"""What a replica is made of: its roles, its timing, what it asks of its node."""
+"""What a replica needs of its node, and of the state that it replicates."""
 
-import enum
 from collections.abc import Sequence
 from typing import Any, Protocol
 
 import orjson
 
 from ..common.effects import AnyEffect
-from ..transport.envelope import Kind, dump
+from ..common.records import Record
+from ..transport.envelope import dump
+from ..transport.message import Message
 from .epoch import Epoch
 
-# makes all minions attach anew
-
 
 class Reducer(Protocol):
-    """The state of a group: changes only by events."""
+    """The state of a group. It changes only by events, and equal events in equal order give equal states."""
 
     def apply(self, event: dict[str, Any]) -> Any:
-        """Take one event; what it returns are effects as data."""
+        """Take one event; what it returns is handed to the caller of `Replica.commit`."""
 
     def dump(self) -> Any:
         """All of it as plain data."""
 
     def load(self, document: Any) -> None:
-        """Replace all of it; `doc` is the state's own from now on."""
+        """Replace all of it; `document` is the state's own from now on."""
+
 
+def encode_state(*, state: Reducer) -> str:
+    """The whole state as JSON text.
 
-def encode(*, state: Reducer) -> str:
-    """The whole state as JSON text. It goes into records and frames as a string, so that none of those who only
-    carry it has to parse it or to write it anew.
+    Records and messages carry it as a string, so that those who only pass it on need not parse or encode it again.
     """
     return dump(body=state.dump()).decode()
 
 
-def decode(*, text: Any) -> Any:
-    """The plain data of `encode`'s text; a record of the own state holds the data itself, written only once."""
-    return orjson.loads(text) if isinstance(text, str) else text
+def decode_state(*, encoded: Any) -> Any:
+    """The plain data of a stored state: of `encode_state`'s text, or the data itself as in a `StateRecord`."""
+    return orjson.loads(encoded) if isinstance(encoded, str) else encoded
 
 
 class ReplicaEnvironment(Protocol):
-    """What a replica needs of its node."""
+    """What a replica needs of its node.
+
+    Attributes:
+        now: Seconds of the node's steady clock.
+        node_id: The node.
+        incarnation: The number of this life of the process among those with this node id.
+    """
 
     now: float
     node_id: str
-    incarnation: int  # this life's number among those with this uid
+    incarnation: int
 
-    def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
-        """To another node, or to itself."""
+    def send_message(self, *, node_id: str, message: Message) -> None:
+        """Send to another node, or to this one."""
 
-    def write(self, *, record: dict[str, Any], done: tuple[Any, ...]) -> None:
-        """To disk; `done` comes back as an effect once synced."""
+    def write(self, *, record: Record, done: AnyEffect) -> None:
+        """Write to disk; `done` comes back as an effect once it is synced."""
 
     def effect(self, *, effect: AnyEffect) -> None:
         """Carry out an effect that is now durable."""
@@ -58,7 +64,7 @@
         """Members that may be a backup, best first; of equals, those in `first`."""
 
     def up(self, *, node_id: str) -> bool:
-        """Heard of lately."""
+        """Whether a member was heard of lately."""
 
     def other_zones(self, *, holders: Sequence[str]) -> list[str]:
         """If all of `holders` stand in one zone: live members of other zones."""
@@ -67,16 +73,16 @@
         """How many disks may be lost at once: the number of backups."""
 
     def witnesses(self, *, have: Sequence[str]) -> list[str]:
-        """The set that should keep epochs, given the one that does."""
+        """The witnesses that a next epoch should have, given those of this one."""
 
     def everyone(self) -> list[str]:
         """All core members known."""
 
     def jitter(self) -> float:
-        """0 to 1."""
+        """A random number from 0 to 1."""
 
     def note(self, *, event: str, **fields: object) -> None:
-        """Log."""
+        """Log an event."""
 
     def installed(self, *, group_id: int, epoch: Epoch) -> None:
         """A newer epoch is decided."""
@@ -85,23 +91,4 @@
         """This node now serves the group."""
 
     def deposed(self, *, group_id: int) -> None:
-        """It no longer does."""
-
-
-class Role(enum.Enum):
-    """A member's part."""
-
-    IDLE = "idle"
-    BACKUP = "backup"
-    LAPSED = "lapsed"  # has the state of an epoch that it must not go on with: it is to campaign for the next
-    CANDIDATE = "taking"  # campaigning for the next epoch
-    PRIMARY = "primary"
-
-
-MOVES: dict[Role, frozenset[Role]] = {
-    Role.IDLE: frozenset({Role.BACKUP, Role.LAPSED}),
-    Role.BACKUP: frozenset({Role.CANDIDATE, Role.IDLE, Role.LAPSED, Role.BACKUP}),
-    Role.LAPSED: frozenset({Role.CANDIDATE, Role.IDLE, Role.BACKUP, Role.LAPSED}),
-    Role.CANDIDATE: frozenset({Role.PRIMARY, Role.IDLE, Role.BACKUP, Role.LAPSED, Role.CANDIDATE}),
-    Role.PRIMARY: frozenset({Role.CANDIDATE, Role.IDLE, Role.BACKUP, Role.LAPSED}),
-}
+        """This node no longer serves the group."""
--- a/yarrowloom/replication/handover.py
+++ b/yarrowloom/replication/handover.py
@@ -2,15 +2,17 @@
 
 from typing import Protocol
 
-from ..transport.envelope import Kind
-from .environment import ReplicaEnvironment, Role
-from .epoch import Acceptor, Epoch
+from .acceptor import Acceptor
+from .environment import ReplicaEnvironment
+from .epoch import Epoch
 from .leader_lease import LeaderLease
-from .timing import LEAVE_S, RELIEF_S
+from .messages import YieldRequest
+from .roles import Role
+from .timing import LEAVE_RETRY_S, LEAVE_WAIT_S
 
 
-class Member(Protocol):
-    """What relief needs of the replica that it belongs to."""
+class LeavingMember(Protocol):
+    """What a handover needs of the replica that it belongs to; attributes as in `Replica`."""
 
     group_id: int
     environment: ReplicaEnvironment
@@ -21,98 +23,108 @@
     lease: LeaderLease
 
     @property
-    def electing(self) -> bool:
-        """A campaign of this member is under way."""
+    def is_electing(self) -> bool:
+        """Whether an election of this member is under way."""
 
     def start_election(self, *, reason: str, avoid: list[str] | None = None) -> None:
-        """Election to be the primary of the next epoch."""
+        """Stand for election as the primary of the next epoch."""
 
-    def step_down(self, *, to: str = "") -> None:
+    def step_down(self, *, successor: str = "") -> None:
         """Have a backup take over at once."""
 
 
 def substitutes(*, environment: ReplicaEnvironment, epoch: Epoch) -> list[str]:
     """Live members that hold nothing of the epoch yet."""
-    holders = (epoch.primary, *epoch.backups)
-    return [u for u in environment.partners(first=[]) if u not in holders and environment.up(node_id=u)]
+    return [
+        node_id
+        for node_id in environment.partners(first=[])
+        if node_id not in epoch.holders and environment.up(node_id=node_id)
+    ]
 
 
 def copied_elsewhere(*, environment: ReplicaEnvironment, epoch: Epoch | None) -> bool:
-    """Another live member holds all that was confirmed, or this one holds nothing."""
-    if epoch is None or environment.node_id not in (epoch.primary, *epoch.backups):
+    """Whether another live member holds all that was acknowledged, or this one holds nothing."""
+    if epoch is None or environment.node_id not in epoch.holders:
         return True
-    return any(u != environment.node_id and environment.up(node_id=u) for u in (epoch.primary, *epoch.backups))
+    return any(node_id != environment.node_id and environment.up(node_id=node_id) for node_id in epoch.holders)
 
 
 def may_end(*, environment: ReplicaEnvironment, epoch: Epoch | None, leaving_s: float) -> bool:
-    """No epoch needs this member any more; or another holder is there, and no further one is to be had or has been
-    found in RELIEF_S; or no other member is known at all. `asked_s`: how long it has been leaving.
+    """Whether the process may end as far as one group goes.
+
+    It may if no epoch needs this member any more; or if another holder is there, and no further one is to be had or
+    has been found in LEAVE_WAIT_S; or if no other member is known at all.
+
+    Args:
+        environment: The member's node.
+        epoch: The newest epoch that is known.
+        leaving_s: Seconds for which the member has been leaving.
     """
-    if (
-        epoch is None
-        or environment.node_id not in (epoch.primary, *epoch.backups)
-        or not environment.partners(first=[])
-    ):
+    if epoch is None or environment.node_id not in epoch.holders or not environment.partners(first=[]):
         return True
     if not copied_elsewhere(environment=environment, epoch=epoch):
         return False
-    return leaving_s >= RELIEF_S or not substitutes(environment=environment, epoch=epoch)
+    return leaving_s >= LEAVE_WAIT_S or not substitutes(environment=environment, epoch=epoch)
 
 
 class Handover:
-    """Of a member that is about to end, and of backups of this primary that are. Invariant: a leaving member asks
-    until no decided epoch names it as holder, or for RELIEF_S if another holder is there. It takes copies all the
-    same: nobody else may be there to take them.
+    """Has a member that is about to end replaced, and backups of this primary that are.
+
+    Invariant: a leaving member asks until no decided epoch names it as holder, or for LEAVE_WAIT_S if another holder is
+    there. It stores snapshots of others all the same: nobody else may be there to do so.
+
+    Attributes:
+        is_leaving: This process is about to end.
     """
 
-    def __init__(self, *, member: Member) -> None:
-        self.leaving = False
+    def __init__(self, *, member: LeavingMember) -> None:
+        self.is_leaving = False
         self._member = member
-        self._begun = 0.0
-        self._asked = 0.0
+        self._begun_at = 0.0
+        self._asked_at = 0.0
 
     def begin(self) -> None:
         """This process is about to end."""
-        self.leaving = True
-        self._begun = self._member.environment.now
-        self._asked = -LEAVE_S
-        if not self._member.electing:
+        self.is_leaving = True
+        self._begun_at = self._member.environment.now
+        self._asked_at = -LEAVE_RETRY_S
+        if not self._member.is_electing:
             self.tick()
 
     def leaving_s(self) -> float:
         """Seconds since this member began to leave."""
-        return self._member.environment.now - self._begun
+        return self._member.environment.now - self._begun_at
 
     def tick(self) -> None:
-        """Called a few times a second while there is no campaign."""
+        """Called a few times a second while there is no election."""
         member = self._member
         epoch = member.acceptor.decided
-        if not self.leaving or epoch is None or member.environment.now - self._asked < LEAVE_S:
+        if not self.is_leaving or epoch is None or member.environment.now - self._asked_at < LEAVE_RETRY_S:
             return
-        if self.leaving_s() >= RELIEF_S and copied_elsewhere(environment=member.environment, epoch=epoch):
-            return  # several leave at once: they would only hand the copy to and fro
-        self._asked = member.environment.now
+        if self.leaving_s() >= LEAVE_WAIT_S and copied_elsewhere(environment=member.environment, epoch=epoch):
+            return  # several leave at once: they would only pass the copy back and forth
+        self._asked_at = member.environment.now
         if member.role is Role.BACKUP:
-            member.environment.send(
-                node_id=epoch.primary, kind=Kind.YIELD, body={"g": member.group_id, "n": epoch.number}
-            )
+            request = YieldRequest(group_id=member.group_id, epoch_number=epoch.number)
+            member.environment.send_message(node_id=epoch.primary, message=request)
         elif member.role is Role.PRIMARY:
             self._hand_over(epoch=epoch)
 
     def _hand_over(self, *, epoch: Epoch) -> None:
         """Yield to a backup that answers; without one, another copy comes first."""
         member = self._member
-        silent = member.lease.silent(epoch=epoch, awake=member.resumed_at, patience=2 * LEAVE_S)
+        silent = member.lease.silent_backups(epoch=epoch, resumed_at=member.resumed_at, timeout_s=2 * LEAVE_RETRY_S)
         answering = [node_id for node_id in epoch.backups if node_id not in silent]
         if answering:
-            member.step_down(to=answering[0])
+            member.step_down(successor=answering[0])
         elif substitutes(environment=member.environment, epoch=epoch):
             member.start_election(reason="leaving", avoid=silent)
 
-    def asked(self, *, node_id: str, number: int) -> None:
-        """The primary gives up to this backup, or a backup of this primary is about to end."""
+    def on_yield_request(self, *, node_id: str, request: YieldRequest) -> None:
+        """The primary steps down for this backup, or a backup of this primary is about to end."""
         member = self._member
         epoch = member.acceptor.decided
+        number = request.epoch_number
         if member.role is Role.BACKUP and member.state_epoch == number:
             member.start_election(reason="yielded", avoid=[node_id])
         elif member.role is Role.PRIMARY and epoch is not None and epoch.number == number and node_id in epoch.backups:
--- a/yarrowloom/replication/leader_lease.py
+++ b/yarrowloom/replication/leader_lease.py
@@ -1,126 +1,174 @@
 """What lets a primary serve: the lease of its backups, and contact with a majority of its epoch's witnesses."""
 
 from collections.abc import Iterable
-from typing import Any
 
-from ..transport.envelope import Kind
+from msgspec import UNSET
+from msgspec.structs import replace
+
 from .environment import ReplicaEnvironment
 from .epoch import Epoch
+from .messages import LeaseGranted, LeaseRequest
 from .quorum_contact import QuorumContact
-from .timing import CONTACT_PING_S, CONTACT_WAIT_S, DOUBT_S, PING_S, PROMISE_S
+from .timing import BACKUP_TIMEOUT_S, CONTACT_REQUEST_S, CONTACT_WAIT_S, LEASE_RENEWAL_S, LEASE_S
 
 NEVER_S = -9.0  # steady clocks start at 0, so this is before anything
 
 
 class LeaderLease:
-    """Invariants: `until` is at most PROMISE_S after the time at which the question was sent that the backup longest
-    silent has answered; a primary without `contact` stays one, asks on, and serves again once it is back.
+    """The lease of one group's primary, and a backup's answers to it.
+
+    A primary without contact to the witnesses stays one, goes on asking, and serves again once contact is back.
+
+    Attributes:
+        valid_until: At most LEASE_S after the sending of the newest request that all backups have answered.
+        contact: Contact with the witnesses.
     """
 
     def __init__(self, *, environment: ReplicaEnvironment, group_id: int) -> None:
-        self.until = 0.0
+        self.valid_until = 0.0
         self.contact = QuorumContact()
         self._environment = environment
-        self._group = group_id
-        self._answers: dict[str, float] = {}  # by backup: when the last question that it answered was sent
-        self._pinged = 0.0
-        self._probed = 0.0
-        self._apart: float | None = None  # since when contact is lost
-        self._elsewhere: float | None = None  # since when a backup tells that it has contact
-
-    def valid(self) -> bool:
-        """A primary may serve now."""
-        return self._environment.now < self.until and self._environment.now < self.contact.until
-
-    def in_contact(self) -> bool:
-        """Contact with the witnesses was there when it was last looked at."""
-        return self._apart is None
-
-    def start(self, *, epoch: Epoch, answers: dict[str, float]) -> None:
-        """An epoch is installed; `answers`: by member, when the INSTALL was sent that it answered."""
-        self._answers = {backup: answers[backup] for backup in epoch.backups}
-        self.until = min(self._answers.values(), default=self._environment.now) + PROMISE_S
-        self._apart = None
-        self.contact.begin(epoch=epoch, node_id=self._environment.node_id)
-        for node_id, sent in answers.items():
-            self.contact.heard(node_id=node_id, sent=sent)
-
-    def end(self) -> None:
+        self._group_id = group_id
+        self._answered: dict[str, float] = {}  # by backup: when the newest request that it answered was sent
+        self._renewed_at = 0.0
+        self._contact_requested_at = 0.0
+        self._contact_lost_at: float | None = None  # None: contact was there when it was last looked at
+        self._backup_connected_at: float | None = None  # since when a backup reports contact; None: none does
+
+    def is_valid(self) -> bool:
+        """Whether the primary may serve now."""
+        now = self._environment.now
+        return now < self.valid_until and now < self.contact.valid_until
+
+    def has_quorum(self) -> bool:
+        """Whether contact with the witnesses was there when it was last looked at."""
+        return self._contact_lost_at is None
+
+    def start(self, *, epoch: Epoch, installed: dict[str, float]) -> None:
+        """An epoch is installed.
+
+        Args:
+            epoch: The epoch.
+            installed: By member, when the `InstallEpoch` was sent that it answered.
+        """
+        self._answered = {backup: installed[backup] for backup in epoch.backups}
+        self.valid_until = min(self._answered.values(), default=self._environment.now) + LEASE_S
+        self._contact_lost_at = None
+        self.contact.start(epoch=epoch, node_id=self._environment.node_id)
+        for node_id, sent_at in installed.items():
+            self.contact.on_response(node_id=node_id, sent_at=sent_at)
+
+    def revoke(self) -> None:
         """Serve no more."""
-        self.until = 0.0
+        self.valid_until = 0.0
 
-    def answered(self, *, epoch: Epoch, node_id: str, sent: float) -> None:
-        """A backup answered what was sent at `sent`: it will not take over for a while from then."""
-        self._answers[node_id] = max(self._answers.get(node_id, NEVER_S), sent)
-        oldest = min(self._answers.get(backup, NEVER_S) for backup in epoch.backups)
-        self.until = max(self.until, oldest + PROMISE_S)
+    def on_granted(self, *, epoch: Epoch, node_id: str, sent_at: float) -> None:
+        """A backup answered what was sent at `sent_at`: for LEASE_S from then it will not take over."""
+        self._answered[node_id] = max(self._answered.get(node_id, NEVER_S), sent_at)
+        oldest = min(self._answered.get(backup, NEVER_S) for backup in epoch.backups)
+        self.valid_until = max(self.valid_until, oldest + LEASE_S)
 
-    def silent(self, *, epoch: Epoch, awake: float, patience: float = DOUBT_S) -> list[str]:
-        """Backups that have not answered for longer than `patience`; this process last stood still at `awake`."""
+    def silent_backups(self, *, epoch: Epoch, resumed_at: float, timeout_s: float = BACKUP_TIMEOUT_S) -> list[str]:
+        """Backups that have not answered for longer than a time.
+
+        Args:
+            epoch: The primary's epoch.
+            resumed_at: When this process last went on after a pause: silence before that proves nothing.
+            timeout_s: The time.
+        """
+        now = self._environment.now
         return [
-            u for u in epoch.backups if self._environment.now > max(self._answers.get(u, NEVER_S), awake) + patience
+            backup for backup in epoch.backups if now > max(self._answered.get(backup, NEVER_S), resumed_at) + timeout_s
         ]
 
-    def watch(self) -> None:
-        """Note when contact is lost and when it is back."""
+    def watch_contact(self) -> None:
+        """Note when contact with the witnesses is lost and when it is back."""
         now = self._environment.now
-        lost = now >= self.contact.until
-        if lost and self._apart is None:
-            self._apart = now
-            self._environment.note(event="contact-lost", group=self._group)
-        elif not lost and self._apart is not None:
-            self._environment.note(event="contact-back", group=self._group, s=round(now - self._apart, 2))
-            self._apart = None
-
-    def ask(self, *, epoch: Epoch) -> None:
-        """Ask the backups for their lease and the other witnesses, less often, for contact."""
+        is_lost = now >= self.contact.valid_until
+        if is_lost and self._contact_lost_at is None:
+            self._contact_lost_at = now
+            self._environment.note(event="quorum-contact-lost", group=self._group_id)
+        elif not is_lost and self._contact_lost_at is not None:
+            lost_s = round(now - self._contact_lost_at, 2)
+            self._environment.note(event="quorum-contact-restored", group=self._group_id, s=lost_s)
+            self._contact_lost_at = None
+
+    def renew(self, *, epoch: Epoch) -> None:
+        """Ask the backups for the lease and, less often, the other witnesses for contact."""
         now = self._environment.now
         if not epoch.backups:
-            self.until = now + PROMISE_S
-        question: dict[str, Any] = {"g": self._group, "n": epoch.number, "t": now}
-        if self._apart is not None:
-            question["apart"] = True
-        if now - self._pinged >= PING_S:
-            self._pinged = now
+            self.valid_until = now + LEASE_S
+        request = LeaseRequest(
+            group_id=self._group_id,
+            epoch_number=epoch.number,
+            sent_at=now,
+            is_without_quorum=UNSET if self.has_quorum() else True,
+        )
+        if now - self._renewed_at >= LEASE_RENEWAL_S:
+            self._renewed_at = now
             for node_id in epoch.backups:
-                self._environment.send(node_id=node_id, kind=Kind.LEADER_LEASE_REQUEST, body=question)
-        self._probe(question=question, witnesses=[u for u in epoch.witnesses if u not in epoch.backups])
-
-    def _probe(self, *, question: dict[str, Any], witnesses: Iterable[str]) -> None:
-        if self._environment.now - self._probed >= CONTACT_PING_S:
-            self._probed = self._environment.now
-            for node_id in witnesses:
-                if node_id != self._environment.node_id:
-                    self._environment.send(node_id=node_id, kind=Kind.LEADER_LEASE_REQUEST, body=question)
+                self._environment.send_message(node_id=node_id, message=request)
+        others = [node_id for node_id in epoch.witnesses if node_id not in epoch.backups]
+        self._request_contact(request=request, witnesses=others)
+
+    def _request_contact(self, *, request: LeaseRequest, witnesses: Iterable[str]) -> None:
+        if self._environment.now - self._contact_requested_at < CONTACT_REQUEST_S:
+            return
+        self._contact_requested_at = self._environment.now
+        for node_id in witnesses:
+            if node_id != self._environment.node_id:
+                self._environment.send_message(node_id=node_id, message=request)
 
     def answer(
-        self, *, epoch: Epoch | None, asker: str, question: dict[str, Any], renews: bool
-    ) -> dict[str, Any] | None:
-        """What to answer a holder of the epoch; None: nothing. `renews`: this member is a backup and stays one for a
-        while, which is what its answer means. A witness answers also if it has promised a ballot: whoever may campaign
-        has ended the lease before. To a primary that lost contact a backup tells whether it has it, and looks.
+        self, *, epoch: Epoch | None, asker: str, request: LeaseRequest, grants_lease: bool
+    ) -> LeaseGranted | None:
+        """What to answer a holder of the epoch.
+
+        A witness answers also after it has promised a proposal number: whoever may stand for election has ended the
+        lease before. A backup tells a primary that lost contact whether it has contact itself, and asks for it.
+
+        Args:
+            epoch: The newest epoch that is known here.
+            asker: The holder.
+            request: Its request.
+            grants_lease: This member is a backup and stays one for a while, which is what its answer means.
+
+        Returns:
+            The answer; None: there is nothing to answer.
         """
-        if epoch is None or epoch.number != question["n"]:
+        if epoch is None or epoch.number != request.epoch_number:
             return None
+        granted = LeaseGranted(
+            group_id=request.group_id,
+            epoch_number=request.epoch_number,
+            sent_at=request.sent_at,
+            is_without_quorum=request.is_without_quorum,
+        )
         if self._environment.node_id not in epoch.backups:
-            return question if self._environment.node_id in epoch.witnesses else None
-        if not renews:
+            return granted if self._environment.node_id in epoch.witnesses else None
+        if not grants_lease:
             return None
-        if asker != epoch.primary or not question.get("apart"):
-            return question
-        self.contact.begin(epoch=epoch, node_id=self._environment.node_id)
-        own = {"g": self._group, "n": epoch.number, "t": self._environment.now}
-        self._probe(question=own, witnesses=epoch.witnesses)
-        return {**question, "contact": self._environment.now < self.contact.until}
-
-    def better_off(self, *, answer: dict[str, Any]) -> bool:
-        """Contact is lost here, and a backup has told for a while that it has it: after a cut that heals, this member
-        has it back by then.
+        if asker != epoch.primary or request.is_without_quorum is not True:
+            return granted
+        self.contact.start(epoch=epoch, node_id=self._environment.node_id)
+        now = self._environment.now
+        own = LeaseRequest(group_id=self._group_id, epoch_number=epoch.number, sent_at=now)
+        self._request_contact(request=own, witnesses=epoch.witnesses)
+        return replace(granted, has_quorum=now < self.contact.valid_until)
+
+    def should_yield(self, *, backup_has_quorum: bool) -> bool:
+        """Whether to let the backup that answered take over.
+
+        That is so if contact is lost here and a backup has reported for CONTACT_WAIT_S that it has contact: after a
+        partition that heals, this member has contact back by then.
+
+        Args:
+            backup_has_quorum: What its answer reports.
         """
         now = self._environment.now
-        if self._apart is None or not answer.get("contact"):
-            self._elsewhere = None
+        if self.has_quorum() or not backup_has_quorum:
+            self._backup_connected_at = None
             return False
-        if self._elsewhere is None:
-            self._elsewhere = now
-        return now - self._elsewhere >= CONTACT_WAIT_S
+        if self._backup_connected_at is None:
+            self._backup_connected_at = now
+        return now - self._backup_connected_at >= CONTACT_WAIT_S
--- a/yarrowloom/replication/log_replay.py
+++ b/yarrowloom/replication/log_replay.py
@@ -4,13 +4,22 @@
 events whose batch is written after it: replay passes over them. A number that is missing cannot be made good.
 """
 
-from typing import Any
+from typing import TypeVar
 
 from ..common.errors import YarrowError
+from .epoch import ProposalNumber
+from .stored_records import AcceptorRecord
+
+EventType = TypeVar("EventType")
+_LOWEST = ProposalNumber(round=-1, node_id="", incarnation=0)
 
 
 class ReplayError(YarrowError):
-    """A journal does not tell what its node had. `number` is the place of the record in it, from 0; -1: not known."""
+    """A journal does not tell what its node had.
+
+    Attributes:
+        number: The place of the record in the journal, from 0; -1: not known.
+    """
 
     code = "journal-unusable"
 
@@ -19,9 +28,12 @@
         self.number = number
 
 
-def unapplied(*, first: int, events: list[Any], applied: int) -> list[Any]:
+def unapplied(*, first: int, events: list[EventType], applied: int) -> list[EventType]:
     """Those of a batch's events that come after number `applied`.
 
+    Raises:
+        ReplayError: Events between `applied` and the batch are missing.
+
     >>> unapplied(first=4, events=["d", "e", "f"], applied=4)
     ['e', 'f']
     >>> unapplied(first=4, events=["d"], applied=7)
@@ -36,12 +48,14 @@
     return events[applied + 1 - first :]
 
 
-def witness_rank(*, document: dict[str, Any]) -> tuple[int, list[Any], list[Any]]:
-    """Orders the records of one witness: its epoch, promise and vote only rise.
+def acceptor_rank(record: AcceptorRecord) -> tuple[int, ProposalNumber, ProposalNumber]:
+    """Orders the records of one acceptor: its epoch, promise and accepted number only rise.
 
-    >>> old = {"e": None, "pb": None, "ab": None, "av": None}
-    >>> witness_rank(document=old) < witness_rank(document={**old, "pb": [1, "a"]})
+    >>> old = AcceptorRecord(group_id=0, decided=None, promised=None, accepted_number=None, accepted_value=None)
+    >>> number = ProposalNumber(round=1, node_id="a", incarnation=1)
+    >>> new = AcceptorRecord(group_id=0, decided=None, promised=number, accepted_number=None, accepted_value=None)
+    >>> acceptor_rank(old) < acceptor_rank(new)
     True
     """
-    seen = document["e"]
-    return (seen["n"] if seen is not None else -1, document["pb"] or [], document["ab"] or [])
+    number = record.decided.number if record.decided is not None else -1
+    return (number, record.promised or _LOWEST, record.accepted_number or _LOWEST)
--- a/yarrowloom/replication/replica.py
+++ b/yarrowloom/replication/replica.py
@@ -1,28 +1,77 @@
 """One member's part in one group: witness always; primary or backup when the epoch says so."""
 
+from collections.abc import Callable, Iterable
 from typing import Any
 
-from ..common.effects import AnyEffect
-from ..common.records import decode
-from ..transport.envelope import Kind
-from .batch import Batch
+from ..common.effects import AnyEffect, NoEffect
+from ..transport.effects import SendMessage
+from ..transport.message_kinds import Kind
+from .batch import Batch, PendingEvent
+from .effects import BatchSynced
 from .election import Election
-from .environment import MOVES, Reducer, ReplicaEnvironment, Role
+from .environment import Reducer, ReplicaEnvironment
 from .epoch import Epoch
 from .handover import Handover
 from .leader_lease import LeaderLease
 from .log_replay import ReplayError, unapplied
+from .messages import (
+    AcceptRequest,
+    AcceptResponse,
+    AppendBatch,
+    BatchAppended,
+    EpochInstalled,
+    GroupMessage,
+    InstallEpoch,
+    LeaseGranted,
+    LeaseRequest,
+    PrepareRequest,
+    PrepareResponse,
+    SnapshotStored,
+    SnapshotTransfer,
+    YieldRequest,
+    decode_message,
+)
 from .reconfiguration import Reconfiguration
-from .replica_storage import ReplicaStorage
-from .timing import DOUBT_S, RENEW_S, RESEND_S, REST_S, SILENCE_S, SUSPECT_S, TURN_S
+from .replica_storage import NO_EPOCH, ReplicaStorage
+from .roles import ROLE_TRANSITIONS, Role
+from .stored_records import BatchRecord, SnapshotRecord, StoredRecord, SyncMarker
+from .timing import (
+    BACKUP_TIMEOUT_S,
+    DISK_TIMEOUT_S,
+    LEADER_TIMEOUT_S,
+    RESEND_S,
+    REVIEW_S,
+    STEP_DOWN_REST_S,
+    TAKEOVER_STAGGER_S,
+)
+
+FIRST_REVIEW_S = 1.0  # after an election a primary looks for a better set of members only after this time
+LAPSED_REST_S = 0.05  # a restarted primary waits this long before it stands for election
+RESUMED_REST_S = 0.3  # a process that stood still waits this long: what others sent meanwhile is read first
 
 
 class Replica(ReplicaStorage):
-    """Invariants: `state` holds exactly the events up to number `applied` of epoch `base`, each once; no effect, answer
-    or read leaves for those in `queue` and `in_flight` before they are on the disks of the primary and all backups; a
-    primary serves only while its `lease` is valid; a backup that began to take over never again answers the epoch it
-    leaves, also not after a restart. What a restarted member has is a beginning of its epoch's events with all that
-    were confirmed: a proposal, which counts once the backups of a new epoch have copied it.
+    """A member of a group.
+
+    No effect, answer or read leaves for events in `pending_events` and `in_flight` before these are on the disks of
+    the primary and all backups. A primary serves only while its `lease` is valid. A backup that has stood for election
+    never again answers the epoch that it leaves, also not after a restart.
+
+    What a restarted member has is the first so many events of its epoch, with all that were confirmed among them. It
+    is only a proposal, which counts once the backups of a new epoch have stored it.
+
+    Attributes:
+        environment: The node.
+        role: What the member does in the epoch that it knows.
+        lease: As the primary, what lets it serve; as a backup, its contact with the witnesses.
+        last_heartbeat: When a backup last heard from its primary, by the node's steady clock.
+        resting_until: Before this time the member doesn't stand for election.
+        resumed_at: When this process last went on after a pause: silence counts from then.
+        election: The election under way; set only as CANDIDATE.
+        pending_events: The newest applied events, not yet sent; their effects wait for them.
+        in_flight: The batch that is being sent.
+        reconfiguration: Looks for a better set of members.
+        handover: Has the member replaced before its process ends.
     """
 
     def __init__(self, *, group_id: int, environment: ReplicaEnvironment, state: Reducer, epoch: Epoch | None) -> None:
@@ -32,18 +81,18 @@
         self.lease = LeaderLease(environment=environment, group_id=group_id)
         self.last_heartbeat = 0.0
         self.resting_until = 0.0
+        self.resumed_at = 0.0
         self.election: Election | None = None
-        self.pending_events: list[tuple[dict[str, Any] | None, AnyEffect | None]] = []
+        self.pending_events: list[PendingEvent] = []
         self.in_flight: Batch | None = None
-        self.next_review = 0.0
-        self.resumed_at = 0.0  # when this process last stood still: silence counts from then
         self.reconfiguration = Reconfiguration()
         self.handover = Handover(member=self)
-        if epoch is not None and epoch.number == 0 and environment.node_id in (epoch.primary, *epoch.backups):
+        self._next_review_at = 0.0
+        if epoch is not None and epoch.number == 0 and environment.node_id in epoch.holders:
             self.state_epoch = 0
-            self._place()
+            self._assume_role()
 
-    # -- what others ask
+    # -- what the node asks
 
     @property
     def epoch(self) -> Epoch | None:
@@ -51,388 +100,465 @@
         return self.acceptor.decided
 
     @property
-    def electing(self) -> bool:
-        """A campaign of this member is under way."""
+    def is_electing(self) -> bool:
+        """Whether an election of this member is under way."""
         return self.election is not None
 
     def is_serving(self) -> bool:
-        """May act as the primary right now."""
-        return self.role is Role.PRIMARY and self.lease.valid()
+        """Whether the member may act as the primary right now."""
+        return self.role is Role.PRIMARY and self.lease.is_valid()
 
     def commit(self, *, event: dict[str, Any], then: AnyEffect | None = None) -> Any:
-        """Apply an event; `then` is carried out once it is durable. Only while serving."""
+        """Apply an event; only while serving.
+
+        Args:
+            event: The event.
+            then: Carried out once the event is durable.
+
+        Returns:
+            What the reducer returned.
+        """
         result = self._apply(event=event)
-        self.pending_events.append((event, then))
+        self.pending_events.append(PendingEvent(event, then))
         return result
 
+    def barrier(self, *, then: AnyEffect) -> None:
+        """Carry out an effect once all that was applied so far is durable."""
+        if self.pending_events:
+            self.pending_events.append(PendingEvent(None, then))
+        elif self.in_flight is not None:
+            self.in_flight.effects.append(then)
+        else:
+            self.environment.effect(effect=then)
+
     def _apply(self, *, event: dict[str, Any]) -> Any:
-        """Apply the next event. A reducer that raises may have changed a part of the state: the copy is void, so this
-        member neither leads nor answers until it is sent another.
+        """Apply the next event.
+
+        A reducer that raises may have changed a part of the state, which is then of no use: this member neither leads
+        nor answers until it is sent another.
         """
         try:
             result = self.state.apply(event)
-        except Exception as err:
+        except Exception as error:
             self.environment.note(
-                event="copy-void",
+                event="state-discarded",
                 group=self.group_id,
                 epoch=self.state_epoch,
                 number=self.last_applied + 1,
-                cause=repr(err),
+                cause=repr(error),
             )
-            self.state_epoch = -1
-            self._become(Role.IDLE)
+            self.state_epoch = NO_EPOCH
+            self._change_role(Role.IDLE)
             raise
         self.last_applied += 1
         return result
 
-    def barrier(self, *, then: AnyEffect) -> None:
-        """Carry out an effect once all that was applied so far is durable."""
-        if self.pending_events:
-            self.pending_events.append((None, then))
-        elif self.in_flight is not None:
-            self.in_flight.effects.append(then)
-        else:
-            self.environment.effect(effect=then)
-
     # -- roles
 
-    def _become(self, role: Role) -> None:
-        assert role in MOVES[self.role], (self.role, role)
-        was, self.role = self.role, role
-        if (was is Role.PRIMARY and role is not Role.CANDIDATE) or (
-            was is Role.CANDIDATE and role in (Role.IDLE, Role.BACKUP, Role.LAPSED)
-        ):
+    def _known_epoch(self) -> Epoch:
+        epoch = self.acceptor.decided
+        assert epoch is not None, "a member with a role knows its epoch"
+        return epoch
+
+    def _change_role(self, role: Role) -> None:
+        assert role in ROLE_TRANSITIONS[self.role], (self.role, role)
+        previous, self.role = self.role, role
+        ends_service = previous is Role.PRIMARY and role is not Role.CANDIDATE
+        ends_election = previous is Role.CANDIDATE and role not in (Role.CANDIDATE, Role.PRIMARY)
+        if ends_service or ends_election:
             self.pending_events.clear()
             self.in_flight = None
             self.election = None
             self.environment.deposed(group_id=self.group_id)
 
-    def _place(self) -> None:
-        """Take the part that the known epoch gives."""
-        e = self.acceptor.decided
-        assert e is not None
-        mine = self.state_epoch == e.number
-        if not mine and self._install_snapshot(epoch=e):
-            mine = True
-        self._prune(n=e.number)
-        if mine and e.primary == self.environment.node_id:
-            self._become(Role.LAPSED)
-            self.resting_until = max(self.resting_until, self.environment.now + 0.05)
-        elif mine and self.environment.node_id in e.backups:
-            self._become(Role.LAPSED if self.proposed_snapshot(epoch_number=e.number + 1) else Role.BACKUP)
+    def _assume_role(self) -> None:
+        """Take the role that the known epoch gives."""
+        epoch = self._known_epoch()
+        has_state = self.state_epoch == epoch.number or self._install_snapshot(epoch=epoch)
+        self._discard_snapshots(up_to=epoch.number)
+        if has_state and epoch.primary == self.environment.node_id:
+            self._change_role(Role.LAPSED)
+            self.resting_until = max(self.resting_until, self.environment.now + LAPSED_REST_S)
+        elif has_state and self.environment.node_id in epoch.backups:
+            has_stood = self.proposed_snapshot(epoch_number=epoch.number + 1) is not None
+            self._change_role(Role.LAPSED if has_stood else Role.BACKUP)
             self.last_heartbeat = self.environment.now
         elif self.role is not Role.IDLE:
-            self._become(Role.IDLE)
+            self._change_role(Role.IDLE)
 
     def learn(self, epoch: Epoch) -> None:
         """Take note of a decided epoch."""
         if not self.acceptor.learn(epoch):
             return
-        self._save(done=("none",))
+        self._save_acceptor(done=NoEffect())
         self.environment.installed(group_id=self.group_id, epoch=epoch)
-        election = self.election
-        # An earlier life may have served in an epoch whose copy it proposed: this one goes on to the next.
-        if (
-            election is not None
-            and epoch.primary == self.environment.node_id
-            and epoch.snapshot_id == election.tag
-            and not election.resumed
-        ):
+        # An earlier life may have served in an epoch whose snapshot it proposed: this one goes on to the next epoch.
+        if self.election is not None and self.election.has_proposed(epoch):
             self.state_epoch = epoch.number
-            self._prune(n=epoch.number)
-            election.decided(epoch=epoch)
+            self._discard_snapshots(up_to=epoch.number)
+            self.election.on_decided(epoch)
             return
-        self._place()
+        self._assume_role()
 
-    def _save(self, *, done: tuple[Any, ...]) -> None:
-        self.environment.write(record={"k": "w", "g": self.group_id, **self.acceptor.dump()}, done=done)
+    def _save_acceptor(self, *, done: AnyEffect) -> None:
+        self.environment.write(record=self.acceptor.stored_record(group_id=self.group_id), done=done)
 
     # -- disk
 
-    def snapshot_records(self) -> list[dict[str, Any]]:
-        """Records that stand for all that is kept."""
-        return self.records(whole=self.role is not Role.IDLE)
+    def snapshot_records(self) -> list[StoredRecord]:
+        """Records that stand for all that is kept of the group."""
+        return list(self.records(with_state=self.role is not Role.IDLE))
 
     def finish_restore(self) -> None:
-        """All is replayed: take the part that the disk tells."""
+        """All records are replayed: take the role that they tell."""
         self.role = Role.IDLE
-        e = self.acceptor.decided
-        if e is not None and self.state_epoch == e.number and self.environment.node_id in (e.primary, *e.backups):
-            own = self.proposed_snapshot(epoch_number=e.number + 1)
-            if own is not None:
-                self._load(epoch=e.number, record=own)  # has also what was applied and not yet on disk
-            self._place()
+        epoch = self.acceptor.decided
+        if epoch is None or self.state_epoch != epoch.number or self.environment.node_id not in epoch.holders:
+            return
+        proposed = self.proposed_snapshot(epoch_number=epoch.number + 1)
+        if proposed is not None:  # it also has what was applied and not yet on disk
+            self._load_state(epoch_number=epoch.number, record=proposed)
+        self._assume_role()
 
     # -- time
 
     def tick(self) -> None:
         """Called a few times a second."""
-        now = self.environment.now
         if self.election is not None:
             self.election.tick()
             return
         self.handover.tick()
         if self.role is Role.PRIMARY:
-            self._serve()
+            self._lead()
         elif self.role is Role.BACKUP:
-            if now - self.last_heartbeat > SILENCE_S + self._turn() and now >= self.resting_until:
-                assert self.acceptor.decided is not None
-                self.start_election(reason="silence", avoid=[self.acceptor.decided.primary])
-        elif self.role is Role.LAPSED and now >= self.resting_until:
+            self._watch_primary()
+        elif self.role is Role.LAPSED and self.environment.now >= self.resting_until:
             self.start_election(reason="restart")
 
-    def _turn(self) -> float:
-        """Seconds that this backup waits for those named before it to take over."""
-        e = self.acceptor.decided
-        return (
-            TURN_S * e.backups.index(self.environment.node_id)
-            if e is not None and self.environment.node_id in e.backups
-            else 0.0
-        )
-
-    def step_down(self, *, to: str = "") -> None:
-        """Have a backup take over at once; `to` names the one that should."""
-        e = self.acceptor.decided
-        assert e is not None
-        self.lease.end()
-        order = [to] if to else [u for u in self.environment.partners(first=e.backups) if u in e.backups]
-        for node_id in (order or e.backups)[:1]:
-            self.environment.send(node_id=node_id, kind=Kind.YIELD, body={"g": self.group_id, "n": e.number})
-        self._become(Role.LAPSED)
-        self.resting_until = self.environment.now + REST_S
-
     def process_resumed(self) -> None:
         """The process stood still: silence of others, and of the own disk, proves nothing yet."""
-        self.resumed_at = self.environment.now
-        self.last_heartbeat = max(self.last_heartbeat, self.environment.now)
-        self.resting_until = max(self.resting_until, self.environment.now + 0.3)
-
-    def _serve(self) -> None:
-        now, e = self.environment.now, self.acceptor.decided
-        assert e is not None
-        self.lease.watch()
-        self.lease.ask(epoch=e)
+        now = self.environment.now
+        self.resumed_at = now
+        self.last_heartbeat = max(self.last_heartbeat, now)
+        self.resting_until = max(self.resting_until, now + RESUMED_REST_S)
+
+    def _watch_primary(self) -> None:
+        """A backup takes over from a silent primary, after those that are named before it."""
+        now, epoch = self.environment.now, self._known_epoch()
+        silent_s = now - self.last_heartbeat
+        if silent_s > LEADER_TIMEOUT_S + self._takeover_delay_s() and now >= self.resting_until:
+            self.start_election(reason="silence", avoid=[epoch.primary])
+
+    def _takeover_delay_s(self) -> float:
+        """Seconds that this backup waits for those named before it to take over."""
+        epoch = self.acceptor.decided
+        if epoch is None or self.environment.node_id not in epoch.backups:
+            return 0.0
+        return TAKEOVER_STAGGER_S * epoch.backups.index(self.environment.node_id)
+
+    def _lead(self) -> None:
+        """What a primary does as time goes on."""
+        epoch = self._known_epoch()
+        self.lease.watch_contact()
+        self.lease.renew(epoch=epoch)
         if self.in_flight is not None:
-            age = now - max(self.in_flight.begun_at, self.resumed_at)
-            if age > SUSPECT_S and not self.in_flight.local_durable:
-                self.step_down()
-                return
-            if age > DOUBT_S:
-                self.start_election(
-                    reason="backup-slow", avoid=[u for u in e.backups if u not in self.in_flight.acknowledged_by]
-                )
+            if self._give_up_on(batch=self.in_flight, epoch=epoch):
                 return
-            if len(self.in_flight.acknowledged_by) < len(e.backups) and now - self.in_flight.sent_at > RESEND_S:
-                self._send_batch()
         elif self.pending_events:
             self.flush()
-        silent = self.lease.silent(epoch=e, awake=self.resumed_at)
+        silent = self.lease.silent_backups(epoch=epoch, resumed_at=self.resumed_at)
         if silent:
             self.start_election(reason="backup-silent", avoid=silent)
-        elif now >= self.next_review and self.lease.in_contact():
-            self.next_review = now + RENEW_S
-            why = self.reconfiguration.reason(environment=self.environment, epoch=e)
-            if why:
-                self.start_election(reason=why)
-
-    def _answered(self, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
-        """A backup or witness of this epoch answered a holder."""
-        e = self.acceptor.decided
-        if e is None or m["n"] != e.number or self.role not in (Role.PRIMARY, Role.BACKUP):
-            return
-        self.lease.contact.heard(node_id=node_id, sent=m["t"])
-        if self.role is not Role.PRIMARY or node_id not in e.backups:
-            return
-        self.lease.answered(epoch=e, node_id=node_id, sent=m["t"])
-        if kind is Kind.BATCH_APPENDED and self.in_flight is not None and m["last"] == self.in_flight.last:
-            self.in_flight.acknowledged_by.add(node_id)
-            self._landed()
-        elif self.lease.better_off(answer=m):
-            self.environment.note(event="yield-for-contact", group=self.group_id, to=node_id)
-            self.step_down(to=node_id)
+        elif self.environment.now >= self._next_review_at and self.lease.has_quorum():
+            self._review_members(epoch=epoch)
+
+    def _give_up_on(self, *, batch: Batch, epoch: Epoch) -> bool:
+        """Whether the own disk or a backup takes too long for a batch; else it is sent again in time."""
+        now = self.environment.now
+        age_s = now - max(batch.begun_at, self.resumed_at)
+        if age_s > DISK_TIMEOUT_S and not batch.local_durable:
+            self.step_down()
+            return True
+        missing = [node_id for node_id in epoch.backups if node_id not in batch.acknowledged_by]
+        if age_s > BACKUP_TIMEOUT_S:
+            self.start_election(reason="backup-slow", avoid=missing)
+            return True
+        if missing and now - batch.sent_at > RESEND_S:
+            self._send_batch()
+        return False
+
+    def _review_members(self, *, epoch: Epoch) -> None:
+        self._next_review_at = self.environment.now + REVIEW_S
+        reason = self.reconfiguration.reason(environment=self.environment, epoch=epoch)
+        if reason:
+            self.start_election(reason=reason)
+
+    # -- change of the primary
+
+    def start_election(self, *, reason: str, avoid: Iterable[str] | None = None) -> None:
+        """Stand for election as the primary of the next epoch.
+
+        Args:
+            reason: Why, for the log.
+            avoid: Members that must not be backups.
+        """
+        epoch = self._known_epoch()
+        self.environment.note(event="election-started", group=self.group_id, reason=reason, epoch=epoch.number)
+        self._change_role(Role.CANDIDATE)
+        self.election = Election(
+            candidate=self, avoid=avoid or (), preferred=epoch.backups, shortages=self.reconfiguration.shortages
+        )
+        self.election.tick()
+
+    def election_won(self, *, epoch: Epoch, installed: dict[str, float], has_given_up_on_members: bool) -> None:
+        """The epoch of this member's election is installed: the disks of all holders have the whole state.
+
+        Args:
+            epoch: The epoch.
+            installed: By member, when the `InstallEpoch` was sent that it answered.
+            has_given_up_on_members: It makes do with fewer backups than there are live members for.
+        """
+        self.reconfiguration.epoch_installed(has_given_up_on_members=has_given_up_on_members)
+        self.lease.start(epoch=epoch, installed=installed)
+        effects = list(self.in_flight.effects) if self.in_flight is not None else []
+        effects += [pending.effect for pending in self.pending_events if pending.effect is not None]
+        self.pending_events, self.in_flight, self.election = [], None, None
+        self._change_role(Role.PRIMARY)
+        self._next_review_at = self.environment.now + FIRST_REVIEW_S
+        self.environment.elected(group_id=self.group_id)
+        for effect in effects:
+            self.environment.effect(effect=effect)
+
+    def step_down(self, *, successor: str = "") -> None:
+        """Have a backup take over at once.
+
+        Args:
+            successor: The backup that should; empty: the best one.
+        """
+        epoch = self._known_epoch()
+        self.lease.revoke()
+        partners = [successor] if successor else self.environment.partners(first=epoch.backups)
+        candidates = [node_id for node_id in partners if node_id in epoch.backups] or list(epoch.backups)
+        for node_id in candidates[:1]:
+            request = YieldRequest(group_id=self.group_id, epoch_number=epoch.number)
+            self.environment.send_message(node_id=node_id, message=request)
+        self._change_role(Role.LAPSED)
+        self.resting_until = self.environment.now + STEP_DOWN_REST_S
 
     def begin_handover(self) -> None:
         """The process is about to end: others are to take over."""
         self.handover.begin()
 
-    def start_election(self, *, reason: str, avoid: list[str] | None = None) -> None:
-        """Election to be the primary of the next epoch."""
-        assert self.acceptor.decided is not None
-        self.environment.note(event="campaign", group=self.group_id, why=reason, after=self.acceptor.decided.number)
-        self._become(Role.CANDIDATE)
-        self.election = Election(replica=self, why=reason, avoid=set(avoid or ()), first=self.acceptor.decided.backups)
-        self.election.tick()
-
     # -- commits
 
     def flush(self) -> None:
-        """Send the next batch, one at a time."""
+        """Send the next batch; one is in flight at a time."""
         if self.in_flight is not None or not self.pending_events or not self.is_serving():
             return
-        events = [event for event, _ in self.pending_events if event is not None]
-        effects = [effect for _, effect in self.pending_events if effect is not None]
+        events = [pending.event for pending in self.pending_events if pending.event is not None]
+        effects = [pending.effect for pending in self.pending_events if pending.effect is not None]
         self.pending_events = []
         last = self.last_applied  # what waits here is the newest of what is applied
         first = last - len(events) + 1
-        e = self.acceptor.decided
-        assert e is not None
+        epoch = self._known_epoch()
         self.in_flight = Batch(first=first, last=last, events=events, effects=effects, begun_at=self.environment.now)
         self.environment.write(
-            record={"k": "lg", "g": self.group_id, "n": e.number, "first": first, "evs": events},
-            done=("near", self.group_id, e.number, last),
+            record=BatchRecord(group_id=self.group_id, epoch_number=epoch.number, first_event=first, events=events),
+            done=BatchSynced(group_id=self.group_id, epoch_number=epoch.number, last_event=last),
         )
-        if e.backups:
+        if epoch.backups:
             self._send_batch()
 
     def _send_batch(self) -> None:
-        e, batch = self.acceptor.decided, self.in_flight
-        assert e is not None
+        """Send the batch in flight to the backups that have not acknowledged it."""
+        epoch, batch = self._known_epoch(), self.in_flight
         assert batch is not None
         batch.sent_at = self.environment.now
-        for node_id in e.backups:
+        message = AppendBatch(
+            group_id=self.group_id,
+            epoch_number=epoch.number,
+            first_event=batch.first,
+            events=batch.events,
+            sent_at=self.environment.now,
+        )
+        for node_id in epoch.backups:
             if node_id not in batch.acknowledged_by:
-                self.environment.send(
-                    node_id=node_id,
-                    kind=Kind.APPEND_BATCH,
-                    body={
-                        "g": self.group_id,
-                        "n": e.number,
-                        "first": batch.first,
-                        "evs": batch.events,
-                        "t": self.environment.now,
-                    },
-                )
+                self.environment.send_message(node_id=node_id, message=message)
 
     def batch_synced(self, *, epoch_number: int, last_event: int) -> None:
         """The own disk has the batch that ends with an event."""
-        if (
-            self.in_flight is not None
-            and self.in_flight.last == last_event
-            and self.acceptor.decided
-            and self.acceptor.decided.number == epoch_number
-        ):
-            self.in_flight.local_durable = True
-            self._landed()
-
-    def _landed(self) -> None:
-        batch = self.in_flight
-        e = self.acceptor.decided
-        if (
-            batch is None
-            or e is None
-            or not batch.local_durable
-            or len(batch.acknowledged_by) < len(e.backups)
-            or self.role is not Role.PRIMARY
-        ):
+        batch, epoch = self.in_flight, self.acceptor.decided
+        if batch is None or epoch is None or batch.last != last_event or epoch.number != epoch_number:
+            return  # of an earlier epoch, or replaced by an election
+        batch.local_durable = True
+        self._complete_batch()
+
+    def snapshot_synced(self, *, snapshot_id: str) -> None:
+        """The own disk has a snapshot that this member proposes."""
+        if self.election is not None:
+            self.election.on_snapshot_synced(snapshot_id=snapshot_id)
+
+    def _complete_batch(self) -> None:
+        """Carry out the effects of the batch in flight once all holders have it, and go on with the next."""
+        batch, epoch = self.in_flight, self.acceptor.decided
+        if batch is None or epoch is None or self.role is not Role.PRIMARY:
+            return
+        if not batch.local_durable or len(batch.acknowledged_by) < len(epoch.backups):
             return
         self.in_flight = None
         for effect in batch.effects:
             self.environment.effect(effect=effect)
         self.flush()
 
-    def activate(self) -> None:
-        """The campaign is won and installed: all disks hold the whole state."""
-        e = self.acceptor.decided
-        assert e is not None
-        effects = (self.in_flight.effects if self.in_flight else []) + [
-            effect for _, effect in self.pending_events if effect is not None
-        ]
-        self.pending_events, self.in_flight, self.election = [], None, None
-        self._become(Role.PRIMARY)
-        self.next_review = self.environment.now + 1.0
-        self.environment.elected(group_id=self.group_id)
-        for effect in effects:
-            self.environment.effect(effect=effect)
-
     # -- messages
 
-    def on(self, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
-        """One message of this group."""
-        if kind is Kind.PREPARE or kind is Kind.ACCEPT:
-            self._vote(node_id=node_id, kind=kind, m=m)
-        elif kind is Kind.INSTALL_EPOCH:
-            self._install(node_id=node_id, m=m)
-        elif kind is Kind.SNAPSHOT:
-            if self.acceptor.decided is None or m["inst"] > self.acceptor.decided.number:
-                record = {key: m[key] for key in ("inst", "tag", "st")}
-                record.update(k="ck", g=self.group_id, applied=int(m["applied"]))
-                self.store_snapshot(record=record)
-                self.environment.write(
-                    record=record,
-                    done=("send", node_id, int(Kind.SNAPSHOT_STORED), {"g": self.group_id, "tag": m["tag"]}),
-                )
-        elif kind is Kind.APPEND_BATCH:
-            self._log(node_id=node_id, m=m)
-        elif kind is Kind.LEADER_LEASE_REQUEST:
-            renews = self.role is Role.BACKUP and self.state_epoch == m["n"]
-            answer = self.lease.answer(epoch=self.acceptor.decided, asker=node_id, question=m, renews=renews)
-            if answer is not None and self.acceptor.decided is not None:
-                if renews and node_id == self.acceptor.decided.primary:
-                    self.last_heartbeat = self.environment.now
-                self.environment.send(node_id=node_id, kind=Kind.LEADER_LEASE_GRANTED, body=answer)
-        elif kind is Kind.YIELD:
-            self.handover.asked(node_id=node_id, number=m["n"])
-        elif kind is Kind.LEADER_LEASE_GRANTED or kind is Kind.BATCH_APPENDED:
-            self._answered(node_id=node_id, kind=kind, m=m)
-        elif self.election is not None:
-            self.election.on(node_id=node_id, kind=kind, m=m)
-
-    def _install(self, *, node_id: str, m: dict[str, Any]) -> None:
-        """A decided epoch. Whom it names as backup answers only as one: the answer is a lease from when it left."""
-        epoch = decode(m["e"], into=Epoch)
-        self.learn(epoch)
-        e = self.acceptor.decided
-        if e is None or e.number != epoch.number:
+    def on(self, *, node_id: str, kind: Kind, body: object) -> None:
+        """Take one parsed message of this group.
+
+        Args:
+            node_id: The sender.
+            kind: One of `GROUP_MESSAGE_KINDS`.
+            body: Plain data with the encoded keys.
+
+        Raises:
+            MalformedRecordError: The body does not fit the kind.
+        """
+        message = decode_message(kind=kind, body=body)
+        _HANDLERS[type(message)](self, node_id, message)
+
+    def _on_prepare_request(self, node_id: str, request: PrepareRequest) -> None:
+        if request.previous_epoch is not None:
+            self.learn(request.previous_epoch)
+        self._send_vote(node_id=node_id, response=self.acceptor.prepare(request))
+
+    def _on_accept_request(self, node_id: str, request: AcceptRequest) -> None:
+        if request.previous_epoch is not None:
+            self.learn(request.previous_epoch)
+        self._send_vote(node_id=node_id, response=self.acceptor.accept(request))
+
+    def _send_vote(self, *, node_id: str, response: PrepareResponse | AcceptResponse | None) -> None:
+        """Answer a proposer; what grants something leaves only once it is on the disk."""
+        if response is None:
+            return
+        if response.is_granted:
+            self._save_acceptor(done=SendMessage(node_id=node_id, message=response))
+        else:
+            self.environment.send_message(node_id=node_id, message=response)
+
+    def _on_install_epoch(self, node_id: str, message: InstallEpoch) -> None:
+        """Whom a decided epoch names as backup answers only as one: the answer is a lease from when it was sent."""
+        self.learn(message.epoch)
+        epoch = self.acceptor.decided
+        if epoch is None or epoch.number != message.epoch.number:
             return
-        if self.environment.node_id in e.backups:
-            if self.role is not Role.BACKUP or self.state_epoch != e.number:
+        if self.environment.node_id in epoch.backups:
+            if self.role is not Role.BACKUP or self.state_epoch != epoch.number:
                 return
             self.last_heartbeat = self.environment.now
-        self._save(
-            done=("send", node_id, int(Kind.EPOCH_INSTALLED), {"g": self.group_id, "n": e.number, "t": m.get("t")})
-        )
+        sent_at = message.sent_at if isinstance(message.sent_at, float) else None
+        answer = EpochInstalled(group_id=self.group_id, epoch_number=epoch.number, sent_at=sent_at)
+        self._save_acceptor(done=SendMessage(node_id=node_id, message=answer))
 
-    def _vote(self, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
-        if m.get("cert"):
-            self.learn(decode(m["cert"], into=Epoch))
-        if kind is Kind.PREPARE:
-            response = self.acceptor.prepare(n=m["n"], ballot=m["bal"])
-            back = Kind.PROMISE
-        else:
-            response = self.acceptor.accept(n=m["n"], ballot=m["bal"], value=decode(m["val"], into=Epoch))
-            back = Kind.ACCEPTED
-        if response is None:
+    def _on_snapshot_transfer(self, node_id: str, message: SnapshotTransfer) -> None:
+        if not self._is_undecided(epoch_number=message.epoch_number):
             return
-        body = {"g": self.group_id, "n": m["n"], "bal": m["bal"], **response}
-        if response["ok"]:
-            self._save(done=("send", node_id, int(back), body))
-        else:
-            self.environment.send(node_id=node_id, kind=back, body=body)
+        record = SnapshotRecord(
+            group_id=self.group_id,
+            epoch_number=message.epoch_number,
+            snapshot_id=message.snapshot_id,
+            last_applied=message.last_applied,
+            state=message.state,
+        )
+        self.store_snapshot(record)
+        answer = SnapshotStored(group_id=self.group_id, snapshot_id=message.snapshot_id)
+        self.environment.write(record=record, done=SendMessage(node_id=node_id, message=answer))
 
-    def _log(self, *, node_id: str, m: dict[str, Any]) -> None:
-        if self.role is not Role.BACKUP or self.state_epoch != m["n"]:
+    def _on_append_batch(self, node_id: str, message: AppendBatch) -> None:
+        """A backup applies the events that it doesn't have yet, and acknowledges the batch once it is on the disk."""
+        if self.role is not Role.BACKUP or self.state_epoch != message.epoch_number:
             return
         self.last_heartbeat = self.environment.now
-        last = m["first"] + len(m["evs"]) - 1
         try:
-            fresh = unapplied(first=m["first"], events=m["evs"], applied=self.last_applied)
-        except ReplayError as err:
-            self.environment.note(event="log-gap", group=self.group_id, epoch=self.state_epoch, cause=err.text)
+            new = unapplied(first=message.first_event, events=message.events, applied=self.last_applied)
+        except ReplayError as error:
+            self.environment.note(event="log-gap-found", group=self.group_id, epoch=self.state_epoch, cause=error.text)
             return
-        record: dict[str, Any] = {"k": "none", "g": self.group_id}
-        if fresh:
-            record = {"k": "lg", "g": self.group_id, "n": m["n"], "first": self.last_applied + 1, "evs": fresh}
+        record: StoredRecord = SyncMarker(group_id=self.group_id)
+        if new:
+            first = self.last_applied + 1
+            record = BatchRecord(
+                group_id=self.group_id, epoch_number=message.epoch_number, first_event=first, events=new
+            )
         try:
-            for event in fresh:
+            for event in new:
                 self._apply(event=event)
-        except Exception:  # noted, and the copy is void; the primary replaces a backup that does not answer
+        except Exception:  # noted, and the state is discarded; the primary replaces a backup that does not answer
             return
-        self.environment.write(
-            record=record,
-            done=(
-                "send",
-                node_id,
-                int(Kind.BATCH_APPENDED),
-                {"g": self.group_id, "n": m["n"], "last": last, "t": m["t"]},
-            ),
+        answer = BatchAppended(
+            group_id=self.group_id,
+            epoch_number=message.epoch_number,
+            last_event=message.first_event + len(message.events) - 1,
+            sent_at=message.sent_at,
         )
+        self.environment.write(record=record, done=SendMessage(node_id=node_id, message=answer))
+
+    def _on_lease_request(self, node_id: str, request: LeaseRequest) -> None:
+        epoch = self.acceptor.decided
+        grants_lease = self.role is Role.BACKUP and self.state_epoch == request.epoch_number
+        answer = self.lease.answer(epoch=epoch, asker=node_id, request=request, grants_lease=grants_lease)
+        if answer is None or epoch is None:
+            return
+        if grants_lease and node_id == epoch.primary:
+            self.last_heartbeat = self.environment.now
+        self.environment.send_message(node_id=node_id, message=answer)
+
+    def _on_lease_granted(self, node_id: str, message: LeaseGranted) -> None:
+        if not self._on_holder_answered(node_id=node_id, message=message):
+            return
+        if self.lease.should_yield(backup_has_quorum=message.has_quorum is True):
+            self.environment.note(event="leadership-yielded", group=self.group_id, to=node_id)
+            self.step_down(successor=node_id)
+
+    def _on_batch_appended(self, node_id: str, message: BatchAppended) -> None:
+        if not self._on_holder_answered(node_id=node_id, message=message):
+            return
+        if self.in_flight is not None and message.last_event == self.in_flight.last:
+            self.in_flight.acknowledged_by.add(node_id)
+            self._complete_batch()
+        else:  # a late acknowledgement, which reports no contact of the backup
+            self.lease.should_yield(backup_has_quorum=False)
+
+    def _on_holder_answered(self, *, node_id: str, message: LeaseGranted | BatchAppended) -> bool:
+        """Count the answer of a member of this epoch; whether it is one of a backup to its primary."""
+        epoch = self.acceptor.decided
+        if epoch is None or message.epoch_number != epoch.number or self.role not in (Role.PRIMARY, Role.BACKUP):
+            return False
+        self.lease.contact.on_response(node_id=node_id, sent_at=message.sent_at)
+        if self.role is not Role.PRIMARY or node_id not in epoch.backups:
+            return False
+        self.lease.on_granted(epoch=epoch, node_id=node_id, sent_at=message.sent_at)
+        return True
+
+    def _on_yield_request(self, node_id: str, request: YieldRequest) -> None:
+        self.handover.on_yield_request(node_id=node_id, request=request)
+
+    def _on_election_response(self, node_id: str, message: GroupMessage) -> None:
+        if self.election is not None:
+            self.election.on_response(node_id=node_id, message=message)
+
+
+_HANDLERS: dict[type[GroupMessage], Callable[[Replica, str, Any], None]] = {
+    PrepareRequest: Replica._on_prepare_request,
+    PrepareResponse: Replica._on_election_response,
+    AcceptRequest: Replica._on_accept_request,
+    AcceptResponse: Replica._on_election_response,
+    InstallEpoch: Replica._on_install_epoch,
+    EpochInstalled: Replica._on_election_response,
+    SnapshotTransfer: Replica._on_snapshot_transfer,
+    SnapshotStored: Replica._on_election_response,
+    AppendBatch: Replica._on_append_batch,
+    BatchAppended: Replica._on_batch_appended,
+    LeaseRequest: Replica._on_lease_request,
+    LeaseGranted: Replica._on_lease_granted,
+    YieldRequest: Replica._on_yield_request,
+}
