--- a/tests/storage/stored_data.py
+++ b/tests/storage/stored_data.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from yarrowloom.cluster_state.registry_events import registry_event_tags
+from yarrowloom.cluster_state.registry_events import REGISTRY_EVENTS
 from yarrowloom.common.defaults import SHIPPED, Defaults
 from yarrowloom.common.log import Log
 from yarrowloom.common.settings import NodeSettings
@@ -104,7 +104,7 @@
     record_kinds = [str(record_class.__struct_config__.tag) for record_class in get_args(AnyStoredRecord)]
     return KnownKinds(
         records=frozenset({*record_kinds, *NODE_RECORDS}),
-        registry_events=registry_event_tags(),
+        registry_events=REGISTRY_EVENTS.tags,
         job_events=job_event_tags(),
     )
 
--- a/yarrowloom/cluster_state/config.py
+++ b/yarrowloom/cluster_state/config.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, TypeGuard
 
 from ..common.errors import Finding, InvalidInputError
 
@@ -27,7 +27,7 @@
     """
 
     key: str
-    is_valid: Callable[[Any], bool]
+    is_valid: Callable[[object], bool]
     text: str
     is_required: bool = False
 
@@ -45,11 +45,11 @@
     return [finding for finding in findings if finding is not None]
 
 
-def _is_number(value: object) -> bool:
+def _is_number(value: object) -> TypeGuard[int | float]:
     return isinstance(value, (int, float)) and not isinstance(value, bool)
 
 
-def _is_whole_number(value: object) -> bool:
+def _is_whole_number(value: object) -> TypeGuard[int]:
     return isinstance(value, int) and not isinstance(value, bool)
 
 
@@ -61,19 +61,19 @@
     return not isinstance(value, str) or value.startswith("/")
 
 
-def _is_positive(value: Any) -> bool:
+def _is_positive(value: object) -> bool:
     return _is_number(value) and 0 < value <= MAX_NUMBER
 
 
-def _is_not_negative(value: Any) -> bool:
+def _is_not_negative(value: object) -> bool:
     return _is_number(value) and 0 <= value <= MAX_NUMBER
 
 
-def _is_at_least_one(value: Any) -> bool:
+def _is_at_least_one(value: object) -> bool:
     return _is_number(value) and 1 <= value <= MAX_NUMBER
 
 
-def _is_version(value: Any) -> bool:
+def _is_version(value: object) -> bool:
     return _is_whole_number(value) and 1 <= value <= MAX_NUMBER
 
 
@@ -103,7 +103,7 @@
 )
 
 
-def _is_deeper(*, value: Any, depth: int) -> bool:
+def _is_deeper(*, value: object, depth: int) -> bool:
     """Whether lists and objects are nested in more than `depth` levels.
 
     >>> _is_deeper(value={"a": [[1]]}, depth=3), _is_deeper(value={"a": [[1]]}, depth=2)
@@ -170,13 +170,13 @@
             yield Finding(place=place, text=f"shares host and prefix with [{first_index}]")
 
 
-def _limits_findings(*, limits: Any) -> list[Finding]:
+def _limits_findings(*, limits: object) -> list[Finding]:
     if not isinstance(limits, dict):
         return [Finding(place="limits", text="not an object")]
     return _findings(checks=_LIMIT_CHECKS, row=limits, place="limits")
 
 
-def check(*, document: Any) -> dict[str, Any]:
+def check(*, document: object) -> dict[str, Any]:
     """Return the document if it is a valid configuration.
 
     Raises:
@@ -204,7 +204,7 @@
     return document
 
 
-def patch(*, base: dict[str, Any], change: Any) -> dict[str, Any]:
+def patch(*, base: dict[str, Any], change: object) -> dict[str, Any]:
     """The configuration that a PATCH makes of `base`, which stays as it is; not yet checked as a whole.
 
     Raises:
@@ -217,22 +217,9 @@
     """
     if not isinstance(change, dict):
         raise InvalidInputError(text="not an object", findings=[Finding(place="(body)", text="not an object")])
-    findings: list[Finding] = []
     result = {**base, "config-version": change.get("config-version")}
-    for part, apply_items in (("upserts", _upsert), ("removals", _remove)):
-        tables = change.get(part, {})
-        if not isinstance(tables, dict):
-            findings.append(Finding(place=part, text="not an object"))
-            continue
-        for table, items in tables.items():
-            if table not in _TABLES or not isinstance(items, list):
-                findings.append(Finding(place=f"{part}.{table}", text="unknown table or not a list"))
-                continue
-            rows = {row["name"]: row for row in result.get(table, [])}
-            findings += [
-                Finding(place=f"{part}.{table}[{index}]", text="no name") for index in apply_items(rows, items)
-            ]
-            result[table] = list(rows.values())
+    findings = _apply_part(result=result, part="upserts", tables=change.get("upserts", {}), apply_items=_upsert)
+    findings += _apply_part(result=result, part="removals", tables=change.get("removals", {}), apply_items=_remove)
     findings += [Finding(place=key, text="not part of a change") for key in sorted(set(change) - _CHANGE_FIELDS)]
     if "limits" in change:
         result["limits"] = change["limits"]
@@ -241,7 +228,28 @@
     return result
 
 
-def _upsert(rows: dict[str, Any], items: list[Any]) -> list[int]:
+_Rows = dict[str, Any]  # the rows of a table by name, in order
+
+
+def _apply_part(
+    *, result: dict[str, Any], part: str, tables: object, apply_items: Callable[[_Rows, list[Any]], list[int]]
+) -> list[Finding]:
+    """Change the tables of `result` by one part of a PATCH; returns what is wrong with that part."""
+    if not isinstance(tables, dict):
+        return [Finding(place=part, text="not an object")]
+    findings: list[Finding] = []
+    for table, items in tables.items():
+        if table not in _TABLES or not isinstance(items, list):
+            findings.append(Finding(place=f"{part}.{table}", text="unknown table or not a list"))
+            continue
+        rows = {row["name"]: row for row in result.get(table, [])}
+        nameless = apply_items(rows, items)
+        findings += [Finding(place=f"{part}.{table}[{index}]", text="no name") for index in nameless]
+        result[table] = list(rows.values())
+    return findings
+
+
+def _upsert(rows: _Rows, items: list[Any]) -> list[int]:
     """Add rows or replace them where they stand; returns the indexes of items without a name."""
     nameless: list[int] = []
     for index, item in enumerate(items):
@@ -253,7 +261,7 @@
     return nameless
 
 
-def _remove(rows: dict[str, Any], items: list[Any]) -> list[int]:
+def _remove(rows: _Rows, items: list[Any]) -> list[int]:
     """Remove the rows of these names; returns the indexes of items that aren't names."""
     for name in items:
         if isinstance(name, str):
--- a/yarrowloom/cluster_state/config_delta.py
+++ b/yarrowloom/cluster_state/config_delta.py
@@ -54,11 +54,11 @@
     tables: dict[str, TableDelta]
 
 
-def _canonical_json(value: Any) -> bytes:
+def _canonical_json(value: object) -> bytes:
     return orjson.dumps(value, option=orjson.OPT_SORT_KEYS)
 
 
-def equal_as_json(a: Any, b: Any) -> bool:
+def equal_as_json(a: object, b: object) -> bool:
     """Whether two values have the same JSON: 1, 1.0 and true differ.
 
     >>> equal_as_json({"a": 1, "b": 2}, {"b": 2, "a": 1}), equal_as_json({"a": 1}, {"a": True})
--- a/yarrowloom/cluster_state/operator_requests.py
+++ b/yarrowloom/cluster_state/operator_requests.py
@@ -7,7 +7,6 @@
 import hashlib
 import re
 from collections import OrderedDict
-from typing import Any
 
 from ..common.errors import Finding, InvalidInputError
 from ..common.records import Record
@@ -39,7 +38,7 @@
     return int(match.group(2))
 
 
-def requested_version(*, document: Any) -> int:
+def requested_version(*, document: object) -> int:
     """The version that a request wants to make; 0 if it names none that could be accepted."""
     version = document.get("config-version") if isinstance(document, dict) else None
     return version if isinstance(version, int) and not isinstance(version, bool) else 0
--- a/yarrowloom/cluster_state/registry.py
+++ b/yarrowloom/cluster_state/registry.py
@@ -94,9 +94,9 @@
 
     # -- snapshots
 
-    def dump(self) -> Any:
+    def dump(self) -> dict[str, Any]:
         """All of it as plain data, the stored form of a `RegistrySnapshot`."""
-        return RegistrySnapshot(
+        document: dict[str, Any] = RegistrySnapshot(
             config=self.config,
             accepted_changes=self.accepted_changes.snapshot(),
             evacuated_zones=self.evacuated_zones,
@@ -106,8 +106,9 @@
             fence=self.fence,
             registry_version=self.registry_version,
         ).document()
+        return document
 
-    def load(self, document: Any) -> None:
+    def load(self, document: object) -> None:
         """Replace all of it by what `dump` gave.
 
         Raises:
--- a/yarrowloom/cluster_state/registry_events.py
+++ b/yarrowloom/cluster_state/registry_events.py
@@ -4,7 +4,7 @@
 
 from msgspec import UNSET, UnsetType
 
-from ..common.records import Record, decode
+from ..common.records import Record, TaggedDecoder
 from .config_delta import ConfigDelta
 from .registry_rows import CoreMember, MinionDescription
 
@@ -85,7 +85,17 @@
 )
 
 
-def decode_registry_event(document: Any) -> RegistryEvent:
+REGISTRY_EVENTS: TaggedDecoder[RegistryEvent] = TaggedDecoder(
+    ConfigAccepted,
+    ZoneEvacuationChanged,
+    CoreMemberAdded,
+    CoreMemberRemoved,
+    MinionsAssigned,
+    MinionRemoved,
+)
+
+
+def decode_registry_event(document: object) -> RegistryEvent:
     """The event that a document of the log stands for.
 
     Raises:
@@ -94,10 +104,4 @@
     >>> decode_registry_event({"t": "drop", "uid": "10.0.0.1:7000#1"})
     CoreMemberRemoved(node_id='10.0.0.1:7000#1')
     """
-    event: RegistryEvent = decode(document, into=RegistryEvent)  # type: ignore[arg-type]
-    return event
-
-
-def registry_event_tags() -> frozenset[str]:
-    """The tags of all events, as they stand in the log."""
-    return frozenset(str(event_type.__struct_config__.tag) for event_type in RegistryEvent.__args__)
+    return REGISTRY_EVENTS.decode(document)
