--- a/tests/mutants/test_operator_request_mutants.py
+++ b/tests/mutants/test_operator_request_mutants.py
@@ -1,6 +1,7 @@
 """Each guard of operators' orders taken out: the checkers find it in what two operators saw."""
 
 from collections.abc import Callable
+from dataclasses import replace
 from typing import Any, cast
 
 import orjson
@@ -22,7 +23,8 @@
 from yarrowloom.cluster_state.registry import Registry
 from yarrowloom.cluster_state.registry_events import ZoneEvacuationChanged
 from yarrowloom.common.errors import StaleVersionError, YarrowError
-from yarrowloom.node import http_routes as control
+from yarrowloom.node import http_routes
+from yarrowloom.node.call_messages import CallOperation
 from yarrowloom.node.core import CoreNode
 from yarrowloom.node.registry_calls import RegistryCalls
 from yarrowloom.replication import Replica
@@ -45,10 +47,10 @@
     """A 412 that rests on what is only applied leaves at once."""
     whole = RegistryCalls.serve
 
-    def serve(self: RegistryCalls, *, node_id: str, request_id: int, operation: str, body: Any) -> None:
+    def serve(self: RegistryCalls, *, node_id: str, request_id: int, operation: CallOperation, body: Any) -> None:
         node = cast(CoreNode, self.environment)
         try:
-            if operation == "conf":
+            if operation is CallOperation.CHANGE_CONFIG:
                 node.registry.evaluate_config_request(
                     method=body["m"], if_match=body["base"], body=body["body"].encode()
                 )
@@ -68,14 +70,17 @@
 
 
 def read_from_the_own_copy(patch: pytest.MonkeyPatch) -> None:
-    def read(node: CoreNode, call: Any, req: Any, _arg: str) -> None:
-        node.respond(call=call, response=Response.of(200 if node.config else 404, node.config or {}))
-
-    rows = [
-        (method, path, read if (method, path.pattern) == ("GET", "/config") else fn)
-        for method, path, fn in control.CALLS
-    ]
-    patch.setattr(control, "CALLS", rows)
+    def read(node: Any, call: http_routes.HttpCall) -> None:
+        node.respond(call=call.call, response=Response.of(200 if node.config else 404, node.config or {}))
+
+    patch.setattr(
+        http_routes,
+        "ROUTES",
+        [
+            replace(route, handler=read) if route.handler is http_routes.read_config else route
+            for route in http_routes.ROUTES
+        ],
+    )
 
 
 def any_base_is_current(patch: pytest.MonkeyPatch) -> None:
--- a/tests/mutants/test_state_mutants.py
+++ b/tests/mutants/test_state_mutants.py
@@ -1,5 +1,6 @@
 """Proofs for guards of records, jobs and edges: each test takes one out, and the judge names its rule."""
 
+import dataclasses
 from typing import Any
 
 import pytest
@@ -10,7 +11,7 @@
 from yarrowloom.jobs.effects import JobEffect, UnitReady
 from yarrowloom.jobs.events import RunOutcome, TaskEnded
 from yarrowloom.jobs.state_machine import Jobs
-from yarrowloom.node.edge import EdgeNode
+from yarrowloom.node import edge
 from yarrowloom.replication.replica import Replica
 
 # -- ORDER
@@ -105,12 +106,8 @@
         return day
 
     def out(p: pytest.MonkeyPatch) -> None:
-        real = EdgeNode.called
-
-        def called(self: EdgeNode, *, done: tuple[Any, ...], status: int, document: Any, sent: bool) -> None:
-            real(self, done=done, status=status, document=document, sent=False)
-
-        p.setattr(EdgeNode, "called", called)
+        real = edge.job_response
+        p.setattr(edge, "job_response", lambda *, result: real(result=dataclasses.replace(result, was_sent=False)))
 
     assert_guard_is_needed(rule="REFUSED", scenario=story, remove_guard=out)
 
--- a/tests/node/test_call_identity.py
+++ b/tests/node/test_call_identity.py
@@ -5,10 +5,14 @@
 import orjson
 
 from yarrowloom.common.log import Log
+from yarrowloom.node.call_messages import GroupReply
 from yarrowloom.node.core import CoreNode
+from yarrowloom.node.http_routes import OPERATOR_CALL_TTL_S, dispatch
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.minions import cluster
-from yarrowloom.transport.envelope import Kind
+from yarrowloom.transport.http_server import Request
+from yarrowloom.transport.message import Message
+from yarrowloom.transport.message_kinds import Kind
 
 ADDR = "10.9.0.9:7000"
 
@@ -40,17 +44,17 @@
     """What the primary of group 0 answers a call: who and what."""
     primary = sim.core(sim.serving(group_id=0)[0])
     got: list[dict[str, Any]] = []
-    real = primary.send
+    real = primary.send_message
 
-    def send(*, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
-        if kind is Kind.REPLY:
-            got.append(orjson.loads(orjson.dumps(body)))
-        real(node_id=node_id, kind=kind, body=body)
+    def send(*, node_id: str, message: Message) -> None:
+        if isinstance(message, GroupReply):
+            got.append(orjson.loads(message.encoded()))
+        real(node_id=node_id, message=message)
 
-    primary.send = send  # type: ignore[method-assign]
+    primary.send_message = send  # type: ignore[method-assign]
     primary.on(node_id=node_id, kind=Kind.CALL, m=m)
     assert sim.until(cond=lambda: bool(got), limit=2.0)
-    primary.send = real  # type: ignore[method-assign]
+    primary.send_message = real  # type: ignore[method-assign]
     return primary.node_id, got[0]
 
 
@@ -60,7 +64,7 @@
 
 
 def ask(node: CoreNode) -> dict[str, Any]:
-    node.calls.start(group_id=0, op="getconf", b={}, done=("http", 1), ttl=3.0)
+    dispatch(node=node, call=1, request=Request(method="GET", path="/config", headers={}))
     return asked(node)[1]
 
 
@@ -72,7 +76,7 @@
     ask(new)
     new.on(node_id=by, kind=Kind.REPLY, m=late)
     assert ends(new) == []
-    assert len(new.calls.open) == 1
+    assert len(new.calls.pending) == 1
 
 
 def test_an_answer_to_a_node_that_lost_its_disk_is_not_taken_by_its_successor() -> None:
@@ -83,7 +87,7 @@
     ask(new)
     new.on(node_id=by, kind=Kind.REPLY, m=late)
     assert ends(new) == []
-    assert len(new.calls.open) == 1
+    assert len(new.calls.pending) == 1
 
 
 def test_an_answer_of_a_node_that_was_not_asked_is_refused() -> None:
@@ -93,20 +97,20 @@
     other = next(sim.core(ip).node_id for ip in sim.core_ips if sim.core(ip).node_id != by)
     node.on(node_id=other, kind=Kind.REPLY, m=dict(right))
     assert ends(node) == []
-    assert len(node.calls.open) == 1
+    assert len(node.calls.pending) == 1
     node.on(node_id=by, kind=Kind.REPLY, m=right)
     assert ends(node) == [200]
-    assert not node.calls.open
+    assert not node.calls.pending
 
 
 def test_an_answer_after_its_call_was_given_up_is_dropped() -> None:
     sim, _, _, _ = cluster(seed=8)
     node = caller(sim=sim, incarnation=1)
     by, late = answered(sim, node_id=node.node_id, m=ask(node))
-    node.now += 3.1
+    node.now += OPERATOR_CALL_TTL_S + 0.1
     node.calls.tick()
     assert ends(node) == [503]
     ask(node)
     node.on(node_id=by, kind=Kind.REPLY, m=late)
     assert ends(node) == [503]
-    assert len(node.calls.open) == 1
+    assert len(node.calls.pending) == 1
--- a/tests/node/test_call_repeats.py
+++ b/tests/node/test_call_repeats.py
@@ -6,10 +6,12 @@
 import pytest
 
 from yarrowloom.cluster_state.registry import Registry
+from yarrowloom.node.call_messages import GroupReply
 from yarrowloom.node.core import CoreNode
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.minions import cluster
-from yarrowloom.transport.envelope import Kind
+from yarrowloom.transport.message import Message
+from yarrowloom.transport.message_kinds import Kind
 
 CALLER = "10.9.0.9:7000#0"
 STEP = {"task-count": 2, "cpus": 500, "mem-mb": 64, "estimate-ms": 500}
@@ -18,17 +20,18 @@
 def answers(sim: Sim, node: CoreNode, *, m: dict[str, Any], wait: float = 1.0) -> list[tuple[int, Any]]:
     """What a node answers a call, sent as given."""
     got: list[tuple[int, Any]] = []
-    real = node.send
+    real = node.send_message
 
-    def send(*, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
-        if kind is Kind.REPLY and body["rid"] == m["rid"] and node_id == CALLER:
-            got.append((body["s"], orjson.loads(orjson.dumps(body["d"]))))
-        real(node_id=node_id, kind=kind, body=body)
+    def send(*, node_id: str, message: Message) -> None:
+        if isinstance(message, GroupReply) and message.request_id == m["rid"] and node_id == CALLER:
+            reply = orjson.loads(message.encoded())
+            got.append((reply["s"], reply["d"]))
+        real(node_id=node_id, message=message)
 
-    node.send = send  # type: ignore[method-assign]
+    node.send_message = send  # type: ignore[method-assign]
     node.on(node_id=CALLER, kind=Kind.CALL, m=orjson.loads(orjson.dumps(m)))
     sim.run(seconds=wait)
-    node.send = real  # type: ignore[method-assign]
+    node.send_message = real  # type: ignore[method-assign]
     return got
 
 
--- a/tests/node/test_config_dissemination.py
+++ b/tests/node/test_config_dissemination.py
@@ -22,7 +22,7 @@
 def test_change_reaches_every_edge_through_relays_and_older_config_is_refused() -> None:
     sim, _, _, _ = cluster(seed=71, edges=3 * FANOUT, minions=1)
     sim.run(seconds=3.0)
-    assert sum(bool(n.via) for n in edges(sim)) >= 3
+    assert sum(bool(n.relays.node_ids) for n in edges(sim)) >= 3
     assert all(n.ready() for n in edges(sim))
     status, _ = sim.ask(
         ip=sim.core_ips[0],
@@ -43,7 +43,7 @@
 def test_edges_leave_relay_that_is_down_or_cut_off() -> None:
     sim, _, _, _ = cluster(seed=72, edges=3 * FANOUT, minions=1)
     sim.run(seconds=3.0)
-    relays = sorted({u.split(":")[0] for n in edges(sim) for u in n.via})
+    relays = sorted({u.split(":")[0] for n in edges(sim) for u in n.relays.node_ids})
     sim.kill(ip=relays[0])
     for core in sim.core_ips:
         sim.cut(a=relays[1], b=core)
--- a/tests/node/test_config_dissemination_tree.py
+++ b/tests/node/test_config_dissemination_tree.py
@@ -101,10 +101,10 @@
 
 def test_relay_feeds_no_more_edges_than_its_link_carries() -> None:
     sim = ready(seed=7, cores=3, edges=4 * FANOUT)
-    assert sum(bool(n.via) for n in sim.edges()) >= 3
+    assert sum(bool(n.relays.node_ids) for n in sim.edges()) >= 3
     for node in sim.edges():
         fed = [u for u, at in node.roster.last_heartbeat.items() if sim.now - at < 1.0]
-        assert len(fed) <= node.children() == 4
+        assert len(fed) <= node.children_most() == 4
     assert all(n.ready() for n in sim.edges())
     since = sim.now
     put(sim, method="PATCH", document=patched(version=5, n=8), base=3)
--- a/tests/node/test_config_freshness.py
+++ b/tests/node/test_config_freshness.py
@@ -168,9 +168,9 @@
         sim.cut(a=child.settings.ip, b=ip)
         if ip != core:
             sim.cut(a=relay.settings.ip, b=ip)
-    child.via, child.via_at = [relay.node_id], sim.now
+    child.relays.node_ids, child.relays.confirmed_at = [relay.node_id], sim.now
     sim.run(seconds=0.6)
-    child.via, child.via_at = [relay.node_id], sim.now
+    child.relays.node_ids, child.relays.confirmed_at = [relay.node_id], sim.now
     assert edge(sim, 0).ready()
     assert edge(sim, 1).ready()
     island(sim, [core, child.settings.ip, relay.settings.ip])
@@ -179,7 +179,7 @@
     sim.run(seconds=since + APPLY_S - sim.now)
     while sim.now < since + CUT_S:
         for n in (0, 1):
-            edge(sim, n).via_at = sim.now if n == 0 else -9.0  # it has nowhere else to go
+            edge(sim, n).relays.confirmed_at = sim.now if n == 0 else -9.0  # it has nowhere else to go
             assert not edge(sim, n).ready()
             assert says(sim, n=n) == 503
         sim.run(seconds=0.4)
@@ -198,7 +198,7 @@
         now += 0.01
         for node, other in ((a, b), (b, a)):
             node.now = now
-            node.via, node.via_at = [other.node_id], now
+            node.relays.node_ids, node.relays.confirmed_at = [other.node_id], now
             node.tick()
             way += [(now + delay, other, node.node_id, kind, node.load(body=body)) for _, kind, body in node.out.sends]
             node.out.sends.clear()
--- a/tests/node/test_config_freshness_core.py
+++ b/tests/node/test_config_freshness_core.py
@@ -9,7 +9,7 @@
 from tests.node.test_config_freshness import APPLY_S, CUT_S, bystander, change, edge, island, settled
 from yarrowloom.common.records import MalformedRecordError, decode
 from yarrowloom.node.config_freshness import Freshness
-from yarrowloom.node.controller import LEASE_S
+from yarrowloom.node.controller import AGENT_LEASE_S
 from yarrowloom.node.edge import EdgeNode
 from yarrowloom.node.messages import ContactProof
 from yarrowloom.simulator.cluster import Sim
@@ -115,7 +115,7 @@
     sim.lose = lost
     assert sim.ask(ip=settled(sim), method="POST", path="/evacuation/z0")[0] == 200
     since = sim.now
-    sim.run(seconds=LEASE_S)
+    sim.run(seconds=AGENT_LEASE_S)
     while sim.now < since + 10.0:
         node = sim.core(core)
         node.now = sim.now
@@ -211,7 +211,7 @@
     for n in range(3):
         node = edge(sim, n)
         assert node.ready()
-        assert node.sure()
+        assert node.has_fresh_config()
         assert node.table is not None
         assert len(node.table.routes) == 352
     assert sim.core(core).config_version() == 304
--- a/tests/node/test_controller.py
+++ b/tests/node/test_controller.py
@@ -1,4 +1,4 @@
-"""The chief with many minions: work counted, moves bounded, racks kept together, everything back after a herd kill."""
+"""The controller with many minions: work counted, moves bounded, racks kept together, all back after a herd kill."""
 
 import random
 from collections.abc import Callable
@@ -7,12 +7,12 @@
 import pytest
 from msgspec import UNSET
 
-import yarrowloom.node.controller as chief
 from yarrowloom.agent.minion import Phase, TaskRun
 from yarrowloom.cluster_state.minion_ownership import MinionMove, MinionOwnership, OwnerSelector, ownership_digest
 from yarrowloom.cluster_state.registry import Registry
 from yarrowloom.cluster_state.registry_events import MinionsAssigned, RegistryEvent
 from yarrowloom.cluster_state.registry_rows import MinionRow, PlacementDomain
+from yarrowloom.node import controller, minion_rebalancing
 from yarrowloom.node.core_environment import CoreEnvironment
 from yarrowloom.node.messages import Heartbeat
 from yarrowloom.simulator.cluster import Sim
@@ -107,8 +107,8 @@
     back(sim=sim, n=350)
     first = [n for at, n in made if at < 102.2]
     assert sum(first) >= 350
-    assert len(first) <= 1.3 / chief.ADMIT_S
-    assert max(first) <= chief.BATCH
+    assert len(first) <= 1.3 / controller.NEW_MINIONS_WINDOW_S
+    assert max(first) <= controller.ASSIGNMENTS_MOST
 
 
 def test_hearts_of_calm_times_do_not_list_minions() -> None:
@@ -145,7 +145,7 @@
     sim.kill(ip=ip, power=True)
     assert sim.until(cond=lambda: serves(sim=sim) and len(attached(sim=sim)) == 210, limit=6.0)
     assert sum(n for _, n in made) == even[ip]
-    assert max(n for _, n in made) <= chief.BATCH
+    assert max(n for _, n in made) <= controller.ASSIGNMENTS_MOST
     assert all(len(o) == 1 for o in racks(sim=sim).values())
     now = loads(sim=sim)
     if lost == 2:
@@ -163,9 +163,10 @@
     assert max(abs(after[u] - even[u]) for u in even) <= 12
     assert len(attached(sim=sim)) == 210
     assert made
-    assert max(n for _, n in made) <= chief.EASE
+    assert max(n for _, n in made) <= minion_rebalancing.MOVES_PER_ROUND
+    most_in_a_second = (1.0 / minion_rebalancing.ROUND_INTERVAL_S + 1) * minion_rebalancing.MOVES_PER_ROUND
     for at, _ in made:
-        assert sum(n for when, n in made if at <= when < at + 1.0) <= 1.0 / chief.EASE_S * chief.EASE + chief.EASE
+        assert sum(n for when, n in made if at <= when < at + 1.0) <= most_in_a_second
     sim.run(seconds=5.0)
     assert all(caller.state(job_id=j) == (200, "complete") for j in job_ids)
     assert oracle.broken == []
@@ -189,7 +190,7 @@
 
 def test_moves_of_many_are_cut_into_batches(monkeypatch: pytest.MonkeyPatch) -> None:
     sim, oracle, _ = settled(n=120, seed=41)
-    monkeypatch.setattr(chief, "BATCH", 10)
+    monkeypatch.setattr(controller, "ASSIGNMENTS_MOST", 10)
     made = watch(sim=sim, monkeypatch=monkeypatch)
     held = loads(sim=sim)
     ip = max((u for u in sim.core_ips if u not in sim.serving(group_id=0)), key=lambda u: held[u])
@@ -205,7 +206,7 @@
 
 def test_a_restarted_core_gets_new_fences_in_batches_before_its_minions(monkeypatch: pytest.MonkeyPatch) -> None:
     sim, oracle, _ = settled(n=120, seed=42)
-    monkeypatch.setattr(chief, "BATCH", 10)
+    monkeypatch.setattr(controller, "ASSIGNMENTS_MOST", 10)
     ip = next(u for u in sim.core_ips if u not in sim.serving(group_id=0) and u not in sim.serving(group_id=1))
     minion_ids = set(sim.core(ip).agent.minions)
     before = {m: sim.core(sim.serving(group_id=0)[0]).registry.minions[m].fence for m in minion_ids}
@@ -243,9 +244,9 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_rules_hold_while_minions_change_hands(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Frames are lost, cores end and freeze, and the chief moves racks between any agents almost all the time."""
-    monkeypatch.setattr(chief, "CALM_S", 0.6)
-    monkeypatch.setattr(chief, "FRESH_S", 0.3)
+    """Frames are lost, cores end and freeze, and the controller moves racks between any agents almost all the time."""
+    monkeypatch.setattr(minion_rebalancing, "QUIET_S", 0.6)
+    monkeypatch.setattr(minion_rebalancing, "QUIET_AFTER_JOIN_S", 0.3)
     sim, oracle, caller, fleet = herd(seed=60 + seed, minions=24, cores=5, rack=4)
 
     def any_moves(self: OwnerSelector, *, max_moves: int) -> list[MinionMove]:
--- a/tests/node/test_edge.py
+++ b/tests/node/test_edge.py
@@ -52,26 +52,26 @@
 def test_a_flood_is_turned_away_at_once_and_nothing_of_it_is_sent_on() -> None:
     sim, node = ready(seed=1)
     cut(sim)
-    assert node.hand_most == 512
+    assert node.calls_most == 512
     got: dict[str, tuple[float, Response]] = {}
-    request_id, t0 = node.calls.request_id, sim.now
+    request_id, t0 = node.calls.last_request_id, sim.now
     for n in range(900):
         call(sim, got, n=n)
     sim.run(seconds=0.1)
     assert len(got) == 900 - 512
-    assert len(node.calls.open) == 512 == node.calls.request_id - request_id
+    assert len(node.calls.pending) == 512 == node.calls.last_request_id - request_id
     assert all(r.status == 503 and ("retry-after", "1") in r.headers and at - t0 < 0.05 for at, r in got.values())
     assert sim.ask(ip=sim.edge_ips[0], method="GET", path="/none/", headers={"host": HOST})[0] == 404
     sim.run(seconds=3.0)
     assert len(got) == 900
-    assert not node.calls.open
-    assert node.hand == 0
+    assert not node.calls.pending
+    assert node.body_bytes == 0
     sim.heal()
     sim.run(seconds=2.0)
     job_id = call(sim, got, n=1000)
     sim.run(seconds=1.0)
     assert got[job_id][1].status == 200
-    assert node.hand == 0
+    assert node.body_bytes == 0
 
 
 def test_large_bodies_in_hand_are_bounded_too() -> None:
@@ -82,12 +82,12 @@
     for n in range(200):
         call(sim, got, n=n, document=document)
     sim.run(seconds=0.1)
-    assert 0 < len(node.calls.open) < 200
-    assert node.hand <= 256 << 16
-    assert len(got) == 200 - len(node.calls.open)
+    assert 0 < len(node.calls.pending) < 200
+    assert node.body_bytes <= 256 << 16
+    assert len(got) == 200 - len(node.calls.pending)
     assert {r.status for _, r in got.values()} == {503}
     sim.run(seconds=3.0)
-    assert node.hand == 0
+    assert node.body_bytes == 0
     assert len(got) == 200
 
 
@@ -109,11 +109,11 @@
 def test_a_call_that_has_no_time_left_is_refused(deadline: int) -> None:
     sim, node = ready(seed=4)
     got: dict[str, tuple[float, Response]] = {}
-    request_id = node.calls.request_id
+    request_id = node.calls.last_request_id
     call(sim, got, n=1, deadline=deadline)
     sim.run(seconds=0.05)
     assert [r.status for _, r in got.values()] == [503]
-    assert node.calls.request_id == request_id
+    assert node.calls.last_request_id == request_id
 
 
 def test_asking_for_a_state_logs_nothing() -> None:
@@ -122,14 +122,14 @@
     job_id = call(sim, got, n=7)
     sim.run(seconds=1.0)
     primary = sim.core(sim.serving(group_id=1)[0])
-    applied, request_id = primary.replicas[1].last_applied, node.calls.request_id
+    applied, request_id = primary.replicas[1].last_applied, node.calls.last_request_id
     for _ in range(50):
         got.clear()
         call(sim, got, n=7, method="GET")
         sim.run(seconds=0.02)
         assert got[job_id][1].status == 200
     assert primary.replicas[1].last_applied == applied
-    assert node.calls.request_id == request_id + 50
+    assert node.calls.last_request_id == request_id + 50
 
 
 def test_an_edge_stays_ready_while_cores_are_busy_and_says_so_when_it_is_cut_off() -> None:
--- a/tests/node/test_refused_calls.py
+++ b/tests/node/test_refused_calls.py
@@ -5,10 +5,12 @@
 import orjson
 import pytest
 
-from yarrowloom.node.group_calls import NOT_PRIMARY, Calls
+from yarrowloom.node.call_messages import NOT_PRIMARY, CallOperation, GroupReply, NoArguments
+from yarrowloom.node.group_calls import CallResult, GroupCalls
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.minions import HOST, cluster
 from yarrowloom.transport.http_server import Response
+from yarrowloom.transport.message import Message
 
 JOB = {"task-spec": "s", "stages": [{"task-count": 1, "cpus": 500, "mem-mb": 64, "estimate-ms": 300}]}
 JOB_ID = "5c0e7a21d94b36f8"
@@ -77,26 +79,28 @@
     class Caller:
         now, node_id, serves = 0.0, "edge#1", ("a", 1)
 
-        def send(self, *, node_id: str, kind: Any, body: dict[str, Any]) -> None: ...
+        def send_message(self, *, node_id: str, message: Message) -> None: ...
 
         def primary(self, *, group_id: int) -> tuple[str, int] | None:
             return self.serves
 
         def learn(self, *, epochs: object) -> None: ...
 
-        def called(self, *, done: tuple[Any, ...], status: int, document: Any, sent: bool) -> None:
-            ended.append((status, sent))
+    def on_end(result: CallResult) -> None:
+        ended.append((result.status, result.was_sent))
 
     caller = Caller()
-    calls = Calls(environment=caller, base=0)
+    calls = GroupCalls(environment=caller, first_request_id=0)
 
     def start() -> int:
         caller.serves = ("a", 1)
-        calls.start(group_id=1, op="put", b={}, done=(), ttl=3.0)
-        return calls.request_id
+        operation = CallOperation.SUBMIT_JOB
+        calls.start(group_id=1, operation=operation, body=NoArguments(), on_end=on_end, ttl_s=3.0)
+        return calls.last_request_id
 
     def answer(number: int, *, node_id: str, status: int) -> None:
-        calls.reply(node_id=node_id, m={"rid": number, "to": "edge#1", "s": status, "d": []})
+        reply = GroupReply(request_id=number, to="edge#1", status=status, document=[])
+        calls.on_reply(node_id=node_id, reply=reply)
 
     number = start()
     answer(number, node_id="a", status=429)
--- a/tests/project/test_import_direction.py
+++ b/tests/project/test_import_direction.py
@@ -24,10 +24,8 @@
     ("cli",),
 )
 LAYER = {package: number for number, layer in enumerate(LAYERS) for package in layer}
-NODE_CIRCLE = ("controller", "core_environment", "http_routes")
 LEFT: dict[tuple[str, str], str] = {}
 LEFT_CIRCLES: dict[frozenset[str], str] = {
-    frozenset(f"yarrowloom.node.{name}" for name in NODE_CIRCLE): "the node's parts name the node's class",
     frozenset({"yarrowloom.replication.election", "yarrowloom.replication.replica"}): "an election names its replica",
 }
 
--- a/tests/simulator/test_history_runs.py
+++ b/tests/simulator/test_history_runs.py
@@ -3,10 +3,12 @@
 from functools import partial
 from typing import Any
 
+import msgspec
 import orjson
 import pytest
 
-from yarrowloom.node.group_calls import Calls
+from yarrowloom.node.call_messages import GroupReply
+from yarrowloom.node.group_calls import GroupCalls
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.judges.history import Breach, History, JobCall, JobVerb, Operation, Outcome, outcome_of
 from yarrowloom.simulator.judges.history_checks import check_answers, check_jobs
@@ -117,18 +119,21 @@
 
 def crossed(patch: pytest.MonkeyPatch, *, same_kind: bool) -> None:
     """An answer about jobs is given to the oldest call about jobs that is open: to any, or to one of its own kind."""
-    whole = Calls.reply
+    whole = GroupCalls.on_reply
 
-    def reply(self: Calls, *, node_id: str, m: dict[str, Any]) -> None:
-        own = self.open.get(m["rid"])
-        rids = [
+    def on_reply(self: GroupCalls, *, node_id: str, reply: GroupReply) -> None:
+        own = self.pending.get(reply.request_id)
+        request_ids = [
             request_id
-            for request_id, pend in self.open.items()
-            if own is not None and own.group_id == pend.group_id > 0 and (pend.op == own.op or not same_kind)
+            for request_id, call in self.pending.items()
+            if own is not None
+            and own.group_id == call.group_id > 0
+            and (call.operation is own.operation or not same_kind)
         ]
-        whole(self, node_id=node_id, m={**m, "rid": rids[0] if rids else m["rid"]})
+        request_id = request_ids[0] if request_ids else reply.request_id
+        whole(self, node_id=node_id, reply=msgspec.structs.replace(reply, request_id=request_id))
 
-    patch.setattr(Calls, "reply", reply)
+    patch.setattr(GroupCalls, "on_reply", on_reply)
 
 
 @pytest.mark.parametrize("same_kind", [True, False])
--- a/tests/transport/test_lanes.py
+++ b/tests/transport/test_lanes.py
@@ -11,11 +11,13 @@
 
 from tests.support.loopback import HOST, reserved_ports
 from yarrowloom.common.log import Log
-from yarrowloom.node.group_calls import RESEND_MOST_S, Calls
+from yarrowloom.node.call_messages import CallOperation, GroupReply, NoArguments
+from yarrowloom.node.group_calls import RESEND_MOST_S, CallResult, GroupCalls
 from yarrowloom.node.input_scheduler import TIME_SHARES, DuplicateFilter, InputClass, InputScheduler, classify_message
 from yarrowloom.replication.epoch import Epoch
 from yarrowloom.simulator.minions import cluster
 from yarrowloom.transport.envelope import Frame, Kind, Lane, join_messages, pack_frame, split_messages
+from yarrowloom.transport.message import Message
 from yarrowloom.transport.peer_connections import PeerConnections
 from yarrowloom.transport.send_queue import (
     FRAME_BYTES,
@@ -248,7 +250,7 @@
         self.sent: list[tuple[float, str]] = []
         self.ended: list[int] = []
 
-    def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
+    def send_message(self, *, node_id: str, message: Message) -> None:
         self.sent.append((round(self.now, 2), node_id))
 
     def primary(self, *, group_id: int) -> tuple[str, int] | None:
@@ -258,14 +260,14 @@
         _, epoch = epochs[0]
         self.at = (epoch.primary, epoch.number)
 
-    def called(self, *, done: tuple[Any, ...], status: int, document: Any, sent: bool) -> None:
-        self.ended.append(status)
+    def on_end(self, result: CallResult) -> None:
+        self.ended.append(result.status)
 
 
 def test_calls_back_off_and_follow_the_primary_at_once() -> None:
     node = Node()
-    calls = Calls(environment=node, base=0)
-    calls.start(group_id=1, op="put", b={}, done=("x",), ttl=8.0)
+    calls = GroupCalls(environment=node, first_request_id=0)
+    calls.start(group_id=1, operation=CallOperation.SUBMIT_JOB, body=NoArguments(), on_end=node.on_end, ttl_s=8.0)
     while node.now < 5.0:
         calls.tick()
         node.now += 0.05
@@ -277,15 +279,16 @@
     node.at = ("p2", 2)
     calls.tick()
     assert node.sent[before:] == [(round(node.now, 2), "p2")]
-    calls.lost(node_id="p1")
+    calls.on_frames_lost(node_id="p1")
     assert len(node.sent) == before + 1
-    calls.lost(node_id="p2")
+    calls.on_frames_lost(node_id="p2")
     assert len(node.sent) == before + 2
     epoch = Epoch(number=3, primary="p3", backups=(), witnesses=("p3",), snapshot_id="")
-    calls.reply(node_id="p2", m={"rid": 1, "to": "me", "s": 421, "d": [[1, epoch.document()]]})
+    declined = GroupReply(request_id=1, to="me", status=421, document=[[1, epoch.document()]])
+    calls.on_reply(node_id="p2", reply=declined)
     assert node.sent[-1][1] == "p3"
     assert node.ended == []
-    calls.reply(node_id="p3", m={"rid": 1, "to": "me", "s": 200, "d": {}})
+    calls.on_reply(node_id="p3", reply=GroupReply(request_id=1, to="me", status=200, document={}))
     assert node.ended == [200]
 
 
--- a/tests/transport/test_malformed_frames.py
+++ b/tests/transport/test_malformed_frames.py
@@ -11,6 +11,8 @@
 import trio.testing
 
 from yarrowloom.common.log import Log
+from yarrowloom.node.call_messages import CallOperation, NoArguments
+from yarrowloom.node.group_calls import ignore_result
 from yarrowloom.node.runtime import Runtime
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.minions import cluster
@@ -257,8 +259,10 @@
     sim, _, _, _ = cluster(seed=90 + seed)
     runtime = node_of(sim)
     node = runtime.node
-    node.calls.start(group_id=0, op="getconf", b={}, done=("none",), ttl=1e12)
-    request_id = node.calls.request_id
+    node.calls.start(
+        group_id=0, operation=CallOperation.READ_CONFIG, body=NoArguments(), on_end=ignore_result, ttl_s=1e12
+    )
+    request_id = node.calls.last_request_id
     for _ in range(1500):
         kind = rng.choice([Kind.CALL, Kind.REPLY])
         m: Any = rng.choice(ODD) if rng.random() < 0.1 else {k: rng.choice(ODD) for k in rng.sample(KEYS, 8)}
@@ -272,5 +276,5 @@
                 "b": rng.choice([*ODD, {"id": 7}, {"m": []}]),
             }
         runtime.receive_frames(rng.choice(sorted(sim.node_ids.values())), Lane.WORK, [(kind, m)], False)
-    assert request_id in node.calls.open
+    assert request_id in node.calls.pending
     assert any(event == "frame-malformed" for event, _ in cast(Lines, runtime.log).rows)
--- a/yarrowloom/node/controller.py
+++ b/yarrowloom/node/controller.py
@@ -1,6 +1,7 @@
-"""What the primary of group 0 does besides keeping records: counts agents in, gives out minions, enrols cores."""
+"""What the primary of group 0 does besides serving its log: leases to agents, owners of minions, core members."""
 
-from typing import Any, Protocol
+import math
+from typing import Any, NamedTuple, Protocol
 
 from msgspec import UNSET
 
@@ -19,21 +20,20 @@
 from ..replication.epoch import addr_of
 from ..transport.message import Message
 from .messages import Heartbeat, HeartbeatAck, OwnedMinion
+from .minion_rebalancing import MOVES_PER_ROUND, MinionRebalancing
 from .registry_requests import OwnerQuery
 
-LEASE_S = 1.5  # how long one word of the chief lets an agent act
-DEAD_S = LEASE_S * 1.05 + 0.3  # silence after which its minions go to others
-DEAF_S = LEASE_S  # an agent that has heard nothing of the chief this long has no lease any more
-LATE_S = 0.5  # the former primary has this long to be heard before its minions go to others
-DROP_S = 30.0
-BATCH = 256  # minions given out in one commit, and in one tick
-ADMIT_S = 0.05  # new minions that come within this time share a commit
-CALM_S = 6.0  # nothing had to move for this long: minions may move back
-FRESH_S = 1.0  # nor a core been enrolled for this long
-EASE_S = 0.5  # how often up to EASE of them, of one rack, do
-EASE = 16
-PAUSE_S = 0.3  # a primary that did not serve for longer discounts that time
-SHED_S = 2.0  # an agent that has not let go of minions by then keeps them
+AGENT_LEASE_S = 1.5  # how long an acknowledged heartbeat lets an agent act
+CLOCK_DRIFT = 1.05  # the controller waits longer than the lease by this factor and margin: clocks differ
+LEASE_MARGIN_S = 0.3
+LEASE_EXPIRED_S = AGENT_LEASE_S * CLOCK_DRIFT + LEASE_MARGIN_S  # after this silence an agent has no lease any more
+ONE_WAY_S = AGENT_LEASE_S  # an agent that has received nothing from the controller this long has none either
+LIVE_SHARE = 0.6  # of a lease: an agent that was silent for less may get minions
+FORMER_PRIMARY_GRACE_S = 0.5  # the former primary has this long to be heard of before its minions go to others
+MEMBER_SILENCE_S = 30.0  # a member that was silent for longer is removed
+ASSIGNMENTS_MOST = 256  # in one commit, and in one tick for each kind of work
+NEW_MINIONS_WINDOW_S = 0.05  # new minions that come within this time share a commit
+SERVICE_PAUSE_S = 0.3  # a primary that did not serve for longer doesn't count that time as silence of others
 
 
 class ControllerEnvironment(Protocol):
@@ -57,249 +57,310 @@
         """Log an event."""
 
 
-class Chief:
-    """Volatile; one lives while this node serves group 0. Invariants: a minion is given to another agent only once
-    the former agent's word from any chief has run out, or it has said that it let go; an agent gets the word only
-    in answer to a heart whose digest fits what it should hold, or which lists what it holds.
+class OwnerRequest(NamedTuple):
+    """A node's call that waits until a new minion has an owner."""
+
+    node_id: str
+    request_id: int
+    query: OwnerQuery
+
+
+class Controller:
+    """Lives while this node serves group 0; nothing of it is stored.
+
+    Invariants: a minion is given to another agent only once the former agent's lease from any controller has expired,
+    or the former agent has said that it released the minion; an agent gets a lease only in the acknowledgement of a
+    heartbeat whose digest fits what it should own, or which lists what it holds.
+
+    Attributes:
+        last_heartbeat: By agent, when its last heartbeat came, or, if none did, when this controller began.
+        last_echo: By agent, the controller's time that came back with its last heartbeat.
+        incarnations: By agent, that of its last heartbeat.
+        owner_requests: Calls about new minions, which share the next commit.
+        outdated_fences: By agent, minions whose fencing tokens are from before its process began anew.
+        rebalancing: Minions that should move in quiet times.
     """
 
-    def __init__(self, *, node: ControllerEnvironment, late: str) -> None:
+    def __init__(self, *, node: ControllerEnvironment, former_primary: str) -> None:
+        """Begin to serve; `former_primary`: the node that served group 0 before, empty if it was this one."""
         self.node = node
         now = node.now
-        self.last: dict[str, float] = dict.fromkeys(
-            {*node.registry.members, *node.registry.ownership.minions_by_node}, now
-        )
-        if late in self.last:
-            # The primary before this one: its agent acted on that duty's promise alone, which has run out.
-            self.last[late] = now - DEAD_S + LATE_S
-        self.echoed: dict[str, float] = {}  # by agent: when that was said which it last heard of this chief
+        self.last_heartbeat: dict[str, float] = dict.fromkeys(self._agents(), now)
+        if former_primary in self.last_heartbeat:
+            # Its agent acted on the lease of that primary alone, which has expired.
+            self.last_heartbeat[former_primary] = now - LEASE_EXPIRED_S + FORMER_PRIMARY_GRACE_S
+        self.last_echo: dict[str, float] = {}
         self.incarnations: dict[str, int] = {}
-        self.asks: list[tuple[str, int, OwnerQuery]] = []  # for new minions: node id, request id, query
-        self.admitted = -9.0
-        self.stale: dict[str, list[str]] = {}  # by agent: minions whose fence is from before its process began anew
-        self.shed: dict[str, tuple[str, str]] = {}  # minions that should change hands: from whom, to whom
-        self.asked: set[str] = set()  # of these, those that their agent held when it was asked
-        self.eased = self.served = now
-        self.stirred = now if node.registry.minions else now - CALM_S + FRESH_S
-
-    def live(self, *, node_id: str) -> bool:
-        """Counted in and heard of lately."""
-        return node_id == self.node.node_id or self.node.now - self.last.get(node_id, -9.0) < LEASE_S * 0.6
-
-    def deaf(self, *, heartbeat: Heartbeat) -> bool:
-        """Whether the sender of a heartbeat is heard but hears nothing: each answer tells the chief's time, which the
-        next heartbeat gives back. Such an agent can't act, so nothing is renewed for it, and its minions go to others.
+        self.owner_requests: list[OwnerRequest] = []
+        self.outdated_fences: dict[str, list[str]] = {}
+        self.rebalancing = MinionRebalancing(now=now, has_minions=bool(node.registry.minions))
+        self._assigned_new_at = -math.inf
+        self._served_at = now
+
+    # -- agents
+
+    def _agents(self) -> set[str]:
+        """All members, and whoever owns minions."""
+        return {*self.node.registry.members, *self.node.registry.ownership.minions_by_node}
+
+    def _owned_by(self, *, node_id: str) -> dict[str, None]:
+        """The minions of an agent, as the registry says."""
+        return self.node.registry.ownership.minions_by_node.get(node_id, {})
+
+    def _silence_s(self, *, node_id: str) -> float:
+        """How long an agent has been silent; 0 for the one of this node."""
+        if node_id == self.node.node_id:
+            return 0.0
+        return self.node.now - self.last_heartbeat.get(node_id, -math.inf)
+
+    def is_live(self, *, node_id: str) -> bool:
+        """Whether an agent may get minions."""
+        return self._silence_s(node_id=node_id) < AGENT_LEASE_S * LIVE_SHARE
+
+    def has_expired(self, *, node_id: str) -> bool:
+        """Whether an agent's lease has certainly expired."""
+        return self._silence_s(node_id=node_id) > LEASE_EXPIRED_S
+
+    def _is_unreachable(self, *, heartbeat: Heartbeat) -> bool:
+        """Whether the sender's heartbeats come here, but the acknowledgements don't reach it.
+
+        Each of these tells the controller's time, which the next heartbeat gives back. Such an agent can't act; so
+        its lease isn't renewed, and its minions go to others.
         """
         node, node_id, echo = self.node, heartbeat.node_id, heartbeat.controller_echo
         epoch = node.replicas[0].epoch
-        self.echoed.setdefault(node_id, node.now)
+        self.last_echo.setdefault(node_id, node.now)
         if echo is UNSET:
             return False
         if echo and epoch is not None and echo[0] == epoch.number and echo[1] is not None:
-            self.echoed[node_id] = max(self.echoed[node_id], echo[1])
-        return node_id != node.node_id and node.now - self.echoed[node_id] > DEAF_S
-
-    def dead(self, *, node_id: str) -> bool:
-        """Its word has run out."""
-        return node_id != self.node.node_id and self.node.now - self.last.get(node_id, -99.0) > DEAD_S
+            self.last_echo[node_id] = max(self.last_echo[node_id], echo[1])
+        return node_id != node.node_id and node.now - self.last_echo[node_id] > ONE_WAY_S
 
     def on_heartbeat(self, *, heartbeat: Heartbeat) -> HeartbeatAck:
-        """A core's heartbeat: enrol it, renew its lease, tell it what it owns.
-
-        `owned_minions` of the heartbeat is all that its agent holds, if it was asked for it; otherwise the digest of
-        that has to do.
+        """A core's heartbeat: make it a member, renew its lease, tell it what it owns.
 
         Returns:
-            The controller's part of the acknowledgement.
+            The controller's part of the acknowledgement; empty for other nodes, and where the lease isn't renewed.
         """
-        self._resumed()
-        node, node_id = self.node, heartbeat.node_id
+        self._discount_pause()
+        node_id = heartbeat.node_id
         if heartbeat.kind != "core":
             return HeartbeatAck()
-        if node_id not in node.registry.members:
-            self._enrol(heartbeat=heartbeat)
-        if self.deaf(heartbeat=heartbeat):
+        if node_id not in self.node.registry.members:
+            self._add_member(heartbeat=heartbeat)
+        if self._is_unreachable(heartbeat=heartbeat) or self._is_being_relieved(node_id=node_id):
             return HeartbeatAck()
-        if (
-            node_id != node.node_id
-            and (node_id not in self.last or self.dead(node_id=node_id))
-            and self._move(owner=node_id)
-        ):
-            return HeartbeatAck()
-        self.last[node_id] = node.now
-        if self.incarnations.get(node_id) not in (None, heartbeat.incarnation):
-            self.stale[node_id] = list(node.registry.ownership.minions_by_node.get(node_id, ()))
-            self._renew(node_id=node_id)
+        self.last_heartbeat[node_id] = self.node.now
+        if self.incarnations.get(node_id, heartbeat.incarnation) != heartbeat.incarnation:
+            self.outdated_fences[node_id] = list(self._owned_by(node_id=node_id))
+            self._renew_fences(node_id=node_id)
         self.incarnations[node_id] = heartbeat.incarnation
-        leave = [minion_id for minion_id, (was, _) in self.shed.items() if was == node_id]
         if heartbeat.owned_minions is UNSET:
-            if heartbeat.minions_digest != node.registry.ownership.digest(node_id=node_id):
-                return HeartbeatAck(wants_owned_minions=True)
-            self.asked.update(leave)
-            return HeartbeatAck(grants_lease=True, minions_to_release=leave or UNSET)
-        have = dict(heartbeat.owned_minions)
-        self._let_go(
-            node_id=node_id,
-            minion_ids=[minion_id for minion_id in leave if minion_id in self.asked and minion_id not in have],
-        )
-        mine = node.registry.ownership.minions_by_node.get(node_id, {})
-        old = {*self.stale.get(node_id, ())}
-        give = [
-            self._row(minion_id)
-            for minion_id in mine
-            if have.get(minion_id, 0) < node.registry.minions[minion_id].fence
-            and minion_id not in old
-            and minion_id not in self.shed
+            return self._ack_digest(heartbeat=heartbeat)
+        return self._ack_owned(node_id=node_id, fences=dict(heartbeat.owned_minions))
+
+    def _is_being_relieved(self, *, node_id: str) -> bool:
+        """Whether an agent that comes back still has minions that go to others; some of them do so now."""
+        if node_id == self.node.node_id:
+            return False
+        was_silent = node_id not in self.last_heartbeat or self.has_expired(node_id=node_id)
+        return was_silent and self._reassign_from(owner=node_id)
+
+    def _ack_digest(self, *, heartbeat: Heartbeat) -> HeartbeatAck:
+        """Acknowledge a heartbeat that tells what the agent holds by a digest."""
+        node_id = heartbeat.node_id
+        if heartbeat.minions_digest != self.node.registry.ownership.digest(node_id=node_id):
+            return HeartbeatAck(wants_owned_minions=True)
+        to_release = self.rebalancing.to_release(node_id=node_id)
+        self.rebalancing.on_requested(minion_ids=to_release)
+        return HeartbeatAck(grants_lease=True, minions_to_release=to_release or UNSET)
+
+    def _ack_owned(self, *, node_id: str, fences: dict[str, int]) -> HeartbeatAck:
+        """Acknowledge a heartbeat that lists the minions that the agent holds, by minion their fencing tokens."""
+        self._move_released(node_id=node_id, held=fences)
+        owned = self._owned_by(node_id=node_id)
+        outdated = {*self.outdated_fences.get(node_id, ())}
+        given = [
+            self._owned_minion(minion_id=minion_id)
+            for minion_id in owned
+            if fences.get(minion_id, 0) < self.node.registry.minions[minion_id].fence
+            and minion_id not in outdated
+            and minion_id not in self.rebalancing.moves
         ]
-        return HeartbeatAck(
-            grants_lease=True, owned=give, disowned=[minion_id for minion_id in have if minion_id not in mine]
-        )
+        disowned = [minion_id for minion_id in fences if minion_id not in owned]
+        return HeartbeatAck(grants_lease=True, owned=given, disowned=disowned)
 
-    def _row(self, minion_id: str) -> OwnedMinion:
-        row = self.node.registry.minions[minion_id]
-        return OwnedMinion(minion_id=minion_id, fence=row.fence, row=row)
+    # -- members
 
-    def _enrol(self, *, heartbeat: Heartbeat) -> None:
+    def _add_member(self, *, heartbeat: Heartbeat) -> None:
+        """A core joins; the members of the same address are gone."""
         node, node_id = self.node, heartbeat.node_id
-        old = [u for u in node.registry.members if addr_of(node_id=u) == addr_of(node_id=node_id)]
-        for gone in old:
-            node.commit_registry(event=CoreMemberRemoved(node_id=gone))
-        member = CoreMember(zone=heartbeat.zone, name=heartbeat.name, control_address=heartbeat.control_address)
-        node.commit_registry(event=CoreMemberAdded(node_id=node_id, member=member), publish=True)
-        node.note(event="core-enrolled", node_id=node_id, replaces=",".join(old))
-        self.stirred = max(self.stirred, node.now - CALM_S + FRESH_S)
+        replaced = [member for member in node.registry.members if addr_of(node_id=member) == addr_of(node_id=node_id)]
+        for member in replaced:
+            node.commit_registry(event=CoreMemberRemoved(node_id=member))
+        member_row = CoreMember(zone=heartbeat.zone, name=heartbeat.name, control_address=heartbeat.control_address)
+        node.commit_registry(event=CoreMemberAdded(node_id=node_id, member=member_row), publish=True)
+        node.note(event="core-member-added", node_id=node_id, replaces=",".join(replaced))
+        self.rebalancing.on_member_joined(now=node.now)
+
+    def _remove_silent_members(self) -> None:
+        node = self.node
+        for node_id in list(node.registry.members):
+            last_heartbeat = self.last_heartbeat.get(node_id, node.now)
+            if node_id != node.node_id and node.now - last_heartbeat > MEMBER_SILENCE_S:
+                node.commit_registry(event=CoreMemberRemoved(node_id=node_id), publish=True)
+                node.note(event="core-member-removed", node_id=node_id)
+
+    # -- owners of minions
 
     def _owner_selector(self) -> OwnerSelector:
+        """Chooses among the live agents; this node's if there is none."""
         members = self.node.registry.members
-        live = {u: member.zone for u, member in members.items() if self.live(node_id=u)}
-        zones = live or {self.node.node_id: self.node.settings.zone}
-        return OwnerSelector(ownership=self.node.registry.ownership, zones=zones)
-
-    def _give(self, *, rows: list[MinionAssignment]) -> None:
-        """Commit new owners; they are told once it is durable."""
-        self.node.commit_registry(
-            event=MinionsAssigned(assignments=rows), then=("owned", [row.minion_id for row in rows])
+        zones = {node_id: member.zone for node_id, member in members.items() if self.is_live(node_id=node_id)}
+        return OwnerSelector(
+            ownership=self.node.registry.ownership, zones=zones or {self.node.node_id: self.node.settings.zone}
         )
 
-    def _renew(self, *, node_id: str) -> None:
-        """A core's process began anew: its minions get new fences."""
-        minion_ids = self.stale.pop(node_id)
-        self.stale.update({node_id: minion_ids[BATCH:]} if minion_ids[BATCH:] else {})
-        mine = self.node.registry.ownership.minions_by_node.get(node_id, {})
-        rows = [
-            MinionAssignment(minion_id=minion_id, owner=node_id)
-            for minion_id in minion_ids[:BATCH]
-            if minion_id in mine
-        ]
-        if rows:
-            self._give(rows=rows)
-        self.stirred = self.node.now
-
-    def find_owner(self, *, node_id: str, request_id: int, query: OwnerQuery) -> None:
-        """Which agent holds a minion; a new one gets an owner, together with others that come at the time."""
-        row = self.node.registry.minions.get(query.minion_id)
-        if row is not None:
-            self.node.replicas[0].barrier(then=("reply", node_id, request_id, 200, {"o": row.owner}))
+    def _assign(self, *, assignments: list[MinionAssignment]) -> None:
+        """Commit new owners; they are told once it is durable."""
+        if not assignments:
             return
-        self.asks.append((node_id, request_id, query))
-        if len(self.asks) >= BATCH or self.node.now - self.admitted >= ADMIT_S:
-            self._admit()
-
-    def _admit(self) -> None:
-        node, asks = self.node, self.asks
-        self.asks, self.admitted = [], node.now
-        selector, rows = self._owner_selector(), dict[str, MinionAssignment]()
-        for _, _, query in asks:
-            minion_id = query.minion_id
-            if minion_id not in node.registry.minions and minion_id not in rows:
-                described = MinionDescription(zone=query.zone, service=query.service, labels=query.labels)
-                owner = selector.select_owner(domain=described.placement_domain)
-                rows[minion_id] = MinionAssignment(minion_id=minion_id, owner=owner, description=described)
-        if rows:
-            self._give(rows=list(rows.values()))
-        for node_id, request_id, query in asks:
-            owner = node.registry.minions[query.minion_id].owner
-            node.replicas[0].barrier(then=("reply", node_id, request_id, 200, {"o": owner}))
-
-    def owned(self, *, minion_ids: list[str]) -> None:
-        """Ownerships are durable: tell the owners."""
-        by: dict[str, list[OwnedMinion]] = {}
+        minion_ids = [assignment.minion_id for assignment in assignments]
+        self.node.commit_registry(event=MinionsAssigned(assignments=assignments), then=("owned", minion_ids))
+
+    def on_assigned(self, *, minion_ids: list[str]) -> None:
+        """Assignments are durable: tell the owners."""
+        owned_by: dict[str, list[OwnedMinion]] = {}
         for minion_id in minion_ids:
             row = self.node.registry.minions.get(minion_id)
             if row is not None:
-                by.setdefault(row.owner, []).append(self._row(minion_id))
-        for node_id, rows in by.items():
-            self.node.send_message(node_id=node_id, message=HeartbeatAck(owned=rows))
+                owned_by.setdefault(row.owner, []).append(self._owned_minion(minion_id=minion_id))
+        for node_id, owned in owned_by.items():
+            self.node.send_message(node_id=node_id, message=HeartbeatAck(owned=owned))
+
+    def _owned_minion(self, *, minion_id: str) -> OwnedMinion:
+        row = self.node.registry.minions[minion_id]
+        return OwnedMinion(minion_id=minion_id, fence=row.fence, row=row)
 
-    def _move(self, *, owner: str) -> bool:
-        """Give some of a dead agent's minions to live ones; whether there were any."""
+    def _renew_fences(self, *, node_id: str) -> None:
+        """A core's process began anew: some of its minions get new fencing tokens."""
+        minion_ids = self.outdated_fences.pop(node_id)
+        if minion_ids[ASSIGNMENTS_MOST:]:
+            self.outdated_fences[node_id] = minion_ids[ASSIGNMENTS_MOST:]
+        owned = self._owned_by(node_id=node_id)
+        self._assign(
+            assignments=[
+                MinionAssignment(minion_id=minion_id, owner=node_id)
+                for minion_id in minion_ids[:ASSIGNMENTS_MOST]
+                if minion_id in owned
+            ]
+        )
+        self.rebalancing.on_disturbance(now=self.node.now)
+
+    def _reassign_from(self, *, owner: str) -> bool:
+        """Give some minions of an agent without a lease to live ones; whether there were any."""
         node = self.node
-        minion_ids = list(node.registry.ownership.minions_by_node.get(owner, ()))[:BATCH]
+        minion_ids = list(self._owned_by(node_id=owner))[:ASSIGNMENTS_MOST]
         if not minion_ids:
             return False
         selector = self._owner_selector()
-        node.note(event="minions-moved", owner=owner, count=len(minion_ids))
-        self._give(
-            rows=[
-                MinionAssignment(
-                    minion_id=minion_id,
-                    owner=selector.select_owner(domain=node.registry.minions[minion_id].placement_domain),
-                )
-                for minion_id in minion_ids
+        node.note(event="minions-reassigned", owner=owner, count=len(minion_ids))
+        domains = {minion_id: node.registry.minions[minion_id].placement_domain for minion_id in minion_ids}
+        self._assign(
+            assignments=[
+                MinionAssignment(minion_id=minion_id, owner=selector.select_owner(domain=domain))
+                for minion_id, domain in domains.items()
             ]
         )
-        self.stirred = node.now
+        self.rebalancing.on_disturbance(now=node.now)
         return True
 
-    def _let_go(self, *, node_id: str, minion_ids: list[str]) -> None:
-        """An agent holds these no longer, as it was asked to."""
-        to = {minion_id: self.shed.pop(minion_id)[1] for minion_id in minion_ids}
-        mine = self.node.registry.ownership.minions_by_node.get(node_id, {})
-        rows = [
-            MinionAssignment(minion_id=minion_id, owner=new)
-            for minion_id, new in to.items()
-            if minion_id in mine and self.live(node_id=new)
+    # -- new minions
+
+    def find_owner(self, *, node_id: str, request_id: int, query: OwnerQuery) -> None:
+        """Which agent owns a minion; a new one gets an owner, together with others that come at the time."""
+        row = self.node.registry.minions.get(query.minion_id)
+        if row is not None:
+            self._reply_owner(node_id=node_id, request_id=request_id, owner=row.owner)
+            return
+        self.owner_requests.append(OwnerRequest(node_id=node_id, request_id=request_id, query=query))
+        if len(self.owner_requests) >= ASSIGNMENTS_MOST or self._is_window_over():
+            self._assign_new()
+
+    def _is_window_over(self) -> bool:
+        return self.node.now - self._assigned_new_at >= NEW_MINIONS_WINDOW_S
+
+    def _assign_new(self) -> None:
+        """Give owners to the new minions that are asked for."""
+        minions, requests = self.node.registry.minions, self.owner_requests
+        self.owner_requests, self._assigned_new_at = [], self.node.now
+        selector, assignments = self._owner_selector(), dict[str, MinionAssignment]()
+        for request in requests:
+            query, minion_id = request.query, request.query.minion_id
+            if minion_id in minions or minion_id in assignments:
+                continue
+            description = MinionDescription(zone=query.zone, service=query.service, labels=query.labels)
+            owner = selector.select_owner(domain=description.placement_domain)
+            assignments[minion_id] = MinionAssignment(minion_id=minion_id, owner=owner, description=description)
+        self._assign(assignments=list(assignments.values()))
+        for request in requests:
+            owner = minions[request.query.minion_id].owner
+            self._reply_owner(node_id=request.node_id, request_id=request.request_id, owner=owner)
+
+    def _reply_owner(self, *, node_id: str, request_id: int, owner: str) -> None:
+        """Respond to a call once the ownership is durable."""
+        self.node.replicas[0].barrier(then=("reply", node_id, request_id, 200, {"o": owner}))
+
+    # -- moves in quiet times
+
+    def _move_released(self, *, node_id: str, held: dict[str, int]) -> None:
+        """Give minions that an agent released, as it was asked to, to their new owners."""
+        moves = self.rebalancing.take_released(node_id=node_id, held=held)
+        owned = self._owned_by(node_id=node_id)
+        assignments = [
+            MinionAssignment(minion_id=minion_id, owner=new_owner)
+            for minion_id, new_owner in moves.items()
+            if minion_id in owned and self.is_live(node_id=new_owner)
         ]
-        if rows:
-            self.node.note(event="minions-evened", owner=node_id, count=len(rows))
-            self._give(rows=rows)
-
-    def _ease(self) -> None:
-        """In calm times, ask an agent to let go of minions that belong elsewhere, a few at a time."""
-        node, now = self.node, self.node.now
-        if (self.shed and now - self.eased < SHED_S) or now - self.eased < EASE_S:
+        if assignments:
+            self.node.note(event="minions-rebalanced", owner=node_id, count=len(assignments))
+            self._assign(assignments=assignments)
+
+    def _rebalance(self) -> None:
+        """In quiet times, plan moves of minions that belong elsewhere."""
+        now = self.node.now
+        if not self.rebalancing.begin_round(now=now):
             return
-        self.shed.clear()
-        self.asked.clear()
-        agents = {*node.registry.members, *node.registry.ownership.minions_by_node}
-        if now - self.stirred < CALM_S or not all(self.live(node_id=u) for u in agents):
+        if not all(self.is_live(node_id=node_id) for node_id in self._agents()):
             return
-        rows = self._owner_selector().rebalancing_moves(max_moves=EASE)
-        self.eased = now
-        self.shed = {minion_id: (node.registry.minions[minion_id].owner, new) for minion_id, new in rows}
+        moves = self._owner_selector().rebalancing_moves(max_moves=MOVES_PER_ROUND)
+        owners = {move.minion_id: self.node.registry.minions[move.minion_id].owner for move in moves}
+        self.rebalancing.plan(moves=moves, owners=owners, now=now)
+
+    # -- time
+
+    def _discount_pause(self) -> None:
+        """This primary serves.
 
-    def _resumed(self) -> None:
-        """This primary serves. Hearts that came while it did not, without a lease or contact, were not counted: that
-        time is no silence of the agents.
+        Heartbeats that came while it did not, without a lease or contact, were not counted: that time is no silence
+        of the agents.
         """
-        paused = self.node.now - self.served
-        self.served = self.node.now
-        if paused > PAUSE_S:
-            self.last = {node_id: min(at + paused, self.node.now) for node_id, at in self.last.items()}
+        paused_s = self.node.now - self._served_at
+        self._served_at = self.node.now
+        if paused_s > SERVICE_PAUSE_S:
+            self.last_heartbeat = {
+                node_id: min(at + paused_s, self.node.now) for node_id, at in self.last_heartbeat.items()
+            }
 
     def tick(self) -> None:
-        """Look for agents whose word has run out; one batch of each kind of work."""
-        self._resumed()
-        node = self.node
-        if self.asks and node.now - self.admitted >= ADMIT_S:
-            self._admit()
-        for node_id in sorted(node.registry.ownership.minions_by_node):
-            if self.dead(node_id=node_id) and self._move(owner=node_id):
+        """Do what is due, one batch of each kind of work; called while this node serves group 0."""
+        self._discount_pause()
+        if self.owner_requests and self._is_window_over():
+            self._assign_new()
+        for node_id in sorted(self.node.registry.ownership.minions_by_node):
+            if self.has_expired(node_id=node_id) and self._reassign_from(owner=node_id):
                 break
-        if self.stale:
-            self._renew(node_id=next(iter(self.stale)))
-        self._ease()
-        for node_id in list(node.registry.members):
-            if node_id != node.node_id and node.now - self.last.get(node_id, node.now) > DROP_S:
-                node.commit_registry(event=CoreMemberRemoved(node_id=node_id), publish=True)
-                node.note(event="core-dropped", node_id=node_id)
+        if self.outdated_fences:
+            self._renew_fences(node_id=next(iter(self.outdated_fences)))
+        self._rebalance()
+        self._remove_silent_members()
--- a/yarrowloom/node/core.py
+++ b/yarrowloom/node/core.py
@@ -22,17 +22,16 @@
 from ..transport.effects import Reply, SendMessage
 from ..transport.envelope import Kind, dump
 from ..transport.http_server import Request
-from .controller import LEASE_S
+from .call_messages import GroupCall, GroupReply
+from .controller import AGENT_LEASE_S
 from .core_environment import CoreEnvironment
 from .edge_relays import EdgeRelays
-from .group_calls import NOT_PRIMARY, REFUSALS, InHand
 from .http_routes import dispatch
 from .input_scheduler import Input, InputClass
 from .messages import ClusterUpdate, Heartbeat, HeartbeatAck
 
 NODE_RECORDS = frozenset({"id", "none"})  # the kinds of records that are of no group
 STALL_S = 0.3  # between two pulses: the process stood still
-OVERLOADED = {"error": "too busy to take it in time"}
 
 
 class CoreNode(CoreEnvironment):
@@ -60,7 +59,6 @@
             rand=rand,
             defaults=defaults,
         )
-        self.hand = InHand()
         self.relays = EdgeRelays()
         self._effect_handlers: dict[type[Effect], Callable[[Any], None]] = {
             NoEffect: lambda _effect: None,
@@ -124,8 +122,8 @@
         self.reply(node_id=effect.node_id, request_id=effect.request_id, status=effect.status, document=effect.document)
 
     def _owned(self, minion_ids: list[str]) -> None:
-        if self.chief is not None:
-            self.chief.owned(minion_ids=minion_ids)
+        if self.controller is not None:
+            self.controller.on_assigned(minion_ids=minion_ids)
 
     def _own_heartbeat_ack(self, ack: HeartbeatAck) -> None:
         self._apply_heartbeat_ack(node_id=self.node_id, ack=ack)
@@ -142,7 +140,7 @@
 
     def http(self, *, call: Any, req: Request) -> None:
         """A call of a minion or the operator."""
-        dispatch(node=self, call=call, req=req)
+        dispatch(node=self, call=call, request=req)
         self._flush()
 
     def done(self, *, effects: list[AnyEffect]) -> None:
@@ -181,62 +179,15 @@
             self.schedulers[m["g"]].on_message(node_id=m["u"], kind=Kind.CAPACITY_REPORT, body=m)
 
     def _on_call(self, *, node_id: str, m: Any) -> None:
-        group_id, request_id, op, b = m["g"], m["rid"], m["op"], m["b"]
-        refusal = self.hand.refusal(node_id=node_id, request_id=request_id)
-        if refusal is not None:
-            super().reply(node_id=node_id, request_id=request_id, status=refusal.status, document=refusal.document)
-            return
-        if not self.hand.take(node_id=node_id, request_id=request_id, group_id=group_id, now=self.now):
-            return
-        if (
-            group_id < 0 and m["to"] != self.node_id
-        ):  # for the agent of a node that is no more; groups know who serves them
-            self.reply(node_id=node_id, request_id=request_id, status=503, document={})
-        elif group_id < 0:
-            self.heartbeat_routing.serve(node_id=node_id, request_id=request_id, operation=op, body=b)
-        elif not self.replicas[group_id].is_serving():
-            self.reply(
-                node_id=node_id,
-                request_id=request_id,
-                status=NOT_PRIMARY,
-                document=self.epochs.rows(),
-            )
-        elif group_id == 0:
-            self.registry_calls.serve(node_id=node_id, request_id=request_id, operation=op, body=b)
-        else:
-            self.schedulers[group_id].call(node_id=node_id, request_id=request_id, operation=op, arguments=b)
+        self.call_server.on_call(node_id=node_id, call=decode(m, into=GroupCall))
+
+    def on_call_expired(self, *, node_id: str, m: Any) -> None:
+        """A call about jobs waited here until its caller is about to give up.
 
-    def too_late(self, *, node_id: str, m: dict[str, Any]) -> None:
-        """A call about jobs waited until its caller is about to give up: it is not taken and never will be, unless a
-        copy of it was, whose answer may have got lost. Told so, the caller may try again; told nothing, it could not
-        know.
+        Raises:
+            MalformedRecordError: The body is not one of a call.
         """
-        request_id = m["rid"]
-        if self.hand.holds(node_id=node_id, request_id=request_id):
-            return
-        if m["op"] == "put" and m["b"]["id"] in self.jobs[m["g"]].jobs:
-            self._on_call(node_id=node_id, m=m)
-            return
-        self.hand.refuse(node_id=node_id, request_id=request_id, status=503, document=OVERLOADED, now=self.now)
-        super().reply(node_id=node_id, request_id=request_id, status=503, document=OVERLOADED)
-
-    def reply(self, *, node_id: str, request_id: int, status: int, document: Any) -> None:
-        """Answer a call of another node."""
-        group_id = self.hand.drop(node_id=node_id, request_id=request_id)
-        if group_id > 0 and status in REFUSALS:
-            self.hand.refuse(node_id=node_id, request_id=request_id, status=status, document=document, now=self.now)
-        super().reply(node_id=node_id, request_id=request_id, status=status, document=document)
-
-    def deposed(self, *, group_id: int) -> None:
-        """Calls in hand are not answered here any more: their callers look for the next primary at once."""
-        super().deposed(group_id=group_id)
-        for node_id, request_id in self.hand.leave(group_id=group_id):
-            self.reply(
-                node_id=node_id,
-                request_id=request_id,
-                status=NOT_PRIMARY,
-                document=self.epochs.rows(),
-            )
+        self.call_server.on_call_expired(node_id=node_id, call=decode(m, into=GroupCall))
 
     def _jobs(self, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
         if kind in AGENT_MESSAGES:
@@ -251,8 +202,8 @@
         if heartbeat.kind == "edge":
             relays = self.relays.for_edge(node_id=heartbeat.node_id, now=self.now, alive_edges=self._alive_edges)
             ack = msgspec.structs.replace(ack, relays=relays or UNSET)
-        if self.chief is not None and self.replicas[0].is_serving():
-            ack = self._with_controller_part(ack=ack, own=self.chief.on_heartbeat(heartbeat=heartbeat))
+        if self.controller is not None and self.replicas[0].is_serving():
+            ack = self._with_controller_part(ack=ack, own=self.controller.on_heartbeat(heartbeat=heartbeat))
             if ack.owned or ack.disowned:
                 self.replicas[0].barrier(then=SendMessage(node_id=heartbeat.node_id, message=ack))
                 return
@@ -310,13 +261,13 @@
             self.controller_echo = (epoch, ack.controller_time)
         version = -1 if ack.registry_version is UNSET else ack.registry_version
         if ack.grants_lease and version <= self.roster.registry.version:
-            self.agent_lease_expires = max(self.agent_lease_expires, sent_at + LEASE_S)
+            self.agent_lease_expires = max(self.agent_lease_expires, sent_at + AGENT_LEASE_S)
 
     def _on_cluster_update(self, *, node_id: str, m: Any) -> None:
         self.apply_update(update=decode(m, into=ClusterUpdate))
 
     def _on_reply(self, *, node_id: str, m: Any) -> None:
-        self.calls.reply(node_id=node_id, m=m)
+        self.calls.on_reply(node_id=node_id, reply=decode(m, into=GroupReply))
 
     def _on_replication(self, *, node_id: str, m: Any, kind: Kind) -> None:
         self.replicas[m["g"]].on(node_id=node_id, kind=kind, body=m)
@@ -328,7 +279,7 @@
 
     def gap_agent(self, *, node_id: str) -> None:
         """Perhaps what a scheduler wanted of the agent, or answers."""
-        self.calls.lost(node_id=node_id)
+        self.calls.on_frames_lost(node_id=node_id)
         self.on_urgent_gap(node_id=node_id)
         self.agent.on_lost_messages(node_id=node_id)
 
@@ -370,14 +321,14 @@
         self.prove_own()
         self.heartbeats.send_due()
         sent_heartbeats = self.heartbeats.last_sent == self.now
-        if self.chief is not None and self.replicas[0].is_serving():
+        if self.controller is not None and self.replicas[0].is_serving():
             if sent_heartbeats:
                 self._acknowledge_own_agent()
-            self.chief.tick()
+            self.controller.tick()
         if self.heartbeats.last_sent == self.now:
             self.owned_minions_wanted = False
         self.calls.tick()
-        self.hand.sweep(now=self.now)
+        self.call_server.sweep()
         for replica in self.replicas.values():
             replica.tick()
         self._flush()
@@ -387,16 +338,16 @@
         for replica in self.replicas.values():
             replica.process_resumed()
         last_seen = [self.roster.last_heartbeat, self.membership.last_listed_alive]
-        if self.chief is not None:
-            last_seen += [self.chief.last, self.chief.echoed]
+        if self.controller is not None:
+            last_seen += [self.controller.last_heartbeat, self.controller.last_echo]
         for times in last_seen:
             for node_id, at in times.items():
                 times[node_id] = min(at + stalled_s, self.now)
 
     def _acknowledge_own_agent(self) -> None:
         """The controller's part of an acknowledgement, to the agent of its own node."""
-        assert self.chief is not None
-        ack = self.chief.on_heartbeat(heartbeat=self.heartbeat())
+        assert self.controller is not None
+        ack = self.controller.on_heartbeat(heartbeat=self.heartbeat())
         if ack.owned is UNSET:
             self._apply_heartbeat_ack(node_id=self.node_id, ack=ack)
         elif ack.owned or ack.disowned:
--- a/yarrowloom/node/core_environment.py
+++ b/yarrowloom/node/core_environment.py
@@ -18,10 +18,11 @@
 from ..prediction import History
 from ..replication import Epoch, Replica
 from ..scheduling import Scheduler
-from ..transport.envelope import Kind
 from ..transport.http_server import Response
-from .controller import Chief
-from .group_calls import first_number
+from .call_messages import CallOperation, GroupReply
+from .call_server import CallServer
+from .controller import Controller
+from .group_calls import first_number, ignore_result
 from .heartbeat_routing import ForwardedCall, HeartbeatRouting
 from .membership import Membership
 from .messages import ClusterUpdate, ContactProof, RegistryUpdate
@@ -46,10 +47,11 @@
         jobs: The states of the job groups, by group id.
         replicas: This node's replicas of all groups, by group id.
         schedulers: The schedulers of the job groups that are served here, by group id.
-        chief: The controller; None: group 0 is not served here.
+        controller: The controller; None: group 0 is not served here.
         agent: The agent of the minions that are owned here.
         membership: The core members as this node knows them.
         registry_calls: Answers calls of group 0.
+        call_server: Takes the calls of other nodes.
         heartbeat_routing: Finds the agents of minions.
         agent_lease_expires: Until when the agent may act, by the monotonic clock in seconds.
         controller_echo: Epoch and time of the controller's last acknowledgement; empty: there was none.
@@ -75,6 +77,7 @@
         self._jitter = rand
         self.membership = Membership(environment=self)
         self.registry_calls = RegistryCalls(environment=self)
+        self.call_server = CallServer(environment=self)
         self.heartbeat_routing = HeartbeatRouting(environment=self)
         self.registry = Registry()
         self.defaults = defaults or SHIPPED
@@ -92,7 +95,7 @@
                 self.epochs.by_group[group_id] = epoch
             self.replicas[group_id] = Replica(group_id=group_id, environment=self, state=state, epoch=epoch)
         self.schedulers: dict[int, Scheduler] = {}
-        self.chief: Chief | None = None
+        self.controller: Controller | None = None
         self.agent = self._make_agent()
         self.agent_lease_expires = -math.inf
         self.controller_echo: tuple[int | float | None, ...] = ()
@@ -148,7 +151,7 @@
         self.note(event="primary-started", group=group_id, epoch=epoch.number, backups=",".join(epoch.backups))
         self._announce(group_id=group_id, epoch=epoch)
         if group_id == 0:
-            self.chief = Chief(node=self, late=previous if previous != self.node_id else "")
+            self.controller = Controller(node=self, former_primary=previous if previous != self.node_id else "")
             self._publish_registry()
         else:
             self.schedulers[group_id] = Scheduler(
@@ -166,7 +169,8 @@
         """It no longer does."""
         self.schedulers.pop(group_id, None)
         if group_id == 0:
-            self.chief = None
+            self.controller = None
+        self.call_server.abandon_group(group_id=group_id)
 
     def _announce(self, *, group_id: int, epoch: Epoch) -> None:
         """Tell all core nodes of an epoch that begins."""
@@ -224,12 +228,12 @@
         """Whether the agent may act: its lease from the controller is valid, or the controller is here."""
         if self.now < self.agent_lease_expires:
             return True
-        return self.chief is not None and self.replicas[0].is_serving()
+        return self.controller is not None and self.replicas[0].is_serving()
 
     def prove_own(self) -> None:
         """While this node serves group 0, it is itself the proof."""
         epoch = self.replicas[0].epoch
-        if self.chief is not None and epoch is not None and self.replicas[0].is_serving():
+        if self.controller is not None and epoch is not None and self.replicas[0].is_serving():
             self.freshness.prove(at=self.now, epoch=epoch.number)
 
     def proof(self) -> ContactProof:
@@ -270,7 +274,13 @@
         """A minion is lost: the agent disowns it and group 0 is told."""
         self.agent.remove_minion(minion_id=minion_id)
         removal = MinionRemoval(minion_id=minion_id, fence=fence)
-        self.calls.start(group_id=0, op="gone", b=removal.document(), done=("none",), ttl=MINION_LOST_TTL_S)
+        self.calls.start(
+            group_id=0,
+            operation=CallOperation.REMOVE_MINION,
+            body=removal,
+            on_end=ignore_result,
+            ttl_s=MINION_LOST_TTL_S,
+        )
 
     def configured(self) -> None:
         """A newer configuration is in force here."""
@@ -310,11 +320,23 @@
 
     # -- calls
 
-    def reply(self, *, node_id: str, request_id: int, status: int, document: Any) -> None:
-        """Answer a call of another node."""
+    def reply(self, *, node_id: str, request_id: int, status: int, document: object) -> None:
+        """Respond to a call of another node."""
+        self.call_server.reply(node_id=node_id, request_id=request_id, status=status, document=document)
+
+    def send_reply(self, *, node_id: str, request_id: int, status: int, document: object) -> None:
+        """Send a reply to a node's call, now and then with a proof of how new the configuration here is."""
         proof = self.proof_for_call(node_id=node_id)
-        body = {"rid": request_id, "to": node_id, "s": status, "d": document, **proof.document()}
-        self.send(node_id=node_id, kind=Kind.REPLY, body=body)
+        message = GroupReply(
+            request_id=request_id,
+            to=node_id,
+            status=status,
+            document=document,
+            proof_age_s=proof.age_s,
+            proof_epoch=proof.epoch,
+            config_version=proof.config_version,
+        )
+        self.send_message(node_id=node_id, message=message)
 
     def respond(self, *, call: Any, response: Response) -> None:
         """Answer a call: over HTTP, or to the node that forwarded it."""
@@ -324,26 +346,6 @@
         document = self.load(body=response.body) if response.body else {}
         self.reply(node_id=call.node_id, request_id=call.request_id, status=response.status, document=document)
 
-    def called(self, *, done: tuple[Any, ...], status: int, document: Any, sent: bool) -> None:
-        """A call of this node has ended."""
-        routing = self.heartbeat_routing
-        match done:
-            case ("http", call):
-                given_up = Response.of(503, {"error": "no primary in reach"})
-                self.respond(call=call, response=Response.of(status, document) if status else given_up)
-            case ("who", call, minion_id, heartbeat):
-                routing.on_owner_found(
-                    call=call, minion_id=minion_id, heartbeat=heartbeat, status=status, document=document
-                )
-            case ("beat", call, minion_id, owner):
-                routing.on_forwarded_answer(
-                    call=call, minion_id=minion_id, owner=owner, status=status, document=document
-                )
-            case ("leave", call, minion_id, deadline):
-                routing.on_departing_owner_found(
-                    call=call, minion_id=minion_id, deadline=deadline, status=status, document=document
-                )
-
     def effect(self, *, effect: AnyEffect) -> None:
         """Carry out an effect that is now durable."""
         raise NotImplementedError
--- a/yarrowloom/node/draining.py
+++ b/yarrowloom/node/draining.py
@@ -21,7 +21,7 @@
 
 async def drain_edge(*, node: EdgeNode, servers: list[Server]) -> None:
     """Finish the calls in progress; report not ready meanwhile, and close each connection after its response."""
-    node.closing = True
+    node.is_draining = True
     for server in servers:
         server.closing = True
     grace_s = node.settings.grace_s
--- a/yarrowloom/node/edge.py
+++ b/yarrowloom/node/edge.py
@@ -1,74 +1,102 @@
-"""The edge node: callers' requests pass a chain of filters, each of which may answer."""
+"""The edge node: forwards clients' requests to the primaries of the job groups."""
 
-import math
-from collections.abc import Callable
 from dataclasses import dataclass
+from functools import partial
 from typing import Any
-from urllib.parse import urlsplit
 
 from msgspec import UNSET
 
-from ..cluster_state.routing_table import Route
-from ..common.errors import InvalidInputError
 from ..common.log import Log
-from ..common.records import decode
+from ..common.records import Record, decode
 from ..common.settings import NodeSettings
-from ..jobs.submission import Submission, group_of, is_job_id, parse_submission
-from ..transport.envelope import Kind
+from ..jobs.submission import group_of
+from ..scheduling.calls import JobCall
 from ..transport.http_server import Limits, Request, Response
+from ..transport.message_kinds import Kind
+from .assigned_relays import AssignedRelays
+from .call_messages import REFUSALS, CallOperation, GroupReply
+from .edge_filters import RETRY_AFTER, RequestContext, first_response
 from .edge_relays import FANOUT
+from .group_calls import GIVEN_UP, CallResult
 from .messages import ClusterUpdate, ContactProof, Heartbeat, HeartbeatAck
 from .node_base import JOB_GROUPS, NodeBase
 
-MARGIN_S = 0.2  # an answer leaves this long before its caller's deadline, or a third of what is left before
-HAND_MIN, HAND_MAX = 64, 1024
-VIA_S = 1.0  # relays that have been silent, or alone out of touch, this long are left for the cores
-FULL_S = 10.0  # a relay that had no room is not asked again this long
-RETRY = (("retry-after", "1"),)
+CALLS_AT_LEAST, CALLS_AT_MOST = 64, 1024  # bounds of the calls in progress, whatever the memory
+CALLS_PER_MB = 2  # of memory
+BODY_SHIFT = 16  # a sixteenth of the memory, in bytes by MB, may be held by the bodies of calls in progress
+RELAYED_EDGES_PER_MBPS = 2
+_OPERATIONS = {
+    "POST": CallOperation.SUBMIT_JOB,
+    "GET": CallOperation.READ_JOB,
+    "DELETE": CallOperation.CANCEL_JOB,
+}
 
 
-@dataclass(kw_only=True)
-class Way:
-    """A request on its way through the filters."""
+class PendingJobs(Record, frozen=True, kw_only=True):
+    """A job group's response to `COUNT_PENDING`: how many jobs of the queue wait there."""
 
-    call: Any
-    req: Request
-    path: str = ""
-    route: Route | None = None
-    rest: str = ""
-    job: Submission | None = None
-    ttl: float = 0.0  # seconds until it must be answered
+    pending: int
 
 
-Filter = Callable[[Way], Response | None]
+@dataclass(slots=True, kw_only=True)
+class PendingCount:
+    """A client's question how many jobs of a queue wait, while the job groups are asked.
+
+    Attributes:
+        context: The request.
+        groups_left: Job groups that have not answered.
+        total: The sum of the answers.
+        has_responded: Whether the client has its response; later answers count for nothing.
+    """
+
+    context: RequestContext
+    groups_left: int
+    total: int = 0
+    has_responded: bool = False
+
+
+def job_response(*, result: CallResult) -> Response:
+    """The response to a client's request about one job.
+
+    >>> [job_response(result=CallResult(status=0, document=None, was_sent=sent)).status for sent in (True, False)]
+    [504, 503]
+    """
+    if result.status == GIVEN_UP:
+        # 503 promises that nothing was done, so it is for calls that never left this node.
+        if result.was_sent:
+            return Response.of(504, {"error": "no answer in time"})
+        return Response.of(503, {"error": "no answer in time"}, headers=RETRY_AFTER)
+    headers = RETRY_AFTER if result.status in REFUSALS else ()
+    return Response.of(result.status, result.document, headers=headers)
 
 
 class EdgeNode(NodeBase):
-    """Invariants: a request is answered 503 or 429 only if nothing of it was sent on; `hand` counts the bytes of the
-    bodies of the calls in hand, which are at most `hand_most` calls and about a sixteenth of the memory.
+    """Takes clients' requests, and feeds cluster updates to other edges.
+
+    Invariants: a request is responded to with 503 or 429 only if no node may have taken it; at most `calls_most`
+    calls are in progress, whose bodies hold about a sixteenth of the memory.
+
+    Attributes:
+        limits: The operator's limits on requests; the server holds the same object.
+        is_draining: Whether the process is about to end: it isn't ready any more.
+        relays: The edges that feed this one.
+        body_bytes: Size of the bodies of the calls in progress.
+        calls_most: Bound of the calls in progress.
     """
 
     def __init__(self, *, settings: NodeSettings, node_id: str, incarnation: int, log: Log) -> None:
         super().__init__(settings=settings, node_id=node_id, incarnation=incarnation, kind="edge", log=log)
         self.limits = Limits()
-        self.closing = False
-        self.via: list[str] = []
-        self.via_at = -9.0
-        self.in_touch = False  # as last logged
-        self.shun: dict[str, float] = {}  # relays that have no room, and until when
-        self.hand = 0
-        self.hand_most = min(max(2 * settings.memory_mb, HAND_MIN), HAND_MAX)
-        self.filters: tuple[Filter, ...] = (
-            self._configured,
-            self._routed,
-            self._named,
-            self._timely,
-            self._roomy,
-            self._parsed,
-        )
+        self.is_draining = False
+        self.relays = AssignedRelays()
+        self.body_bytes = 0
+        self.calls_most = min(max(CALLS_PER_MB * settings.memory_mb, CALLS_AT_LEAST), CALLS_AT_MOST)
+        self._logged_contact = False
+
+    # -- configuration
 
     def configured(self) -> None:
-        """The operator's limits hold for callers from now on."""
+        """The operator's limits hold for clients from now on."""
         assert self.table is not None
         configured = self.table.limits  # each is at least 1 where it is set
         self.limits.header_bytes = configured.max_header_bytes or self.limits.header_bytes
@@ -77,147 +105,111 @@
         self.limits.idle_ms = configured.idle_timeout_ms or self.limits.idle_ms
 
     def ready(self) -> bool:
-        """Can serve: configured, with a proof of contact with a primary that is young enough, and knows who keeps the
-        records.
+        """Whether it can serve.
+
+        It must be configured, have a recent proof of contact with group 0's primary, and know the epochs of all
+        groups.
         """
-        near = self.freshness.age(now=self.now) < self.freshness.ready_s
         return (
-            near
+            self.freshness.age(now=self.now) < self.freshness.ready_s
             and self.table is not None
-            and not self.closing
+            and not self.is_draining
             and all(group_id in self.epochs.by_group for group_id in range(JOB_GROUPS + 1))
         )
 
-    def sure(self) -> bool:
-        """May answer on the strength of its configuration alone."""
+    def has_fresh_config(self) -> bool:
+        """Whether it may respond on the strength of its configuration alone."""
         return self.freshness.age(now=self.now) < self.freshness.answer_s
 
-    def _by_table(self, *, response: Response) -> Response:
-        """An answer that rests on the configuration alone; 503 while that may be out of date."""
-        return response if self.sure() else Response.of(503, {"error": "out of touch"}, headers=RETRY)
+    # -- clients' requests
 
-    def http(self, *, call: Any, req: Request) -> None:
-        """A caller's request."""
-        way = Way(call=call, req=req)
-        for flt in self.filters:
-            response = flt(way)
-            if response is not None:
-                self.respond(call=call, response=response)
-                return
-        self._forward(way)
-
-    # -- filters
+    def http(self, *, call: int, req: Request) -> None:
+        """A client's request."""
+        context = RequestContext(call=call, request=req)
+        response = first_response(self, context)
+        if response is not None:
+            self.respond(call=call, response=response)
+        elif context.job_id:
+            self._forward(context)
+        else:
+            self._count_pending(context)
+
+    def has_capacity(self, *, body_bytes: int) -> bool:
+        """Whether it may take one more call with a body of that size."""
+        if len(self.calls.pending) >= self.calls_most:
+            return False
+        return self.body_bytes + body_bytes <= self.settings.memory_mb << BODY_SHIFT
+
+    def _forward(self, context: RequestContext) -> None:
+        """Ask the job's group."""
+        assert context.route is not None
+        submission: dict[str, Any] | None = None
+        if context.submission is not None:
+            added = {"svc": context.route.backend, "mt": context.route.max_attempts}
+            submission = {**context.submission.document(), **added}
+        self.body_bytes += len(context.request.body)
+        self.calls.start(
+            group_id=group_of(job_id=context.job_id, groups=JOB_GROUPS),
+            operation=_OPERATIONS[context.request.method],
+            body=self._job_call(context, submission=submission),
+            on_end=partial(self._on_job_result, context),
+            ttl_s=context.ttl_s,
+        )
 
-    def _configured(self, way: Way) -> Response | None:
-        if self.table is None:
-            return Response.of(503, {"error": "no configuration yet"}, headers=RETRY)
-        return None
+    def _on_job_result(self, context: RequestContext, result: CallResult) -> None:
+        self.body_bytes -= len(context.request.body)
+        self.respond(call=context.call, response=job_response(result=result))
+
+    def _count_pending(self, context: RequestContext) -> None:
+        """Ask all job groups how many jobs of the queue wait."""
+        self.body_bytes += len(context.request.body)
+        count = PendingCount(context=context, groups_left=JOB_GROUPS)
+        for group_id in range(1, JOB_GROUPS + 1):
+            self.calls.start(
+                group_id=group_id,
+                operation=CallOperation.COUNT_PENDING,
+                body=self._job_call(context),
+                on_end=partial(self._on_count_result, count),
+                ttl_s=context.ttl_s,
+            )
 
-    def _routed(self, way: Way) -> Response | None:
-        assert self.table is not None
-        way.path = urlsplit(way.req.path).path
-        way.route = self.table.select(host=way.req.headers.get("host", ""), path=way.path)
-        if way.route is None:
-            return self._by_table(response=Response.of(404, {"error": "no such queue"}))
-        way.rest = way.path[len(way.route.path_prefix) :].strip("/")
-        return None
-
-    def _named(self, way: Way) -> Response | None:
-        method = way.req.method
-        if method not in ("POST", "GET", "DELETE"):
-            response = Response.of(405, {"error": "method"}, headers=(("allow", "POST, GET, DELETE"),))
-            return self._by_table(response=response)
-        if method == "GET" and not way.rest:
-            return None
-        if not is_job_id(text=way.rest):
-            return self._by_table(response=Response.of(400 if method == "POST" else 410, {"error": "not a job id"}))
-        return None
-
-    def _timely(self, way: Way) -> Response | None:
-        """How long the caller waits: by the route, or less by its own word."""
-        assert way.route is not None
-        left = way.route.deadline_ms
-        try:
-            said = float(way.req.headers.get("x-deadline-ms", left))
-        except ValueError:
-            said = left
-        left = min(left, said if math.isfinite(said) else left) / 1000
-        way.ttl = left - min(MARGIN_S, left / 3)
-        return Response.of(503, {"error": "no time left"}, headers=RETRY) if left <= 0 else None
-
-    def _roomy(self, way: Way) -> Response | None:
-        """A bounded number of calls is in hand; more are turned away before anything is done for them."""
-        size = len(way.req.body)
-        if len(self.calls.open) < self.hand_most and self.hand + size <= self.settings.memory_mb << 16:
-            return None
-        return Response.of(503, {"error": "too many calls in hand"}, headers=RETRY)
-
-    def _parsed(self, way: Way) -> Response | None:
-        if way.req.method != "POST":
-            return None
-        try:
-            way.job = parse_submission(body=way.req.body)
-        except InvalidInputError as err:
-            return Response.of(400, {"error": err.text, "findings": [str(f) for f in err.findings]})
-        return None
-
-    def _forward(self, way: Way) -> None:
-        assert way.route is not None
-        name, method = way.route.name, way.req.method
-        ttl, size = way.ttl, len(way.req.body)
-        self.hand += size
-        seen = self._seen(way)
-        if method == "GET" and not way.rest:
-            count: dict[str, Any] = {"left": JOB_GROUPS, "sum": 0}
-            for group_id in range(1, JOB_GROUPS + 1):
-                done = ("count", way.call, size if group_id == 1 else 0, count)
-                self.calls.start(group_id=group_id, op="count", b={"q": name, **seen}, done=done, ttl=ttl)
+    def _on_count_result(self, count: PendingCount, result: CallResult) -> None:
+        context = count.context
+        count.groups_left -= 1
+        if count.groups_left == 0:
+            self.body_bytes -= len(context.request.body)
+        if count.has_responded:
             return
-        group_id = group_of(job_id=way.rest, groups=JOB_GROUPS)
-        b: dict[str, Any] = {"id": way.rest, "q": name, **seen}
-        if method == "POST":
-            assert way.job is not None
-            b["j"] = {**way.job.document(), "svc": way.route.backend, "mt": way.route.max_attempts}
-        op = {"POST": "put", "GET": "get", "DELETE": "del"}[method]
-        self.calls.start(group_id=group_id, op=op, b=b, done=(op, way.call, size), ttl=ttl)
-
-    def _seen(self, way: Way) -> dict[str, Any]:
-        """By which configuration a call was routed; and while that may be out of date, whither the caller wrote, so
-        that the placing node can look in its own.
+        if result.status != 200:
+            count.has_responded = True
+            is_refused = result.status in (404, 503)
+            no_answer = Response.of(504, {"error": "no answer"})
+            response = Response.of(result.status, result.document) if is_refused else no_answer
+            self.respond(call=context.call, response=response)
+            return
+        count.total += decode(result.document, into=PendingJobs).pending
+        if count.groups_left == 0:
+            self.respond(call=context.call, response=Response.of(200, {"pending": count.total}))
+
+    def _job_call(self, context: RequestContext, *, submission: dict[str, Any] | None = None) -> JobCall:
+        """The body of a call about a job or a queue.
+
+        It names the configuration that the request was routed by; while that may be out of date, also what the client
+        named, so that the scheduler can look that up in its own.
         """
         assert self.table is not None
-        at = {} if self.sure() else {"at": [way.req.headers.get("host", ""), way.path]}
-        return {"cv": self.table.config_version, **at}
-
-    def called(self, *, done: tuple[Any, ...], status: int, document: Any, sent: bool) -> None:
-        """An answer of the records, or none in time."""
-        self.hand -= done[2]
-        if done[0] == "count":
-            box = done[3]
-            if box["left"] <= 0:
-                return
-            box["left"] -= 1
-            if status != 200:
-                box["left"] = 0
-                refused = status in (404, 503)
-                response = Response.of(status, document) if refused else Response.of(504, {"error": "no answer"})
-                self.respond(call=done[1], response=response)
-                return
-            box["sum"] += document["pending"]
-            if box["left"] == 0:
-                self.respond(call=done[1], response=Response.of(200, {"pending": box["sum"]}))
-            return
-        if status == 0:
-            response = Response.of(504 if sent else 503, {"error": "no answer in time"}, headers=() if sent else RETRY)
-        elif status in (429, 503):
-            response = Response.of(status, document, headers=RETRY)
-        else:
-            response = Response.of(status, document)
-        self.respond(call=done[1], response=response)
+        assert context.route is not None
+        return JobCall(
+            job_id=context.job_id,
+            queue=context.route.name,
+            config_version=self.table.config_version,
+            caller_route=UNSET if self.has_fresh_config() else (context.host, context.path),
+            submission=UNSET if submission is None else submission,
+        )
 
-    # -- frames and time
+    # -- messages of other nodes
 
-    def on(self, *, node_id: str, kind: Kind, m: Any) -> None:
+    def on(self, *, node_id: str, kind: Kind, m: object) -> None:
         """Take one message of a node; `m` is its parsed body.
 
         Raises:
@@ -230,71 +222,78 @@
         elif kind is Kind.CLUSTER_UPDATE:
             self.apply_update(update=decode(m, into=ClusterUpdate))
         elif kind is Kind.REPLY:
-            pend = self.calls.open.get(m["rid"])
-            if pend is not None and node_id in pend.nodes and "age" in m:
-                self.confirm(sent_at=pend.began, proof=decode(m, into=ContactProof))
-            self.calls.reply(node_id=node_id, m=m)
+            self._on_reply(node_id=node_id, reply=decode(m, into=GroupReply))
+
+    def _on_reply(self, *, node_id: str, reply: GroupReply) -> None:
+        """A reply to a call; it may also prove how new the configuration here is."""
+        call = self.calls.pending.get(reply.request_id)
+        if call is not None and node_id in call.open_copies and reply.proof_age_s is not UNSET:
+            proof = ContactProof(age_s=reply.proof_age_s, epoch=reply.proof_epoch, config_version=reply.config_version)
+            self.confirm(sent_at=call.started_at, proof=proof)
+        self.calls.on_reply(node_id=node_id, reply=reply)
 
     def _on_heartbeat_ack(self, *, node_id: str, ack: HeartbeatAck) -> None:
         """A core or a relay acknowledged a heartbeat.
 
-        A relay that is not in touch is left as soon as another node is.
+        A relay that has no contact with the primary is left as soon as another node has.
         """
         self.heartbeats.last_ack = self.now
         if ack.update is not UNSET:
             self.apply_update(update=ack.update)
-        in_touch = self.heartbeats.on_ack(node_id=node_id, ack=ack)
+        is_in_contact = self.heartbeats.on_ack(node_id=node_id, ack=ack)
         if ack.is_full:
-            self.shun[node_id] = self.now + FULL_S
-            self.via = [relay for relay in self.via if relay != node_id]
-        elif ack.relays and in_touch:
-            relays = [relay for relay in ack.relays if self.shun.get(relay, -math.inf) < self.now]
-            if relays:
-                self.via, self.via_at = relays, self.now
-        elif node_id in self.via and (in_touch or not self.sure()):
-            self.via_at = self.now
-
-    def children(self) -> int:
-        """How many edges this one may feed: at 2 Mbit/s four, whose hearts and changes take a tenth of the link."""
-        return max(1, min(FANOUT, int(2 * self.settings.link_mbps)))
+            self.relays.on_full(node_id=node_id, now=self.now)
+        elif ack.relays and is_in_contact:
+            self.relays.on_assigned(node_ids=ack.relays, now=self.now)
+        else:
+            is_useful = is_in_contact or not self.has_fresh_config()
+            self.relays.on_ack(node_id=node_id, is_useful=is_useful, now=self.now)
+
+    def children_most(self) -> int:
+        """How many edges this one may feed: at 2 Mbit/s four, whose heartbeats and updates take a tenth of the link."""
+        return max(1, min(FANOUT, int(RELAYED_EDGES_PER_MBPS * self.settings.link_mbps)))
 
     def _feed(self, *, heartbeat: Heartbeat) -> None:
-        """Feed cluster updates to another edge; or turn it away."""
+        """Feed cluster updates to another edge, or tell it that there is no capacity for it."""
         node_id = heartbeat.node_id
-        fed = sum(child != node_id for child in self.roster.alive_senders(now=self.now))
-        if fed >= self.children():
-            proof = self.proof()
-            full = HeartbeatAck(
-                sent_at=heartbeat.sent_at,
-                proof_age_s=proof.age_s,
-                proof_epoch=proof.epoch,
-                config_version=proof.config_version,
-                is_full=True,
-            )
-            self.send_message(node_id=node_id, message=full)
+        children = sum(child != node_id for child in self.roster.alive_senders(now=self.now))
+        if children < self.children_most():
+            self.on_heartbeat(heartbeat=heartbeat)
+            self.send_message(node_id=node_id, message=self.heartbeat_ack(heartbeat=heartbeat))
             return
-        self.on_heartbeat(heartbeat=heartbeat)
-        self.send_message(node_id=node_id, message=self.heartbeat_ack(heartbeat=heartbeat))
+        proof = self.proof()
+        full = HeartbeatAck(
+            sent_at=heartbeat.sent_at,
+            proof_age_s=proof.age_s,
+            proof_epoch=proof.epoch,
+            config_version=proof.config_version,
+            is_full=True,
+        )
+        self.send_message(node_id=node_id, message=full)
 
     def heartbeat_targets(self) -> list[str]:
-        """Relays named by a core that feeds enough edges, as long as they are in contact; else the ring. The whole
-        configuration comes from cores, whose links carry it.
+        """Who gets this node's heartbeats.
+
+        Relays that a core named, as long as they are in contact; else the nodes on the ring. The whole configuration
+        comes from cores, whose links carry it.
         """
         is_configured = self.table is not None and not self.dissemination.needs_full_config
-        if self.via and self.now - self.via_at < VIA_S and is_configured:
-            return self.via + self.heartbeats.probes(known=self.via)
+        if is_configured and self.relays.are_in_contact(now=self.now):
+            return self.relays.node_ids + self.heartbeats.probes(known=self.relays.node_ids)
         return self.heartbeats.targets()
 
     def gap(self, *, node_id: str) -> None:
-        """Frames were lost, perhaps answers: ask again at once; news at once if told."""
-        self.calls.lost(node_id=node_id)
+        """Frames of a node were lost, perhaps replies and updates: ask again at once."""
+        self.calls.on_frames_lost(node_id=node_id)
         self.on_urgent_gap(node_id=node_id)
 
+    # -- time
+
     def tick(self) -> None:
-        """Several times a second."""
+        """Do what is due; called several times a second."""
         self.heartbeats.send_due()
         self.calls.tick()
-        if self.in_touch is not self.sure():
-            self.in_touch = not self.in_touch
-            config_version = self.table.config_version if self.table is not None else 0
-            self.note(event="in-touch" if self.in_touch else "out-of-touch", config_version=config_version)
+        if self._logged_contact is not self.has_fresh_config():
+            self._logged_contact = not self._logged_contact
+            event = "contact-restored" if self._logged_contact else "contact-lost"
+            self.note(event=event, config_version=self.config_version())
--- a/yarrowloom/node/group_calls.py
+++ b/yarrowloom/node/group_calls.py
@@ -1,27 +1,48 @@
-"""Calls from one node to whoever serves a group: sent again until answered, given up at a horizon.
+"""Calls from this node to whoever serves a group: repeated until answered, given up at a deadline.
 
-What a call rests on may take longer than a repeat at its receiver, which therefore knows those it has in hand.
+What the response rests on may take longer than the time between repeats; so the receiver knows the calls that it has
+in progress (`in_progress_calls`).
 
-A call's identity is the caller's uid and a number that holds the caller's incarnation: no two calls of any lives share
-one. A CALL names the node it is meant for (`to`), as frames go to an address; its REPLY names the caller (`to`).
+A call's identity is the caller's node ID and a number that holds the caller's incarnation: no two calls of any lives
+share one.
 """
 
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from ..common.records import decode
+from ..common.records import Record, decode
 from ..replication.epoch import Epoch
-from ..transport.envelope import Kind
+from ..transport.message import Message
+from .call_messages import NOT_PRIMARY, REFUSALS, CallOperation, GroupCall, GroupReply
 
-RESEND_S = 0.4  # doubles with each repeat, up to
+RESEND_S = 0.4  # until the first repeat; doubles with each, up to
 RESEND_MOST_S = 1.6
-HAND_S = 35.0  # longer than any call lives
-RETRY_S = 0.12
-NOT_PRIMARY = 421
-REFUSALS = frozenset({429, 503})  # of a group's primary: the call was not taken and never will be
-REFUSED_S = 10.0  # a refused call is refused again this long: longer than its repeats are on their way
-CALLS_PER_LIFE = 1 << 32
+NO_PRIMARY_RETRY_S = 0.12  # until the next attempt where no primary is known
+CALLS_PER_INCARNATION = 1 << 32
+GIVEN_UP = 0  # in place of a status: no response came before the deadline, or no clear one
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class CallResult:
+    """How a call ended.
+
+    Attributes:
+        status: The response's, as an HTTP status, or `GIVEN_UP`.
+        document: The response; None if the call was given up.
+        was_sent: Whether some node may have taken the call.
+    """
+
+    status: int
+    document: Any
+    was_sent: bool
+
+
+Continuation = Callable[[CallResult], None]
+
+
+def ignore_result(_result: CallResult) -> None:
+    """The continuation of a call whose result changes nothing here."""
 
 
 class CallEnvironment(Protocol):
@@ -30,204 +51,193 @@
     now: float
     node_id: str
 
-    def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
-        """To another node."""
+    def send_message(self, *, node_id: str, message: Message) -> None:
+        """Send a message to another node, or to this one."""
 
     def primary(self, *, group_id: int) -> tuple[str, int] | None:
-        """Who serves a group."""
+        """Node ID of a group's primary and the number of its epoch; None: no epoch is known."""
 
     def learn(self, *, epochs: Sequence[tuple[int, Epoch]]) -> None:
-        """News of epochs."""
-
-    def called(self, *, done: tuple[Any, ...], status: int, document: Any, sent: bool) -> None:
-        """A call has ended; status 0: given up."""
-
-
-@dataclass(kw_only=True)
-class Pending:
-    """A call in flight. `to` fixes a node; otherwise the primary of `g` is asked."""
+        """Take note of epochs with their groups."""
+
+
+@dataclass(slots=True, kw_only=True)
+class PendingCall:
+    """A call that has not ended.
+
+    Attributes:
+        request_id: Its number.
+        group_id: The group that it is for.
+        fixed_node_id: The node that it is for; empty: whoever is the group's primary.
+        operation: What is asked for.
+        body: The operation's arguments.
+        on_end: Called once with the result.
+        deadline: Monotonic time at which it is given up.
+        started_at: Monotonic time at which it began.
+        resend_at: Monotonic time of the next repeat.
+        resend_after_s: The time between the next repeat and the one after it.
+        was_sent: Whether it was sent to any node.
+        asked_primary: The primary, with the number of its epoch, that was known when it was last sent.
+        open_copies: By node, the copies sent to it that it has not declined; only these nodes may answer.
+    """
 
     request_id: int
     group_id: int
-    to: str
-    op: str
-    b: dict[str, Any]
-    done: tuple[Any, ...]
-    horizon: float
-    began: float
-    again: float = 0.0
-    sent: bool = False
-    wait: float = RESEND_S
-    asked: tuple[str, int] | None = None  # the primary, with its epoch, that it was last sent to
-    nodes: dict[str, int] = field(default_factory=dict)  # copies sent and not declined, by node: only these answer
+    fixed_node_id: str
+    operation: CallOperation
+    body: Record
+    on_end: Continuation
+    deadline: float
+    started_at: float
+    resend_at: float = 0.0
+    resend_after_s: float = RESEND_S
+    was_sent: bool = False
+    asked_primary: tuple[str, int] | None = None
+    open_copies: dict[str, int] = field(default_factory=dict)
+
+    @property
+    def receiver(self) -> str:
+        """The node that it is for now; empty: none is known."""
+        if self.fixed_node_id:
+            return self.fixed_node_id
+        return self.asked_primary[0] if self.asked_primary is not None else ""
+
+    def may_be_elsewhere(self, *, than: str) -> bool:
+        """Whether a node other than the one named may have taken it."""
+        return any(copies for node_id, copies in self.open_copies.items() if node_id != than)
 
 
 def first_number(*, incarnation: int) -> int:
-    """What a life's calls are numbered from.
+    """The number below those of an incarnation's calls.
 
-    >>> first_number(incarnation=2) - first_number(incarnation=1) == CALLS_PER_LIFE
+    >>> first_number(incarnation=2) - first_number(incarnation=1) == CALLS_PER_INCARNATION
     True
     """
-    return incarnation * CALLS_PER_LIFE
+    return incarnation * CALLS_PER_INCARNATION
+
 
+class GroupCalls:
+    """The calls of a node that have not ended.
 
-class Calls:
-    """Invariants: each call ends exactly once, by its answer or at its horizon; an answer is taken only if it names
-    this caller and an open call of this life, and comes from a node that was asked.
+    Invariants: each call ends exactly once, by its response or at its deadline; a reply is taken only if it names
+    this caller and an open call of this incarnation, and comes from a node that was asked.
+
+    Attributes:
+        last_request_id: The number of the newest call.
+        pending: The open calls by number.
     """
 
-    def __init__(self, *, environment: CallEnvironment, base: int) -> None:
+    def __init__(self, *, environment: CallEnvironment, first_request_id: int) -> None:
         self.environment = environment
-        self.request_id = base
-        self.open: dict[int, Pending] = {}
+        self.last_request_id = first_request_id
+        self.pending: dict[int, PendingCall] = {}
 
     def start(
-        self, *, group_id: int, op: str, b: dict[str, Any], done: tuple[Any, ...], ttl: float, to: str = ""
+        self,
+        *,
+        group_id: int,
+        operation: CallOperation,
+        body: Record,
+        on_end: Continuation,
+        ttl_s: float,
+        node_id: str = "",
     ) -> None:
-        """Begin a call."""
-        self.request_id += 1
-        pend = Pending(
-            request_id=self.request_id,
+        """Begin a call.
+
+        Args:
+            group_id: The group that it is for; its primary is asked, whoever that is by then.
+            operation: What is asked for.
+            body: The operation's arguments.
+            on_end: Called once with the result.
+            ttl_s: Seconds after which it is given up.
+            node_id: If given, this node is asked and no other.
+        """
+        self.last_request_id += 1
+        now = self.environment.now
+        call = PendingCall(
+            request_id=self.last_request_id,
             group_id=group_id,
-            to=to,
-            op=op,
-            b=b,
-            done=done,
-            horizon=self.environment.now + ttl,
-            began=self.environment.now,
+            fixed_node_id=node_id,
+            operation=operation,
+            body=body,
+            on_end=on_end,
+            deadline=now + ttl_s,
+            started_at=now,
         )
-        self.open[pend.request_id] = pend
-        self._send(pend)
-
-    def _send(self, pend: Pending) -> None:
-        prim = self.environment.primary(group_id=pend.group_id)
-        node_id = pend.to or (prim[0] if prim is not None else "")
-        pend.again = self.environment.now + (pend.wait if node_id else RETRY_S)
-        pend.asked = prim
-        if node_id:
-            pend.sent = True
-            pend.wait = min(2 * pend.wait, RESEND_MOST_S)
-            pend.nodes[node_id] = pend.nodes.get(node_id, 0) + 1
-            self.environment.send(
-                node_id=node_id,
-                kind=Kind.CALL,
-                body={
-                    "rid": pend.request_id,
-                    "to": node_id,
-                    "g": pend.group_id,
-                    "op": pend.op,
-                    "b": pend.b,
-                    "ttl": round(pend.horizon - self.environment.now, 3),
-                },
-            )
-
-    def _anew(self, pend: Pending) -> None:
-        pend.wait = RESEND_S
-        self._send(pend)
-
-    def lost(self, *, node_id: str) -> None:
-        """Frames of a node were lost, perhaps answers."""
-        for pend in self.open.values():
-            if node_id == (pend.to or (pend.asked[0] if pend.asked else "")):
-                self._anew(pend)
-
-    def reply(self, *, node_id: str, m: dict[str, Any]) -> None:
-        """An answer came from a node; what fits no open call of this life is dropped."""
-        pend = self.open.get(m["rid"])
-        if pend is None or m["to"] != self.environment.node_id or node_id not in pend.nodes:
-            return
-        if m["s"] == NOT_PRIMARY and not pend.to:
-            pend.nodes[node_id] = max(pend.nodes[node_id] - 1, 0)
-            before = self.environment.primary(group_id=pend.group_id)
-            self.environment.learn(epochs=decode(m["d"], into=list[tuple[int, Epoch]]))
-            if self.environment.primary(group_id=pend.group_id) != before:
-                self._anew(pend)
-            else:
-                pend.again = self.environment.now + RETRY_S
-            return
-        del self.open[pend.request_id]
-        if m["s"] in REFUSALS and any(copies for node, copies in pend.nodes.items() if node != node_id):
-            self.environment.called(
-                done=pend.done, status=0, document=None, sent=True
-            )  # another node may have taken it
-        else:
-            self.environment.called(done=pend.done, status=m["s"], document=m["d"], sent=True)
+        self.pending[call.request_id] = call
+        self._send(call)
 
-    def tick(self) -> None:
-        """Send again, give up."""
+    def _send(self, call: PendingCall) -> None:
+        """Send a call, or its repeat, if its receiver is known."""
         now = self.environment.now
-        for pend in list(self.open.values()):
-            if now >= pend.horizon:
-                del self.open[pend.request_id]
-                self.environment.called(done=pend.done, status=0, document=None, sent=pend.sent)
-            elif not pend.to and self.environment.primary(group_id=pend.group_id) != pend.asked:
-                self._anew(pend)
-            elif now >= pend.again:
-                self._send(pend)
+        call.asked_primary = self.environment.primary(group_id=call.group_id)
+        receiver = call.receiver
+        if not receiver:
+            call.resend_at = now + NO_PRIMARY_RETRY_S
+            return
+        call.resend_at = now + call.resend_after_s
+        call.resend_after_s = min(2 * call.resend_after_s, RESEND_MOST_S)
+        call.was_sent = True
+        call.open_copies[receiver] = call.open_copies.get(receiver, 0) + 1
+        message = GroupCall(
+            request_id=call.request_id,
+            to=receiver,
+            group_id=call.group_id,
+            operation=call.operation,
+            body=call.body,
+            ttl_s=round(call.deadline - now, 3),
+        )
+        self.environment.send_message(node_id=receiver, message=message)
 
+    def _send_afresh(self, call: PendingCall) -> None:
+        """Send a call again, as if for the first time."""
+        call.resend_after_s = RESEND_S
+        self._send(call)
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class Refusal:
-    """The answer to a call that was not taken."""
+    def on_frames_lost(self, *, node_id: str) -> None:
+        """Frames of a node were lost, perhaps replies: repeat the calls to it."""
+        for call in self.pending.values():
+            if node_id == call.receiver:
+                self._send_afresh(call)
 
-    status: int
-    document: Any
-    until: float
+    def on_reply(self, *, node_id: str, reply: GroupReply) -> None:
+        """A reply came from a node; what fits no open call of this incarnation is dropped.
 
+        Raises:
+            MalformedRecordError: The node declines, and what it says in place of epochs is none.
+        """
+        call = self.pending.get(reply.request_id)
+        if call is None or reply.to != self.environment.node_id or node_id not in call.open_copies:
+            return
+        if reply.status == NOT_PRIMARY and not call.fixed_node_id:
+            self._on_declined(call, node_id=node_id, epochs=decode(reply.document, into=list[tuple[int, Epoch]]))
+            return
+        if reply.status in REFUSALS and call.may_be_elsewhere(than=node_id):
+            self._end(call, status=GIVEN_UP, document=None)
+        else:
+            self._end(call, status=reply.status, document=reply.document)
+
+    def _on_declined(self, call: PendingCall, *, node_id: str, epochs: list[tuple[int, Epoch]]) -> None:
+        """A node that isn't the primary told of the epochs that it knows."""
+        call.open_copies[node_id] = max(call.open_copies[node_id] - 1, 0)
+        known = self.environment.primary(group_id=call.group_id)
+        self.environment.learn(epochs=epochs)
+        if self.environment.primary(group_id=call.group_id) != known:
+            self._send_afresh(call)
+        else:
+            call.resend_at = self.environment.now + NO_PRIMARY_RETRY_S
 
-class InHand:
-    """Calls taken and not yet answered here, by their identity: caller and number. Invariant: a call is taken again
-    only once its answer has left, or this node no longer serves its group; so an answer that got lost is made again.
-    One that was refused is refused again: its caller may have heard so, while a repeat was still on its way.
-    """
+    def _end(self, call: PendingCall, *, status: int, document: object) -> None:
+        del self.pending[call.request_id]
+        call.on_end(CallResult(status=status, document=document, was_sent=call.was_sent))
 
-    def __init__(self) -> None:
-        self._at: dict[tuple[str, int], tuple[int, float]] = {}
-        self._refused: dict[tuple[str, int], Refusal] = {}
-        self._swept = 0.0
-
-    def take(self, *, node_id: str, request_id: int, group_id: int, now: float) -> bool:
-        """Whether a call is new.
-
-        >>> hand = InHand()
-        >>> hand.take(node_id="a", request_id=1, group_id=1, now=0.0)
-        True
-        >>> hand.take(node_id="a", request_id=1, group_id=1, now=0.4)
-        False
-        >>> hand.drop(node_id="a", request_id=1)
-        1
-        >>> hand.take(node_id="a", request_id=1, group_id=1, now=0.8), hand.leave(group_id=1)
-        (True, [('a', 1)])
-        """
-        if (node_id, request_id) in self._at:
-            return False
-        self._at[node_id, request_id] = (group_id, now)
-        return True
-
-    def holds(self, *, node_id: str, request_id: int) -> bool:
-        """Whether a call was taken and is not answered yet."""
-        return (node_id, request_id) in self._at
-
-    def drop(self, *, node_id: str, request_id: int) -> int:
-        """It is answered; the group that it was for, -1 if it was for none or is not known."""
-        return self._at.pop((node_id, request_id), (-1, 0.0))[0]
-
-    def refuse(self, *, node_id: str, request_id: int, status: int, document: Any, now: float) -> None:
-        """It is refused for good."""
-        self._refused[node_id, request_id] = Refusal(status=status, document=document, until=now + REFUSED_S)
-
-    def refusal(self, *, node_id: str, request_id: int) -> Refusal | None:
-        """How a call was refused before."""
-        return self._refused.get((node_id, request_id))
-
-    def leave(self, *, group_id: int) -> list[tuple[str, int]]:
-        """Let go of all of a group."""
-        return [key for key, (of, _) in list(self._at.items()) if of == group_id and self._at.pop(key)]
-
-    def sweep(self, *, now: float) -> None:
-        """Forget what nobody waits for any more."""
-        if now - self._swept > HAND_S / 2:
-            self._swept = now
-            self._at = {key: row for key, row in self._at.items() if now - row[1] < HAND_S}
-        while self._refused and next(iter(self._refused.values())).until <= now:
-            del self._refused[next(iter(self._refused))]
+    def tick(self) -> None:
+        """Give up calls whose deadline has come, and repeat those that are due."""
+        now = self.environment.now
+        for call in list(self.pending.values()):
+            if now >= call.deadline:
+                self._end(call, status=GIVEN_UP, document=None)
+            elif not call.fixed_node_id and self.environment.primary(group_id=call.group_id) != call.asked_primary:
+                self._send_afresh(call)
+            elif now >= call.resend_at:
+                self._send(call)
--- a/yarrowloom/node/heartbeat_routing.py
+++ b/yarrowloom/node/heartbeat_routing.py
@@ -2,6 +2,7 @@
 
 import math
 from dataclasses import dataclass
+from functools import partial
 from typing import Any, Protocol
 
 from ..agent import Agent
@@ -9,14 +10,14 @@
 from ..common.log import Log
 from ..common.records import MalformedRecordError, Record, decode
 from ..transport.http_server import Response
-from .group_calls import Calls
+from .call_messages import AGENT_CALL_GROUP, CallOperation
+from .group_calls import GIVEN_UP, CallResult, GroupCalls
 from .registry_requests import MinionDeparture, OwnerQuery
 from .roster import Roster
 
 OWNER_KNOWN_S = 3.0  # an owner found is asked directly this long, then group 0 is asked again
 OWNERS_KEPT = 20000
 HEARTBEAT_TTL_S = 0.75  # a minion's heartbeat is answered within this time, or 503
-AGENT_CALL = -1  # in place of a group: the call is for the agent of the node named
 
 OK = 200
 BAD_REQUEST = 400
@@ -55,7 +56,7 @@
     node_id: str
     log: Log
     agent: Agent
-    calls: Calls
+    calls: GroupCalls
     roster: Roster
 
     def trusted(self) -> bool:
@@ -101,7 +102,11 @@
             labels=[str(label) for label in document.get("labels", [])],
         )
         self.environment.calls.start(
-            group_id=0, op="who", b=query.document(), done=("who", call, minion_id, document), ttl=HEARTBEAT_TTL_S
+            group_id=0,
+            operation=CallOperation.FIND_OWNER,
+            body=query,
+            on_end=partial(self._on_owner_found, call=call, minion_id=minion_id, heartbeat=document),
+            ttl_s=HEARTBEAT_TTL_S,
         )
 
     def on_departure(self, *, minion_id: str, call: Any) -> None:
@@ -112,10 +117,15 @@
             return
         node.calls.start(
             group_id=0,
-            op="leave",
-            b=MinionDeparture(minion_id=minion_id).document(),
-            done=("leave", call, minion_id, node.now + HEARTBEAT_TTL_S),
-            ttl=HEARTBEAT_TTL_S,
+            operation=CallOperation.MINION_LEAVES,
+            body=MinionDeparture(minion_id=minion_id),
+            on_end=partial(
+                self._on_departing_owner_found,
+                call=call,
+                minion_id=minion_id,
+                deadline=node.now + HEARTBEAT_TTL_S,
+            ),
+            ttl_s=HEARTBEAT_TTL_S,
         )
 
     def _to_agent(self, *, minion_id: str, document: dict[str, Any], call: Any) -> None:
@@ -131,25 +141,23 @@
 
     def _forward(self, *, owner: str, minion_id: str, document: dict[str, Any], call: Any) -> None:
         self.environment.calls.start(
-            group_id=AGENT_CALL,
-            to=owner,
-            op="beat",
-            b=ForwardedHeartbeat(minion_id=minion_id, content=document).document(),
-            done=("beat", call, minion_id, owner),
-            ttl=HEARTBEAT_TTL_S,
+            group_id=AGENT_CALL_GROUP,
+            node_id=owner,
+            operation=CallOperation.FORWARD_HEARTBEAT,
+            body=ForwardedHeartbeat(minion_id=minion_id, content=document),
+            on_end=partial(self._on_forwarded_response, call=call, minion_id=minion_id, owner=owner),
+            ttl_s=HEARTBEAT_TTL_S,
         )
 
     # -- answers of other nodes
 
-    def on_owner_found(
-        self, *, call: Any, minion_id: str, heartbeat: dict[str, Any], status: int, document: Any
-    ) -> None:
+    def _on_owner_found(self, result: CallResult, *, call: Any, minion_id: str, heartbeat: dict[str, Any]) -> None:
         """Group 0 told which agent owns a minion whose heartbeat waits here."""
         node = self.environment
-        if status != OK:
+        if result.status != OK:
             node.respond(call=call, response=Response(status=UNAVAILABLE))
             return
-        owner = document["o"]
+        owner = result.document["o"]
         if owner == node.node_id:
             if minion_id in node.agent.minions:
                 self._to_agent(minion_id=minion_id, document=heartbeat, call=call)
@@ -161,60 +169,65 @@
             self.owners.clear()
         self._forward(owner=owner, minion_id=minion_id, document=heartbeat, call=call)
 
-    def on_forwarded_answer(self, *, call: Any, minion_id: str, owner: str, status: int, document: Any) -> None:
-        """The agent elsewhere answered a heartbeat; the minion is told to go there from now on."""
-        if status != OK:
+    def _on_forwarded_response(self, result: CallResult, *, call: Any, minion_id: str, owner: str) -> None:
+        """The agent elsewhere responded to a heartbeat; the minion is told to go there from now on."""
+        if result.status != OK:
             self.owners.pop(minion_id, None)
             self.environment.respond(call=call, response=Response(status=UNAVAILABLE))
             return
         address = self.environment.roster.control_address(node_id=owner)
-        if address:
-            document = {**document, "beat-target": address}
+        document = {**result.document, "beat-target": address} if address else result.document
         self.environment.respond(call=call, response=Response.of(OK, document))
 
-    def on_departing_owner_found(
-        self, *, call: Any, minion_id: str, deadline: float, status: int, document: Any
-    ) -> None:
+    def _on_departing_owner_found(self, result: CallResult, *, call: Any, minion_id: str, deadline: float) -> None:
         """Group 0 told which agent owns a minion that ends: none (it has left before), this one or another."""
         node = self.environment
-        owner = document.get("o") if status == OK else ""
-        if status == OK and owner is None:
+        owner = result.document.get("o") if result.status == OK else ""
+        if result.status == OK and owner is None:
             node.respond(call=call, response=Response.of(OK, {}))
         elif owner == node.node_id and self.is_owned_here(minion_id=minion_id):
             node.agent.on_leaving(minion_id=minion_id, call=call)
         elif owner and owner != node.node_id and deadline > node.now:
             node.calls.start(
-                group_id=AGENT_CALL,
-                to=owner,
-                op="leave",
-                b=MinionDeparture(minion_id=minion_id).document(),
-                done=("http", call),
-                ttl=deadline - node.now,
+                group_id=AGENT_CALL_GROUP,
+                node_id=owner,
+                operation=CallOperation.MINION_LEAVES,
+                body=MinionDeparture(minion_id=minion_id),
+                on_end=partial(self._on_departed, call=call),
+                ttl_s=deadline - node.now,
             )
         else:
             node.respond(call=call, response=Response(status=UNAVAILABLE))
 
+    def _on_departed(self, result: CallResult, *, call: Any) -> None:
+        """The agent elsewhere responded to a departure."""
+        if result.status == GIVEN_UP:
+            response = Response.of(UNAVAILABLE, {"error": "no primary in reach"})
+        else:
+            response = Response.of(result.status, result.document)
+        self.environment.respond(call=call, response=response)
+
     # -- calls of other nodes
 
-    def serve(self, *, node_id: str, request_id: int, operation: str, body: Any) -> None:
+    def serve(self, *, node_id: str, request_id: int, operation: CallOperation, body: Any) -> None:
         """A node hands over a heartbeat or a departure of a minion that should be owned here.
 
         Raises:
             MalformedRecordError: There is no such operation, or the body is not one of it.
         """
         call = ForwardedCall(node_id=node_id, request_id=request_id)
-        if operation == "leave":
+        if operation is CallOperation.MINION_LEAVES:
             minion_id = decode(body, into=MinionDeparture).minion_id
             if self._refuse_unowned(minion_id=minion_id, call=call):
                 return
             self.environment.agent.on_leaving(minion_id=minion_id, call=call)
-        elif operation == "beat":
+        elif operation is CallOperation.FORWARD_HEARTBEAT:
             heartbeat = decode(body, into=ForwardedHeartbeat)
             if self._refuse_unowned(minion_id=heartbeat.minion_id, call=call):
                 return
             self._to_agent(minion_id=heartbeat.minion_id, document=heartbeat.content, call=call)
         else:
-            raise MalformedRecordError(text=f"op: {operation!r} is no operation of an agent")
+            raise MalformedRecordError(text=f"op: {operation.value!r} is no operation of an agent")
 
     def _refuse_unowned(self, *, minion_id: str, call: ForwardedCall) -> bool:
         """Refuse what is not owned here; whether it was refused."""
--- a/yarrowloom/node/messages.py
+++ b/yarrowloom/node/messages.py
@@ -195,7 +195,7 @@
         update: What the receiver lacks.
         relays: Of a core, to an edge: the edges that should feed it.
         is_full: Of a relay: it feeds as many edges as it can, the receiver is to ask another.
-        grants_lease: Of the controller: the receiver's agent may act for `LEASE_S` from `sent_at` on.
+        grants_lease: Of the controller: the receiver's agent may act for `AGENT_LEASE_S` from `sent_at` on.
         wants_owned_minions: Of the controller: the next heartbeat is to list the minions that the agent owns.
         minions_to_release: Of the controller: minions that should move to other agents.
         owned: Of the controller: minions that the agent owns from now on.
--- a/yarrowloom/node/node_base.py
+++ b/yarrowloom/node/node_base.py
@@ -16,7 +16,7 @@
 from .config_dissemination import ConfigDissemination
 from .config_freshness import Freshness
 from .epochs import KnownEpochs
-from .group_calls import Calls, first_number
+from .group_calls import GroupCalls, first_number
 from .heartbeats import Heartbeats
 from .messages import ClusterUpdate, ContactProof, Heartbeat, HeartbeatAck
 from .outputs import Outbox
@@ -60,7 +60,7 @@
         self.freshness = Freshness(apply_ms=settings.config_apply_ms)
         self.dissemination = ConfigDissemination(environment=self)
         self.heartbeats = Heartbeats(environment=self)
-        self.calls = Calls(environment=self, base=first_number(incarnation=incarnation))
+        self.calls = GroupCalls(environment=self, first_request_id=first_number(incarnation=incarnation))
 
     # -- outputs
 
@@ -140,10 +140,6 @@
         """Whether a node's heartbeat came lately."""
         return self.roster.is_alive(node_id=node_id, now=self.now)
 
-    def called(self, *, done: tuple[Any, ...], status: int, document: Any, sent: bool) -> None:
-        """A call of this node has ended."""
-        raise NotImplementedError
-
     # -- contact with group 0's primary
 
     def proof(self) -> ContactProof:
--- a/yarrowloom/node/registry_calls.py
+++ b/yarrowloom/node/registry_calls.py
@@ -8,7 +8,8 @@
 from ..common.errors import YarrowError
 from ..common.records import MalformedRecordError, decode
 from ..replication import Replica
-from .controller import Chief
+from .call_messages import CallOperation
+from .controller import Controller
 from .http_errors import error_answer
 from .messages import ClusterUpdate
 from .registry_requests import ConfigChange, EvacuationChange, MinionDeparture, MinionRemoval, OwnerQuery
@@ -22,7 +23,7 @@
 
     registry: Registry
     replicas: dict[int, Replica]
-    chief: Chief | None
+    controller: Controller | None
 
     def commit_registry(
         self, *, event: RegistryEvent, then: tuple[Any, ...] | None = None, publish: bool = False
@@ -41,23 +42,23 @@
 
     def __init__(self, *, environment: RegistryEnvironment) -> None:
         self.environment = environment
-        self._operations: Mapping[str, Callable[[str, int, Any], None]] = {
-            "conf": self._change_config,
-            "getconf": self._read_config,
-            "evac": self._change_evacuation,
-            "who": self._find_owner,
-            "gone": self._remove_minion,
-            "leave": self._find_owner_of_departing,
+        self._operations: Mapping[CallOperation, Callable[[str, int, Any], None]] = {
+            CallOperation.CHANGE_CONFIG: self._change_config,
+            CallOperation.READ_CONFIG: self._read_config,
+            CallOperation.CHANGE_EVACUATION: self._change_evacuation,
+            CallOperation.FIND_OWNER: self._find_owner,
+            CallOperation.REMOVE_MINION: self._remove_minion,
+            CallOperation.MINION_LEAVES: self._find_owner_of_departing,
         }
 
-    def serve(self, *, node_id: str, request_id: int, operation: str, body: Any) -> None:
+    def serve(self, *, node_id: str, request_id: int, operation: CallOperation, body: Any) -> None:
         """Answer a call of a node.
 
         Raises:
             MalformedRecordError: There is no such operation, or the body is not one of it.
         """
         if operation not in self._operations:
-            raise MalformedRecordError(text=f"op: {operation!r} is no operation of group 0")
+            raise MalformedRecordError(text=f"op: {operation.value!r} is no operation of group 0")
         self._operations[operation](node_id, request_id, body)
 
     def _reply_when_durable(self, *, node_id: str, request_id: int, status: int, document: Any) -> None:
@@ -104,8 +105,8 @@
 
     def _find_owner(self, node_id: str, request_id: int, body: Any) -> None:
         query = decode(body, into=OwnerQuery)
-        assert self.environment.chief is not None
-        self.environment.chief.find_owner(node_id=node_id, request_id=request_id, query=query)
+        assert self.environment.controller is not None
+        self.environment.controller.find_owner(node_id=node_id, request_id=request_id, query=query)
 
     def _remove_minion(self, node_id: str, request_id: int, body: Any) -> None:
         removal = decode(body, into=MinionRemoval)
--- a/yarrowloom/node/runtime.py
+++ b/yarrowloom/node/runtime.py
@@ -179,7 +179,9 @@
         if input_class is InputClass.CLIENT and isinstance(node, CoreNode):
             wait_s = admission_deadline_s(ttl_s=message.get("ttl"), default_s=EXCHANGE_MOST_S)
             expires_at = time.monotonic() + wait_s
-            on_expired = partial(self._run_guarded, node_id, kind, partial(node.too_late, node_id=node_id, m=message))
+            on_expired = partial(
+                self._run_guarded, node_id, kind, partial(node.on_call_expired, node_id=node_id, m=message)
+            )
         run = partial(self._handle_message, node_id, kind, message)
         self.post(run=run, input_class=input_class, expires_at=expires_at, on_expired=on_expired)
 
--- a/yarrowloom/simulator/faults/injector.py
+++ b/yarrowloom/simulator/faults/injector.py
@@ -132,7 +132,7 @@
             self.sim.step(ip, proc, node.leave)
             wait_s = LEAVE_CORE_S
         elif isinstance(node, EdgeNode):
-            node.closing = True
+            node.is_draining = True
             wait_s = LEAVE_EDGE_S
 
         def stop() -> None:
