--- a/tests/mutants/test_scheduling_mutants.py
+++ b/tests/mutants/test_scheduling_mutants.py
@@ -1,4 +1,4 @@
-"""Proofs for guards of the placing: each test takes one out of the code, and the judge names its rule."""
+"""Proofs for guards of the scheduler: each test takes one out of the code, and the judge names its rule."""
 
 from typing import Any
 
@@ -37,28 +37,28 @@
 
 
 def test_route_a_task_goes_only_where_its_label_is() -> None:
-    def out(p: pytest.MonkeyPatch) -> None:
-        p.setattr(cycle, "FILTERS", without(name="label"))
-        blind(patch=p, required_label="")
+    def remove_guard(patch: pytest.MonkeyPatch) -> None:
+        patch.setattr(cycle, "FILTERS", without(name="label"))
+        blind(patch=patch, required_label="")
 
     assert_guard_is_needed(
-        rule="ROUTE", scenario=lambda: stream(day=Day(seed=4101, minions=9), requires="r1"), remove_guard=out
+        rule="ROUTE", scenario=lambda: stream(day=Day(seed=4101, minions=9), requires="r1"), remove_guard=remove_guard
     )
 
 
 def test_route_members_keep_apart() -> None:
-    def out(p: pytest.MonkeyPatch) -> None:
-        p.setattr(cycle, "FILTERS", without(name="spread"))
-        p.setattr(cycle, "_is_within_task_limit", lambda snapshot, request, minion: True)
-        blind(patch=p, max_per_minion=0)
+    def remove_guard(patch: pytest.MonkeyPatch) -> None:
+        patch.setattr(cycle, "FILTERS", without(name="spread"))
+        patch.setattr(cycle, "_is_within_task_limit", lambda snapshot, request, minion: True)
+        blind(patch=patch, max_per_minion=0)
 
     assert_guard_is_needed(
-        rule="ROUTE", scenario=lambda: stream(day=Day(seed=4102, minions=9), anti_affinity=1), remove_guard=out
+        rule="ROUTE", scenario=lambda: stream(day=Day(seed=4102, minions=9), anti_affinity=1), remove_guard=remove_guard
     )
 
 
 def test_route_a_task_goes_only_to_its_service() -> None:
-    def story() -> Day:
+    def scenario() -> Day:
         day = Day(seed=4103, minions=6, aux=3)
         for _ in range(8):
             day.job(task(n=5), queue="side")
@@ -67,16 +67,16 @@
         settle(day=day)
         return day
 
-    def out(p: pytest.MonkeyPatch) -> None:
-        p.setattr(QueuePolicy, "service", lambda self, *, job: "svc")
+    def remove_guard(patch: pytest.MonkeyPatch) -> None:
+        patch.setattr(QueuePolicy, "service", lambda self, *, job: "svc")
 
-    assert_guard_is_needed(rule="ROUTE", scenario=story, remove_guard=out)
+    assert_guard_is_needed(rule="ROUTE", scenario=scenario, remove_guard=remove_guard)
 
 
 def test_gang_nothing_binds_below_the_criterion() -> None:
     """Half of a gang has room: without the criterion that half starts and waits alone."""
 
-    def story() -> Day:
+    def scenario() -> Day:
         day = Day(seed=4104, minions=4, work=6.0)
         day.job(task(n=2, cpus=4000))
         day.sim.run(seconds=0.3)
@@ -84,20 +84,20 @@
         settle(day=day, seconds=24.0)
         return day
 
-    def out(p: pytest.MonkeyPatch) -> None:
-        p.setattr(cycle, "placement_feasible", lambda *, placed, request: placed > 0)
+    def remove_guard(patch: pytest.MonkeyPatch) -> None:
+        patch.setattr(cycle, "placement_feasible", lambda *, placed, request: placed > 0)
 
-    assert_guard_is_needed(rule="GANG", scenario=story, remove_guard=out)
+    assert_guard_is_needed(rule="GANG", scenario=scenario, remove_guard=remove_guard)
 
 
 def test_order_a_repeated_job_starts_no_sooner_than_due() -> None:
-    def story() -> Day:
+    def scenario() -> Day:
         day = Day(seed=4105)
         day.timed(task(n=2), first=4.0, period=3.0, count=2)
         settle(day=day)
         return day
 
-    def out(p: pytest.MonkeyPatch) -> None:
+    def remove_guard(patch: pytest.MonkeyPatch) -> None:
         real = Scheduler.tick
 
         def tick(self: Scheduler) -> None:
@@ -107,15 +107,15 @@
             finally:
                 self.context.environment.wall_now -= 3.0
 
-        p.setattr(Scheduler, "tick", tick)
+        patch.setattr(Scheduler, "tick", tick)
 
-    assert_guard_is_needed(rule="ORDER", scenario=story, remove_guard=out)
+    assert_guard_is_needed(rule="ORDER", scenario=scenario, remove_guard=remove_guard)
 
 
 def test_unasked_an_order_that_waits_for_its_disk_does_not_leave_for_a_cancelled_job() -> None:
     """The start is on its way to the disks when the job is cancelled: it must not be ordered afterwards."""
 
-    def story() -> Day:
+    def scenario() -> Day:
         day = Day(seed=4106, work=20.0, sync_s=0.4)
         for _ in range(4):
             job_id = day.job(task(n=3))
@@ -125,7 +125,7 @@
         settle(day=day)
         return day
 
-    def out(p: pytest.MonkeyPatch) -> None:
+    def remove_guard(patch: pytest.MonkeyPatch) -> None:
         real_orders = Binding.send_orders
 
         def send_orders(self: Binding, runs: list[StartedRun]) -> None:
@@ -134,7 +134,7 @@
                 inner.setattr(Job, "has_ended", False)
                 real_orders(self, runs)
 
-        p.setattr(Binding, "send_orders", send_orders)
+        patch.setattr(Binding, "send_orders", send_orders)
         real = Cancellation.send_stops
 
         def send_stops(self: Cancellation, runs: list[StoppedRun]) -> None:
@@ -142,21 +142,21 @@
             if not self.pending:
                 real(self, runs)
 
-        p.setattr(Cancellation, "send_stops", send_stops)
+        patch.setattr(Cancellation, "send_stops", send_stops)
 
-    assert_guard_is_needed(rule="UNASKED", scenario=story, remove_guard=out)
+    assert_guard_is_needed(rule="UNASKED", scenario=scenario, remove_guard=remove_guard)
 
 
 def test_lost_a_parked_group_is_woken_by_room_and_by_time() -> None:
-    def story() -> Day:
+    def scenario() -> Day:
         day = Day(seed=4107, minions=4, work=3.0)
         for _ in range(6):
             day.job(task(n=4, cpus=2000))
         settle(day=day, seconds=30.0)
         return day
 
-    def out(p: pytest.MonkeyPatch) -> None:
-        p.setattr(ClusterCapacity, "take_grown", lambda self: {})
-        p.setattr(SchedulingQueue, "take_backoff_ended", lambda self, *, now: [])
+    def remove_guard(patch: pytest.MonkeyPatch) -> None:
+        patch.setattr(ClusterCapacity, "take_grown", lambda self: {})
+        patch.setattr(SchedulingQueue, "take_backoff_ended", lambda self, *, now: [])
 
-    assert_guard_is_needed(rule="LOST", scenario=story, remove_guard=out)
+    assert_guard_is_needed(rule="LOST", scenario=scenario, remove_guard=remove_guard)
--- a/tests/mutants/test_state_mutants.py
+++ b/tests/mutants/test_state_mutants.py
@@ -8,24 +8,26 @@
 
 from tests.support.mutant_proof import assert_guard_is_needed, settle
 from tests.support.simulated_work import Day, Worker, task
+from yarrowloom.common.effects import AnyEffect
 from yarrowloom.jobs.effects import JobEffect, UnitReady
 from yarrowloom.jobs.events import RunOutcome, TaskEnded
 from yarrowloom.jobs.state_machine import Jobs
 from yarrowloom.node import edge
 from yarrowloom.replication.replica import Replica
+from yarrowloom.transport.effects import Reply
 
 # -- ORDER
 
 
 def test_order_a_step_waits_for_those_it_depends_on() -> None:
-    def story() -> Day:
+    def scenario() -> Day:
         day = Day(seed=4006)
         for _ in range(4):
             day.job(task(n=4), task(n=2, depends_on=[0]))
         settle(day=day)
         return day
 
-    def out(p: pytest.MonkeyPatch) -> None:
+    def remove_guard(patch: pytest.MonkeyPatch) -> None:
         real = Jobs._begin_run
 
         def begin_run(self: Jobs, *, job_id: str, run: int) -> list[JobEffect]:
@@ -36,34 +38,34 @@
                 if step.depends_on
             ]
 
-        p.setattr(Jobs, "_begin_run", begin_run)
+        patch.setattr(Jobs, "_begin_run", begin_run)
 
-    assert_guard_is_needed(rule="ORDER", scenario=story, remove_guard=out)
+    assert_guard_is_needed(rule="ORDER", scenario=scenario, remove_guard=remove_guard)
 
 
 # -- BUDGET
 
 
 def test_budget_failed_runs_are_counted() -> None:
-    def story() -> Day:
+    def scenario() -> Day:
         day = Day(seed=4007, tries=2)
         job_ids = [day.job(task(n=3)), day.job(task(n=3, gang=True))]
         day.world.doomed |= set(job_ids)
         settle(day=day)
         return day
 
-    def out(p: pytest.MonkeyPatch) -> None:
+    def remove_guard(patch: pytest.MonkeyPatch) -> None:
         real = Jobs._end_task
-        p.setattr(Jobs, "_end_task", lambda self, event: real(self, replace(event, max_attempts=99)))
+        patch.setattr(Jobs, "_end_task", lambda self, event: real(self, replace(event, max_attempts=99)))
 
-    assert_guard_is_needed(rule="BUDGET", scenario=story, remove_guard=out)
+    assert_guard_is_needed(rule="BUDGET", scenario=scenario, remove_guard=remove_guard)
 
 
 # -- UNASKED
 
 
 def test_unasked_progress_is_kept_apart_by_task() -> None:
-    def story() -> Day:
+    def scenario() -> Day:
         day = Day(seed=4009, minions=6, work=12.0)
         for _ in range(3):
             day.job(task(n=4, checkpoints=True))
@@ -74,7 +76,7 @@
         settle(day=day, seconds=25.0)
         return day
 
-    def out(p: pytest.MonkeyPatch) -> None:
+    def remove_guard(patch: pytest.MonkeyPatch) -> None:
         real = Jobs._end_task
 
         def end_task(self: Jobs, event: TaskEnded) -> list[JobEffect]:
@@ -85,16 +87,16 @@
                 unit.saved_progress = [event.saved_progress] * len(unit.saved_progress)
             return effects
 
-        p.setattr(Jobs, "_end_task", end_task)
+        patch.setattr(Jobs, "_end_task", end_task)
 
-    assert_guard_is_needed(rule="UNASKED", scenario=story, remove_guard=out)
+    assert_guard_is_needed(rule="UNASKED", scenario=scenario, remove_guard=remove_guard)
 
 
 # -- REFUSED
 
 
 def test_refused_a_call_that_was_passed_on_is_not_refused() -> None:
-    def story() -> Day:
+    def scenario() -> Day:
         day = Day(seed=4010)
         day.judge.trouble(seconds=9.0)
         for ip in day.sim.core_ips:
@@ -105,18 +107,18 @@
         settle(day=day)
         return day
 
-    def out(p: pytest.MonkeyPatch) -> None:
+    def remove_guard(patch: pytest.MonkeyPatch) -> None:
         real = edge.job_response
-        p.setattr(edge, "job_response", lambda *, result: real(result=dataclasses.replace(result, was_sent=False)))
+        patch.setattr(edge, "job_response", lambda *, result: real(result=dataclasses.replace(result, was_sent=False)))
 
-    assert_guard_is_needed(rule="REFUSED", scenario=story, remove_guard=out)
+    assert_guard_is_needed(rule="REFUSED", scenario=scenario, remove_guard=remove_guard)
 
 
 # -- MIXED
 
 
 def test_mixed_only_done_ends_complete_a_job() -> None:
-    def story() -> Day:
+    def scenario() -> Day:
         day = Day(seed=4011, work=10.0)
         day.job(task(n=4))
         day.sim.run(seconds=0.5)
@@ -126,15 +128,15 @@
         settle(day=day, seconds=25.0)
         return day
 
-    def out(p: pytest.MonkeyPatch) -> None:
+    def remove_guard(patch: pytest.MonkeyPatch) -> None:
         real = Jobs._end_task
-        p.setattr(Jobs, "_end_task", lambda self, event: real(self, replace(event, outcome=RunOutcome.DONE)))
+        patch.setattr(Jobs, "_end_task", lambda self, event: real(self, replace(event, outcome=RunOutcome.DONE)))
 
-    assert_guard_is_needed(rule="MIXED", scenario=story, remove_guard=out)
+    assert_guard_is_needed(rule="MIXED", scenario=scenario, remove_guard=remove_guard)
 
 
 def test_mixed_a_step_is_finished_only_when_no_task_is_left() -> None:
-    def out(p: pytest.MonkeyPatch) -> None:
+    def remove_guard(patch: pytest.MonkeyPatch) -> None:
         real = Jobs._finish_unit
 
         def finish_unit(self: Jobs, *, job_id: str, unit_key: str) -> list[JobEffect]:
@@ -143,23 +145,23 @@
                 unit.unfinished_tasks = 0
             return real(self, job_id=job_id, unit_key=unit_key)
 
-        p.setattr(Jobs, "_finish_unit", finish_unit)
+        patch.setattr(Jobs, "_finish_unit", finish_unit)
 
-    def story() -> Day:
+    def scenario() -> Day:
         day = Day(seed=4012)
         for _ in range(4):
             day.job(task(n=2), task(n=4, weight=4))
         settle(day=day)
         return day
 
-    assert_guard_is_needed(rule="MIXED", scenario=story, remove_guard=out)
+    assert_guard_is_needed(rule="MIXED", scenario=scenario, remove_guard=remove_guard)
 
 
 # -- LOST
 
 
 def test_lost_a_job_is_acknowledged_only_when_it_is_on_both_disks() -> None:
-    def story() -> Day:
+    def scenario() -> Day:
         day = Day(seed=4013, work=2.0)
         day.judge.trouble(seconds=9.0)
         for _ in range(20):
@@ -171,18 +173,18 @@
         settle(day=day)
         return day
 
-    def out(p: pytest.MonkeyPatch) -> None:
+    def remove_guard(patch: pytest.MonkeyPatch) -> None:
         real = Replica.commit
 
-        def commit(self: Replica, *, event: dict[str, Any], then: tuple[Any, ...] | None = None) -> Any:
-            if then is not None and then[0] == "reply":
+        def commit(self: Replica, *, event: dict[str, Any], then: AnyEffect | None = None) -> Any:
+            if isinstance(then, Reply):
                 self.environment.effect(effect=then)
                 then = None
             return real(self, event=event, then=then)
 
-        p.setattr(Replica, "commit", commit)
+        patch.setattr(Replica, "commit", commit)
 
-    assert_guard_is_needed(rule="LOST", scenario=story, remove_guard=out)
+    assert_guard_is_needed(rule="LOST", scenario=scenario, remove_guard=remove_guard)
 
 
 def busiest(*, day: Day) -> Worker:
