--- a/yarrowloom/jobs/events.py
+++ b/yarrowloom/jobs/events.py
@@ -78,6 +78,7 @@
     JobEventRecord,
     frozen=True,
     kw_only=True,
+    omit_defaults=True,
     tag="end",
     rename={
         "job_id": "id",
--- a/yarrowloom/scheduling/admission.py
+++ b/yarrowloom/scheduling/admission.py
@@ -5,7 +5,9 @@
 from msgspec import UNSET
 
 from ..common.records import MalformedRecordError, decode
+from ..jobs.events import JobCancelled, JobSubmitted
 from ..jobs.model import Job
+from ..jobs.submission import AcceptedJob
 from ..transport.effects import Reply
 from .calls import JobCall
 from .context import SchedulerContext
@@ -76,7 +78,7 @@
             self._respond(node_id=node_id, request_id=request_id, status=OK, document={})
             return
         self.job_queue.commit(
-            {"t": "cancel", "id": job_id, "at": self.context.wall_now_ms},
+            JobCancelled(job_id=job_id, cancelled_at_ms=self.context.wall_now_ms),
             then=Reply(node_id=node_id, request_id=request_id, status=OK, document={}),
         )
 
@@ -92,13 +94,14 @@
             return False
         submission = call.submission if call.submission is not UNSET else {}
         document = {**submission, "q": call.queue, "at": self.context.wall_now_ms}
-        reason = self._rejection(job=decode(document, into=Job))
+        accepted = decode(document, into=AcceptedJob)
+        reason = self._rejection(job=Job.accepted(accepted))
         if reason:
             self._reject(node_id=node_id, request_id=request_id, status=TOO_MANY, document={"error": reason})
             return False
         self.job_queue.live_jobs += 1
         self.job_queue.commit(
-            {"t": "job", "id": call.job_id, "j": document},
+            JobSubmitted(job_id=call.job_id, job=accepted),
             then=Reply(node_id=node_id, request_id=request_id, status=OK, document={}),
         )
         return True
--- a/yarrowloom/scheduling/attachment.py
+++ b/yarrowloom/scheduling/attachment.py
@@ -10,6 +10,7 @@
     RecordedRun,
     StoppedRun,
 )
+from ..jobs.events import MinionLost
 from ..jobs.task_name import task_name
 from ..transport.effects import SendMessage
 from .capacity import MinionCapacity
@@ -141,4 +142,4 @@
             context.leases.by_task.pop(task, None)
             context.running.ended(task=task, run=context.jobs.jobs[job_id].units[unit_key].run_ids[index])
         if context.jobs.running_by_minion.get(minion_id):  # a repeated report finds nothing left
-            self.job_queue.commit({"t": "lost", "m": minion_id, "x": None, "v": checkpoints})
+            self.job_queue.commit(MinionLost(minion_id=minion_id, runs=None, saved_progress=checkpoints))
--- a/yarrowloom/scheduling/binding.py
+++ b/yarrowloom/scheduling/binding.py
@@ -6,6 +6,7 @@
 
 from ..agent.messages import LeaseGrant, LeaseRequest, MinionCount, RejectedOrder, TaskOrder, TaskOrders
 from ..common.resources import NO_RESOURCES, Resources
+from ..jobs.events import TasksStarted, TaskStart
 from ..jobs.model import RUNNING, WAITING, JobState
 from ..jobs.task_name import task_name
 from ..prediction import kind_key
@@ -384,13 +385,14 @@
         self._trace_start(group=group, count=len(starts))
         self.context.nominator.drop(unit_id=group.unit_id, now=self.context.now)
         self.job_queue.commit(
-            {
-                "t": "start",
-                "id": job_id,
-                "u": unit_key,
-                "x": [(start.index, start.run, start.lease.minion_id) for start in starts],
-                "at": self.context.wall_now_ms,
-            },
+            TasksStarted(
+                job_id=job_id,
+                unit_key=unit_key,
+                starts=[
+                    TaskStart(index=start.index, run_id=start.run, minion_id=start.lease.minion_id) for start in starts
+                ],
+                started_at_ms=self.context.wall_now_ms,
+            ),
             then=OrderRuns(group_id=self.context.group_id, runs=starts),
         )
         for start in starts:
--- a/yarrowloom/scheduling/job_queue.py
+++ b/yarrowloom/scheduling/job_queue.py
@@ -5,6 +5,7 @@
 from ..agent.messages import StoppedRun
 from ..common.effects import AnyEffect
 from ..jobs.effects import JobEnded, JobTimed, StopTask, UnitReady
+from ..jobs.events import JobEvent, JobsForgotten, RunDue
 from ..jobs.model import WAITING, Job
 from .context import SchedulerContext
 from .effects import StopRuns
@@ -129,15 +130,15 @@
 
     # -- events
 
-    def commit(self, event: dict[str, Any], *, then: AnyEffect | None = None) -> None:
+    def commit(self, event: JobEvent, *, then: AnyEffect | None = None) -> None:
         """Commit an event to the record, and follow at once what it brings about.
 
         Args:
-            event: The event, with its encoded keys.
+            event: The event.
             then: Carried out once the event is durable.
         """
         stops: list[StoppedRun] = []
-        for effect in self.context.replica.commit(event=event, then=then):
+        for effect in self.context.replica.commit(event=event.document(), then=then):
             match effect:
                 case UnitReady():
                     self.enter(job_id=effect.job_id, unit_key=effect.unit_key)
@@ -174,13 +175,13 @@
     def begin_due_runs(self) -> None:
         """Begin the runs of repeated jobs that are due."""
         for job_id in self.repeated.take_due(wall_now_ms=self.context.environment.wall_now * 1000):
-            self.commit({"t": "due", "id": job_id, "k": self.context.jobs.jobs[job_id].next_run})
+            self.commit(RunDue(job_id=job_id, run=self.context.jobs.jobs[job_id].next_run))
 
     def forget_ended(self) -> None:
         """Forget jobs that ended long enough ago."""
         job_ids = self.ended.take_expired(now=self.context.now)
         if job_ids:
-            self.context.replica.commit(event={"t": "forget", "ids": job_ids})
+            self.commit(JobsForgotten(job_ids=job_ids))
 
 
 def _may_start(*, job: Job, unit_key: str) -> bool:
--- a/yarrowloom/scheduling/scheduling_cycle.py
+++ b/yarrowloom/scheduling/scheduling_cycle.py
@@ -180,10 +180,13 @@
 
     A minion that took a member is an even tighter fit, so it stays the best until it is full.
     """
+    if not request.preferred_label and not request.failed_minion_ids:
+        return snapshot.capacity.tightest_first(service=request.service, size=request.size)
     candidates = _local_then_tightest(snapshot=snapshot, request=request)
-    if not request.failed_minion_ids:
-        yield from candidates
-        return
+    return _failed_last(candidates=candidates, request=request) if request.failed_minion_ids else candidates
+
+
+def _failed_last(*, candidates: Iterator[MinionCapacity], request: PlacementRequest) -> Iterator[MinionCapacity]:
     failed: list[MinionCapacity] = []
     for minion in candidates:
         if minion.minion_id in request.failed_minion_ids:
--- a/yarrowloom/scheduling/task_ends.py
+++ b/yarrowloom/scheduling/task_ends.py
@@ -3,14 +3,13 @@
 from collections.abc import Iterable
 
 from ..agent.messages import AcknowledgedEnd, RejectedOrder, TaskEnd, TaskEndsAcknowledged, TaskEndsReport
+from ..jobs.events import RunOutcome, TaskEnded
 from ..jobs.model import Job
 from ..jobs.task_name import parse_task_name
 from ..transport.effects import SendMessage
 from .context import SchedulerContext
 from .job_queue import JobQueue
 
-DONE, FAILED, LEFT_ALONE, NEVER_STARTED = "done", "failed", "alone", "void"  # how a run ended
-
 
 class TaskEnds:
     """Notes ends in the record and learns from them which minions fail.
@@ -43,17 +42,16 @@
             self._learn(minion_id=minion_id, job=job, name=name, end=end)
             self.context.running.ended(task=end.task, run=end.run)
             self.job_queue.commit(
-                {
-                    "t": "end",
-                    "id": job_id,
-                    "u": unit_key,
-                    "i": index,
-                    "run": end.run,
-                    "how": end.outcome,
-                    "v": end.checkpoint,
-                    "mt": self.context.policy.max_attempts(job=job),
-                    "at": self.context.wall_now_ms,
-                }
+                TaskEnded(
+                    job_id=job_id,
+                    unit_key=unit_key,
+                    index=index,
+                    run_id=end.run,
+                    outcome=end.outcome,
+                    saved_progress=end.checkpoint,
+                    max_attempts=self.context.policy.max_attempts(job=job),
+                    ended_at_ms=self.context.wall_now_ms,
+                )
             )
         if lease is not None:
             self.context.leases.cache.put(lease=lease, now=self.context.now)
@@ -62,14 +60,14 @@
         """What an end tells of its minion."""
         job_id, unit_key, index = name
         environment, capacity = self.context.environment, self.context.capacity
-        if end.outcome == LEFT_ALONE:
+        if end.outcome == RunOutcome.ALONE:
             environment.note(event="gang-member-alone", task=end.task, run=end.run)
         unit = job.units.get(unit_key)
         if unit is None or not unit.is_running(index=index, run_id=end.run):
             return
-        if end.outcome == DONE:
+        if end.outcome == RunOutcome.DONE:
             capacity.record_success(minion_id=minion_id)
-        elif end.outcome == FAILED:
+        elif end.outcome == RunOutcome.FAILED:
             group = self.context.queue.groups.get((job_id, unit_key))
             if group is not None:
                 group.failed_minion_ids.add(minion_id)
@@ -100,14 +98,13 @@
         job_id, unit_key, index = name
         self.context.running.ended(task=order.task, run=order.run)
         self.job_queue.commit(
-            {
-                "t": "end",
-                "id": job_id,
-                "u": unit_key,
-                "i": index,
-                "run": order.run,
-                "how": NEVER_STARTED,
-                "v": "",
-                "mt": 1,
-            }
+            TaskEnded(
+                job_id=job_id,
+                unit_key=unit_key,
+                index=index,
+                run_id=order.run,
+                outcome=RunOutcome.VOID.value,
+                saved_progress="",
+                max_attempts=1,
+            )
         )
