--- a/tests/transport/test_http_server.py
+++ b/tests/transport/test_http_server.py
@@ -9,7 +9,7 @@
 import trio.testing
 
 from yarrowloom.transport import http_server as http
-from yarrowloom.transport.http_head import write_head
+from yarrowloom.transport.http_head import Unread, write_head
 from yarrowloom.transport.http_server import Limits, Request, Response, Server
 
 
@@ -151,7 +151,7 @@
     parts = [p for a, b in zip([0, *cuts], [*cuts, len(raw)], strict=True) if (p := raw[a:b])]
     gap, end = rng.choice([0.0, 0.0, 0.4, 1.4, 2.9]), rng.random() < 0.3
     got, took = pieces(parts=parts, gap=gap, end=end)
-    monkeypatch.setattr(http, "read_head", lambda **_: False)
+    monkeypatch.setattr(http, "read_head", lambda **_: Unread.NOT_PLAIN)
     want, until = pieces(parts=parts, gap=gap, end=end)
     assert got.lower() == want.lower()
     assert abs(took - until) < 0.01
--- a/tests/transport/test_listener.py
+++ b/tests/transport/test_listener.py
@@ -48,9 +48,9 @@
 
 def test_as_many_are_accepted_at_once_as_wait_up_to_a_bound() -> None:
     with accept.open_listener(address="127.0.0.1:0") as listener:
-        clients = dialled(listener=listener, count=accept.ACCEPTS_MOST + 10)
+        clients = dialled(listener=listener, count=accept.MAX_ACCEPTS_PER_ROUND + 10)
         taken = [accept.accept_waiting(listener=listener) for _ in range(3)]
-        assert [len(rows) for rows in taken] == [accept.ACCEPTS_MOST, 10, 0]
+        assert [len(rows) for rows in taken] == [accept.MAX_ACCEPTS_PER_ROUND, 10, 0]
         for sock in [*clients, *(sock for rows in taken for sock in rows)]:
             sock.close()
 
@@ -83,7 +83,7 @@
 
     trio.run(main)
     assert served == RUSH
-    assert rounds <= 6 * (RUSH // accept.ACCEPTS_MOST + 1)
+    assert rounds <= 6 * (RUSH // accept.MAX_ACCEPTS_PER_ROUND + 1)
 
 
 @pytest.mark.parametrize(
--- a/tests/transport/test_malformed_frames.py
+++ b/tests/transport/test_malformed_frames.py
@@ -16,7 +16,7 @@
 from yarrowloom.node.runtime import Runtime
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.minions import cluster
-from yarrowloom.transport.envelope import MAX_FRAME, Frame, Kind, Lane, join_messages, pack_frame
+from yarrowloom.transport.envelope import MAX_FRAME_BYTES, Frame, Kind, Lane, join_messages, pack_frame
 from yarrowloom.transport.peer_connections import PeerConnections
 
 SRC = "10.0.0.1:7000"
@@ -71,7 +71,7 @@
     "lane a text": framed(HEAD + field(number=1, wire=2, data=b"\x01a")),
     "boot a float": framed(HEAD + field(number=4, wire=1, data=bytes(8))),
     "wire type 7": framed(HEAD + field(number=6, wire=7, data=b"")),
-    "length above the most": struct.pack(">I", MAX_FRAME + 1) + GOOD[4:],
+    "length above the most": struct.pack(">I", MAX_FRAME_BYTES + 1) + GOOD[4:],
     "length of all ones": b"\xff" * 4 + GOOD[4:],
     "empty frame": framed(b""),
     "cut inside the body": framed(HEAD[:-3]),
--- a/yarrowloom/transport/envelope.py
+++ b/yarrowloom/transport/envelope.py
@@ -14,14 +14,21 @@
 from .message_kinds import Kind as Kind
 from .message_kinds import Lane as Lane
 
-MAX_FRAME = 32 * 1024 * 1024
+MAX_FRAME_BYTES = 32 * 1024 * 1024
 _LEN = struct.Struct(">I")
 
 
 @dataclass
 class Frame(betterproto.Message):  # type: ignore[misc]
-    """Invariant: `sequence` rises per sender life (`uid` and `incarnation`), receiver and lane; a receiver drops
-    what does not rise. `body` is a JSON array of [kind, message]; an empty one only carries the sequence.
+    """One frame.
+
+    Attributes:
+        lane: The number of the lane.
+        source: The sender's address.
+        node_id: The sender's node id.
+        incarnation: The sender's number among those with its node id.
+        sequence: Rises for each incarnation, receiver and lane; a receiver drops what does not rise.
+        body: A JSON array of [kind, message]; an empty one only carries the sequence (a probe).
     """
 
     lane: int = betterproto.uint32_field(1)
@@ -32,7 +39,7 @@
     body: bytes = betterproto.bytes_field(6)
 
     def typed(self) -> bool:
-        """Whether each field is of its type: the parser takes what the wire says, as a list of numbers for one."""
+        """Whether each field has its type; the parser takes what the wire says, for example a list of numbers."""
         return (
             all(type(number) is int for number in (self.lane, self.incarnation, self.sequence))
             and isinstance(self.source, str)
@@ -85,7 +92,7 @@
 
 
 class FrameEncoder:
-    """Writes the frames of one lane to one peer. All but the last two fields stay, so they are encoded once.
+    """Encodes the frames of one lane to one peer; all fields but the last two stay, so they are encoded once.
 
     >>> one = Frame(lane=2, source="a", node_id="a#0", incarnation=7, sequence=300, body=b"[]")
     >>> encoder = FrameEncoder(lane=Lane.WORK, source="a", node_id="a#0", incarnation=7)
@@ -97,17 +104,17 @@
         self._head = bytes(Frame(lane=int(lane), source=source, node_id=node_id, incarnation=incarnation))
 
     def encode(self, *, sequence: int, body: bytes) -> bytes:
-        """Length-prefixed bytes; `seq` is above 0, `body` not empty."""
+        """The frame's length-prefixed bytes; `sequence` is above 0, `body` not empty."""
         encoded = b"%b\x28%b\x32%b%b" % (self._head, _varint(sequence), _varint(len(body)), body)
         return _LEN.pack(len(encoded)) + encoded
 
 
-def dump(*, body: Any) -> bytes:
+def dump(*, body: object) -> bytes:
     """Encode a message; it may hold typed records."""
     return orjson.dumps(body, default=_plain_data, option=orjson.OPT_NON_STR_KEYS)
 
 
-def _plain_data(value: Any) -> Any:
+def _plain_data(value: object) -> object:
     """What stands for a value that the encoder does not know."""
     if isinstance(value, Record):
         return value.document()
@@ -124,29 +131,41 @@
 
 
 def split_messages(*, body: bytes, unknown: set[int] | None = None) -> list[tuple[Kind, Any]]:
-    """Messages of a frame, parsed at once; kinds that are not known are left out and noted in `unknown`. Raises
-    ValueError or TypeError.
+    """The messages of a frame's body.
+
+    Args:
+        body: The frame's body.
+        unknown: Takes the numbers of kinds that are not known; their messages are left out.
+
+    Raises:
+        ValueError: The body is no list of messages.
+        TypeError: The same.
 
     >>> split_messages(body=b'[[20,{"g":1}],[9999,{}]]')
     [(<Kind.LEADER_LEASE_REQUEST: 20>, {'g': 1})]
     """
-    out: list[tuple[Kind, Any]] = []
+    messages: list[tuple[Kind, Any]] = []
     known = Kind._value2member_map_
     for row in orjson.loads(body):
         if not isinstance(row, list) or len(row) != 2:
             raise ValueError("not a message")
-        kind = known.get(row[0]) if type(row[0]) is int else None
-        if isinstance(kind, Kind):
-            out.append((kind, row[1]))
-        elif type(row[0]) is not int:
+        number, message = row
+        if type(number) is not int:
             raise ValueError("not a kind")
+        kind = known.get(number)
+        if isinstance(kind, Kind):
+            messages.append((kind, message))
         elif unknown is not None:
-            unknown.add(row[0])
-    return out
+            unknown.add(number)
+    return messages
 
 
 class MalformedFrameError(ValueError):
-    """What cannot be read on a connection, which ends there; `frames` came whole before it."""
+    """A connection brought what is no frame, and ends there.
+
+    Attributes:
+        frames: The whole frames that came before it.
+    """
 
     def __init__(self, text: str, *, frames: list[Frame]) -> None:
         super().__init__(text)
@@ -154,7 +173,7 @@
 
 
 class FrameDecoder:
-    """Cuts a byte stream into frames; raises MalformedFrameError on anything malformed."""
+    """Cuts a stream of bytes into frames."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
@@ -162,7 +181,7 @@
         self._last = Frame()
 
     def _read(self, encoded: bytes) -> Frame:
-        """One frame; the short way if only `seq` and `body` differ from the last one."""
+        """Parse one frame, on a short way if only `sequence` and `body` differ from the last one."""
         position, last = len(self._head), self._last
         if position and encoded.startswith(self._head) and encoded[position : position + 1] == b"\x28":
             sequence, position = _read_varint(encoded, position + 1)
@@ -185,11 +204,14 @@
         return frame
 
     def feed(self, data: bytes) -> list[Frame]:
-        """Take bytes, return whole frames.
+        """Take bytes and return the frames that are whole now.
+
+        Raises:
+            MalformedFrameError: The bytes are no frame.
 
         >>> one = pack_frame(frame=Frame(lane=1, source="a", body=b"[]"))
-        >>> cut = FrameDecoder()
-        >>> [f.source for f in cut.feed(one[:5]) + cut.feed(one[5:] + one)]
+        >>> decoder = FrameDecoder()
+        >>> [frame.source for frame in decoder.feed(one[:5]) + decoder.feed(one[5:] + one)]
         ['a', 'a']
         """
         self._buffer += data
@@ -197,7 +219,7 @@
         position = 0
         while len(self._buffer) - position >= 4:
             (size,) = _LEN.unpack_from(self._buffer, position)
-            if size > MAX_FRAME:
+            if size > MAX_FRAME_BYTES:
                 raise MalformedFrameError(f"frame of {size} bytes is too large", frames=out)
             if len(self._buffer) - position - 4 < size:
                 break
--- a/yarrowloom/transport/header_rules.py
+++ b/yarrowloom/transport/header_rules.py
@@ -1,18 +1,18 @@
-"""A list of rules says what happens to each header."""
+"""Which headers of a response are passed on, as a table of rules."""
 
 import enum
 from collections.abc import Iterable
 
 
 class Action(enum.Enum):
-    """What is done."""
+    """What is done with a header."""
 
     KEEP = "keep"
     DROP = "drop"
 
 
 class Rule(enum.Enum):
-    """Where a rule list applies."""
+    """Where a list of rules applies."""
 
     RESPONSE = "response"
 
@@ -34,9 +34,9 @@
     >>> screen(headers=[("content-length", "3"), ("retry-after", "1")], rule=Rule.RESPONSE)
     [('retry-after', '1')]
     """
-    out = []
-    for key, value in headers:
-        act = next(a for p, a in RULES[rule] if key.lower().startswith(p))
-        if act is Action.KEEP:
-            out.append((key, value))
-    return out
+    kept = []
+    for name, value in headers:
+        action = next(action for prefix, action in RULES[rule] if name.lower().startswith(prefix))
+        if action is Action.KEEP:
+            kept.append((name, value))
+    return kept
--- a/yarrowloom/transport/listener.py
+++ b/yarrowloom/transport/listener.py
@@ -12,7 +12,7 @@
 import trio
 
 BACKLOG = 2048  # connections that the system keeps until they are accepted; beyond, it drops the opening packet
-ACCEPTS_MOST = 64  # accepted in one round
+MAX_ACCEPTS_PER_ROUND = 64  # accepted in one round
 PAUSE_S = 0.1  # after an error for want of descriptors or memory
 _EXHAUSTED = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.ENOBUFS})
 
@@ -34,9 +34,13 @@
     return listener
 
 
-def accept_waiting(*, listener: socket.socket, most: int = ACCEPTS_MOST) -> list[socket.socket]:
-    """Accept up to `most` of the connections that wait now. Raises OSError only if it could accept none, for want of
-    descriptors or memory; a connection that its peer gave up meanwhile is passed over.
+def accept_waiting(*, listener: socket.socket, most: int = MAX_ACCEPTS_PER_ROUND) -> list[socket.socket]:
+    """Accept up to `most` of the connections that wait now.
+
+    A connection that its peer gave up meanwhile is passed over.
+
+    Raises:
+        OSError: None could be accepted, for want of descriptors or memory.
     """
     accepted: list[socket.socket] = []
     for _ in range(most):
@@ -54,8 +58,9 @@
 
 
 async def serve(*, listener: socket.socket, handler: StreamHandler) -> None:
-    """Accept connections for ever; `handler` owns each of them in a task of its own. Whoever opened the listener
-    closes it, once this has ended.
+    """Accept connections for ever; `handler` owns each of them in a task of its own.
+
+    Whoever opened the listener closes it, once this has ended.
     """
     async with trio.open_nursery() as nursery:
         while True:
