--- a/tests/node/test_busy_process.py
+++ b/tests/node/test_busy_process.py
@@ -39,7 +39,7 @@
 
 
 def test_all_that_stood_still_together_go_on_as_before() -> None:
-    sim, oracle, caller, fleet = cluster(seed=92)
+    sim, oracle, caller, _ = cluster(seed=92)
     before = epochs(sim)
     job_ids = [caller.submit(stages=[{"task-count": 2, "cpus": 100, "mem-mb": 10}]) for _ in range(3)]
     sim.run(seconds=1.0)
--- a/tests/node/test_call_repeats.py
+++ b/tests/node/test_call_repeats.py
@@ -59,7 +59,7 @@
 
 
 def test_a_minion_leaves_through_any_node_and_its_agent_knows() -> None:
-    sim, _, _, fleet = cluster(seed=503)
+    sim, _, _, _ = cluster(seed=503)
     owner = owner_of(sim, minion_id="i-0")
     for ip in sim.core_ips:
         status, _ = sim.ask(ip=ip, method="DELETE", path="/minions/i-0")
