--- a/tests/prediction/test_warm_plan.py
+++ b/tests/prediction/test_warm_plan.py
@@ -6,81 +6,84 @@
 
 import pytest
 
-from yarrowloom.prediction import Bounds, Form, Prediction, Room, Warm, Why
-from yarrowloom.prediction import warm_plan as warm_mod
+from yarrowloom.prediction import Basis, Prediction, TaskShape, WarmLimits, WarmPlanner, WarmRequest, warm_plan
 
-ON = Bounds(on=True, core_s=1200.0, tasks=16, expiry_ms=4000.0, lead_ms=400.0, least=0.6)
+ON = WarmLimits(
+    is_on=True, max_core_s_per_minute=1200.0, max_tasks=16, max_hold_ms=4000.0, lead_ms=400.0, min_confidence=0.6
+)
 
 
 def pred(**more: Any) -> Prediction:
     base: dict[str, Any] = {
         "kind": "k",
-        "why": Why.PERIOD,
-        "early": 1000,
-        "likely": 1200,
-        "late": 1500,
+        "basis": Basis.PERIOD,
+        "earliest_ms": 1000,
+        "likely_ms": 1200,
+        "latest_ms": 1500,
         "queue": "q",
         "service": "s",
-        "form": Form(1000, 64, 0, ""),
-        "gang": False,
-        "tight": False,
-        "n": 2,
-        "near": "",
+        "shape": TaskShape(1000, 64, 0, ""),
+        "is_gang": False,
+        "prefers_same_rack": False,
+        "task_count": 2,
+        "preferred_label": "",
         "confidence": 0.9,
-        "jobs": 1.0,
+        "job_count": 1.0,
     }
     return Prediction(**{**base, **more})
 
 
-def rich(*, bounds: Bounds = ON) -> Warm:
-    """One whose purse has filled."""
-    w = Warm(bounds=bounds)
-    w.plan(now_ms=-(10**6), steady=-600_000.0, preds=[])
-    w.plan(now_ms=0, steady=0.0, preds=[])
+def rich(*, limits: WarmLimits = ON) -> WarmPlanner:
+    """One whose budget has filled."""
+    w = WarmPlanner(limits=limits)
+    w.plan(wall_now_ms=-(10**6), steady_ms=-600_000.0, predictions=[])
+    w.plan(wall_now_ms=0, steady_ms=0.0, predictions=[])
     return w
 
 
 def test_room_is_wanted_only_shortly_before_the_call_and_expires() -> None:
     w = rich()
-    assert w.plan(now_ms=500, steady=500.0, preds=[pred()]) == []
-    got = w.plan(now_ms=700, steady=700.0, preds=[pred()])
-    assert [(r.kind, r.n, r.until) for r in got] == [("k", 2, 700.0 + 800 + 400)]
-    assert w.plan(now_ms=1900, steady=1900.0, preds=[]) == []
-    assert (w.hits, w.misses) == (0, 1)
-    assert w.held == pytest.approx(2 * 1.2)
+    assert w.plan(wall_now_ms=500, steady_ms=500.0, predictions=[pred()]) == []
+    got = w.plan(wall_now_ms=700, steady_ms=700.0, predictions=[pred()])
+    assert [(r.kind, r.task_count, r.until_ms) for r in got] == [("k", 2, 700.0 + 800 + 400)]
+    assert w.plan(wall_now_ms=1900, steady_ms=1900.0, predictions=[]) == []
+    assert (w.figures.hits, w.figures.misses) == (0, 1)
+    assert w.figures.held_core_s == pytest.approx(2 * 1.2)
 
 
 def test_hit_closes_the_room_and_charges_only_what_was_held() -> None:
     w = rich()
-    w.plan(now_ms=900, steady=900.0, preds=[pred()])
-    w.hit(kind="k", steady=1400.0, wait_ms=12)
-    assert (w.hits, w.misses, w.rooms) == (1, 0, {})
-    assert w.held == pytest.approx(2 * 0.5)
-    w.hit(kind="k", steady=1500.0, wait_ms=900)
+    w.plan(wall_now_ms=900, steady_ms=900.0, predictions=[pred()])
+    w.hit(kind="k", steady_ms=1400.0, wait_ms=12)
+    assert (w.figures.hits, w.figures.misses, w.requests) == (1, 0, {})
+    assert w.figures.held_core_s == pytest.approx(2 * 0.5)
+    w.hit(kind="k", steady_ms=1500.0, wait_ms=900)
     got = w.report()
     assert (got["hits"], got["cold"], got["warm-ms"]["p50"], got["cold-ms"]["p50"]) == (1, 1, 16, 1024)
 
 
 def test_a_gang_is_kept_whole_or_not_at_all_other_work_in_part() -> None:
-    w = rich(bounds=Bounds(on=True, tasks=5))
-    assert w.plan(now_ms=900, steady=900.0, preds=[pred(gang=True, n=6)]) == []
-    assert [r.n for r in w.plan(now_ms=900, steady=900.0, preds=[pred(kind="b", n=6)])] == [5]
-    assert w.plan(now_ms=900, steady=900.0, preds=[pred(kind="c", n=1)])[0].kind == "b"
+    w = rich(limits=WarmLimits(is_on=True, max_tasks=5))
+    assert w.plan(wall_now_ms=900, steady_ms=900.0, predictions=[pred(is_gang=True, task_count=6)]) == []
+    assert [
+        r.task_count for r in w.plan(wall_now_ms=900, steady_ms=900.0, predictions=[pred(kind="b", task_count=6)])
+    ] == [5]
+    assert w.plan(wall_now_ms=900, steady_ms=900.0, predictions=[pred(kind="c", task_count=1)])[0].kind == "b"
 
 
 def test_off_gives_everything_up_without_a_miss() -> None:
     w = rich()
-    w.plan(now_ms=900, steady=900.0, preds=[pred()])
-    w.set(bounds=Bounds(on=False), steady=950.0)
-    assert w.plan(now_ms=960, steady=960.0, preds=[pred(kind="x")]) == []
-    assert w.misses == 0
-    assert w.gone == 1
-    assert Bounds().on is False
+    w.plan(wall_now_ms=900, steady_ms=900.0, predictions=[pred()])
+    w.change_limits(limits=WarmLimits(is_on=False), steady_ms=950.0)
+    assert w.plan(wall_now_ms=960, steady_ms=960.0, predictions=[pred(kind="x")]) == []
+    assert w.figures.misses == 0
+    assert w.figures.given_up == 1
+    assert WarmLimits().is_on is False
 
 
 def test_a_new_holder_begins_with_nothing() -> None:
-    w = Warm(bounds=ON)
-    assert w.plan(now_ms=1000, steady=5.0, preds=[pred()]) == []
+    w = WarmPlanner(limits=ON)
+    assert w.plan(wall_now_ms=1000, steady_ms=5.0, predictions=[pred()]) == []
 
 
 def test_misses_back_off_and_a_hit_restores() -> None:
@@ -89,17 +92,19 @@
     begun, t = 0, 0.0
     for _ in range(3000):
         t += 100.0
-        before = set(w.rooms)
-        begun += bool(set(r.kind for r in w.plan(now_ms=0, steady=t, preds=[pred(early=0, likely=0, late=0)])) - before)
+        before = set(w.requests)
+        at_once = pred(earliest_ms=0, likely_ms=0, latest_ms=0)
+        kinds = {r.kind for r in w.plan(wall_now_ms=0, steady_ms=t, predictions=[at_once])}
+        begun += bool(kinds - before)
     assert begun <= 10
-    assert w.misses >= 5
+    assert w.figures.misses >= 5
     assert w.report()["off"] == ["k"]
     for _ in range(10):
-        w.began_cold(kind="k", wait_ms=500)
-    assert w.plan(now_ms=0, steady=t + 1, preds=[pred(early=0, likely=0, late=0)])
-    w.hit(kind="k", steady=t + 2, wait_ms=1)
+        w.started_cold(kind="k", wait_ms=500)
+    assert w.plan(wall_now_ms=0, steady_ms=t + 1, predictions=[pred(earliest_ms=0, likely_ms=0, latest_ms=0)])
+    w.hit(kind="k", steady_ms=t + 2, wait_ms=1)
     assert w.report()["off"] == []
-    assert w.plan(now_ms=0, steady=t + 3, preds=[pred(early=0, likely=0, late=0)])
+    assert w.plan(wall_now_ms=0, steady_ms=t + 3, predictions=[pred(earliest_ms=0, likely_ms=0, latest_ms=0)])
 
 
 def worst_minute(*, log: list[tuple[float, float, float]]) -> float:
@@ -132,25 +137,25 @@
 def test_bounds_hold_whatever_comes(seed: int) -> None:
     """Adversarial predictions, wall clock steps, hits and losses at random: an oracle adds up what is held."""
     rng = random.Random(seed)
-    bounds = Bounds(
-        on=True,
-        core_s=rng.choice([50.0, 1000.0, 5000.0]),
-        tasks=rng.choice([1, 8, 64]),
-        expiry_ms=rng.choice([500.0, 4000.0, 60_000.0]),
+    bounds = WarmLimits(
+        is_on=True,
+        max_core_s_per_minute=rng.choice([50.0, 1000.0, 5000.0]),
+        max_tasks=rng.choice([1, 8, 64]),
+        max_hold_ms=rng.choice([500.0, 4000.0, 60_000.0]),
         lead_ms=400.0,
-        least=0.5,
+        min_confidence=0.5,
     )
-    w = Warm(bounds=bounds)
+    w = WarmPlanner(limits=bounds)
     t, wall_now = 0.0, 10**12
     log: list[tuple[float, float, float]] = []  # from, to, cores
-    open_rooms: dict[str, Room] = {}
+    open_rooms: dict[str, WarmRequest] = {}
 
     def follow(*, now: float) -> None:
         for kind, room in list(open_rooms.items()):
-            if w.rooms.get(kind) is not room:
-                log.append((room.since, min(now, room.until), room.cores))
+            if w.requests.get(kind) is not room:
+                log.append((room.since_ms, min(now, room.until_ms), room.cores))
                 del open_rooms[kind]
-        open_rooms.update(w.rooms)
+        open_rooms.update(w.requests)
 
     for _ in range(600):
         t += rng.choice([0.0, 1.0, 50.0, 50.0, 50.0, 300.0, 3000.0])
@@ -162,53 +167,62 @@
             preds.append(
                 pred(
                     kind=f"k{rng.randint(0, 40)}",
-                    early=early,
-                    likely=early,
-                    late=late,
+                    earliest_ms=early,
+                    likely_ms=early,
+                    latest_ms=late,
                     service=f"s{rng.randint(0, 1)}",
-                    n=rng.choice([1, 4, 20_000]),
-                    gang=rng.random() < 0.3,
+                    task_count=rng.choice([1, 4, 20_000]),
+                    is_gang=rng.random() < 0.3,
                     confidence=rng.random(),
-                    jobs=rng.choice([1.0, 64.0]),
-                    form=Form(rng.choice([0, 500, 32_000, 1 << 31]), 1, rng.choice([0, 8]), ""),
+                    job_count=rng.choice([1.0, 64.0]),
+                    shape=TaskShape(rng.choice([0, 500, 32_000, 1 << 31]), 1, rng.choice([0, 8]), ""),
                 )
             )
-        w.plan(now_ms=wall_now, steady=t, preds=preds)
+        w.plan(wall_now_ms=wall_now, steady_ms=t, predictions=preds)
         follow(now=t)
         for service in ("s0", "s1"):
-            assert sum(r.n for r in w.rooms.values() if r.service == service) <= bounds.tasks
-        for kind in list(w.rooms):
+            assert sum(r.task_count for r in w.requests.values() if r.service == service) <= bounds.max_tasks
+        for kind in list(w.requests):
             if rng.random() < 0.2:
-                w.hit(kind=kind, steady=t, wait_ms=5)
+                w.hit(kind=kind, steady_ms=t, wait_ms=5)
             elif rng.random() < 0.1:
-                w.lost(kind=kind, steady=t)
+                w.give_up(kind=kind, steady_ms=t)
         follow(now=t)
-        assert len(w.rooms) <= 2 * bounds.tasks
-        assert len(w.back) <= warm_mod.KINDS
-        assert len(w.by) <= warm_mod.KINDS
-    w.drop(steady=t)
+        assert len(w.requests) <= 2 * bounds.max_tasks
+        assert len(w.backoffs) <= warm_plan.MAX_KINDS
+        assert len(w.figures.by_kind) <= warm_plan.MAX_KINDS
+    w.give_up_all(steady_ms=t)
     follow(now=t)
-    assert w.held == pytest.approx(sum((b - a) * c / 1000 for a, b, c in log))
-    assert worst_minute(log=log) <= bounds.core_s * (1 + 1e-9)
+    assert w.figures.held_core_s == pytest.approx(sum((b - a) * c / 1000 for a, b, c in log))
+    assert worst_minute(log=log) <= bounds.max_core_s_per_minute * (1 + 1e-9)
     assert w.report()["core-s-left"] >= 0
 
 
 def test_the_worthiest_come_first_when_the_purse_is_short() -> None:
-    w = rich(bounds=Bounds(on=True, core_s=24.0, tasks=99))
-    rows = [pred(kind="cheap", n=1), pred(kind="dear", n=10), pred(kind="sure", n=1, confidence=0.99)]
-    got = w.plan(now_ms=900, steady=900.0, preds=rows)
+    w = rich(limits=WarmLimits(is_on=True, max_core_s_per_minute=24.0, max_tasks=99))
+    rows = [
+        pred(kind="cheap", task_count=1),
+        pred(kind="dear", task_count=10),
+        pred(kind="sure", task_count=1, confidence=0.99),
+    ]
+    got = w.plan(wall_now_ms=900, steady_ms=900.0, predictions=rows)
     assert [r.kind for r in got][:2] == ["sure", "cheap"]
-    heavy = rich(bounds=Bounds(on=True, core_s=24.0, tasks=99))
-    assert heavy.plan(now_ms=900, steady=900.0, preds=rows, weight={"q": 5.0})[0].kind == "sure"
+    heavy = rich(limits=WarmLimits(is_on=True, max_core_s_per_minute=24.0, max_tasks=99))
+    assert heavy.plan(wall_now_ms=900, steady_ms=900.0, predictions=rows, weights={"q": 5.0})[0].kind == "sure"
 
 
 def test_light_queues_leave_half_the_purse_to_the_weightiest() -> None:
     """A stream of small sure calls can't drain what the urgent queue needs."""
-    w = rich(bounds=Bounds(on=True, core_s=40.0, tasks=99))
-    small = [pred(kind=f"s{i}", queue="small", early=0, likely=0, late=10**6) for i in range(50)]
+    w = rich(limits=WarmLimits(is_on=True, max_core_s_per_minute=40.0, max_tasks=99))
+    small = [pred(kind=f"s{i}", queue="small", earliest_ms=0, likely_ms=0, latest_ms=10**6) for i in range(50)]
     weight = {"urgent": 100.0, "small": 1.0}
-    w.plan(now_ms=0, steady=0.0, preds=small, weight=weight)
-    assert w.rooms
-    assert sum(r.cores * (r.until - r.since) / 1000 for r in w.rooms.values()) <= 10.0
-    got = w.plan(now_ms=0, steady=0.0, preds=[pred(kind="u", queue="urgent", early=0, late=10**6)], weight=weight)
+    w.plan(wall_now_ms=0, steady_ms=0.0, predictions=small, weights=weight)
+    assert w.requests
+    assert sum(r.cores * (r.until_ms - r.since_ms) / 1000 for r in w.requests.values()) <= 10.0
+    got = w.plan(
+        wall_now_ms=0,
+        steady_ms=0.0,
+        predictions=[pred(kind="u", queue="urgent", earliest_ms=0, latest_ms=10**6)],
+        weights=weight,
+    )
     assert got[0].kind == "u"
--- a/tests/scheduling/test_warm_capacity.py
+++ b/tests/scheduling/test_warm_capacity.py
@@ -61,10 +61,10 @@
     sim.run(seconds=0.1)
     busy = {m.minion_id for m in fleet if m.running}
     assert busy and not busy & set(kept.tasks_by_minion), "later ranks keep off warm room"
-    hits = scheduler.warm.warm.hits
+    hits = scheduler.warm.planner.figures.hits
     caller.submit(stages=[URGENT])
     sim.run(seconds=0.3)
-    assert scheduler.warm.warm.hits == hits + 1
+    assert scheduler.warm.planner.figures.hits == hits + 1
     assert caller.state(job_id=slow, queue="slow")[0] == 200
     ended(sim=sim, oracle=oracle, caller=caller)
 
@@ -80,7 +80,8 @@
     scheduler = scheduler_of(sim)
     assert sim.until(
         cond=lambda: any(
-            k.room.queue == "fast" and k.room.until / 1000 - sim.now > 0.5 for k in scheduler.warm.reservations.values()
+            k.request.queue == "fast" and k.request.until_ms / 1000 - sim.now > 0.5
+            for k in scheduler.warm.reservations.values()
         ),
         limit=6.0,
     )
@@ -138,7 +139,7 @@
     scheduler = scheduler_of(sim)
     for one in scheduler.warm.reservations.values():
         assert victim.minion_id not in one.tasks_by_minion or what in ("kill", "config")
-        assert what != "config" or one.room.queue != "fast"
+        assert what != "config" or one.request.queue != "fast"
     minions = scheduler.context.capacity.minions.values()
     assert all(
         m.warm_reserved == (0, 0, 0)
--- a/tests/support/prediction_trial.py
+++ b/tests/support/prediction_trial.py
@@ -9,7 +9,7 @@
 import orjson
 
 from yarrowloom.jobs.submission import Step, parse_submission
-from yarrowloom.prediction import Bounds, History, Warm, kind_key
+from yarrowloom.prediction import History, WarmLimits, WarmPlanner, kind_key
 
 T0 = 1_700_000_000_000
 SECS = 600.0
@@ -39,7 +39,7 @@
 def run(*, name: str, streams: list[Stream], weight: dict[str, float] | None = None) -> None:
     """Print calls that found a room of their kind or queue, of all calls, and what the rooms cost."""
     evs = sorted((t, q, i) for i, (q, _, ts) in enumerate(streams) for t in ts if t < SECS)
-    hist, warm = History(), Warm(bounds=Bounds(on=True, core_s=3000.0, tasks=64))
+    hist, warm = History(), WarmPlanner(limits=WarmLimits(is_on=True, max_core_s_per_minute=3000.0, max_tasks=64))
     hits: dict[str, list[int]] = {}
     k, t = 0, 0.0
     while t < SECS:
@@ -48,24 +48,25 @@
             at, q, i = evs[k]
             k += 1
             steps = streams[i][1]()
-            room = warm.room(q=q, kind=kind_key(q=q, steps=steps))
+            room = warm.request_for(queue=q, kind=kind_key(queue=q, steps=steps))
             row = hits.setdefault(q, [0, 0])
             row[0] += room is not None
             row[1] += 1
             if room is not None:
-                warm.hit(kind=room.kind, steady=at * 1000, wait_ms=0)
+                warm.hit(kind=room.kind, steady_ms=at * 1000, wait_ms=0)
             else:
-                warm.began_cold(kind=kind_key(q=q, steps=steps), wait_ms=0)
-            hist.note_job(at=T0 + int(at * 1000), job_id=f"{k:016x}", q=q, service="s", steps=steps)
+                warm.started_cold(kind=kind_key(queue=q, steps=steps), wait_ms=0)
+            hist.note_job(at_ms=T0 + int(at * 1000), job_id=f"{k:016x}", queue=q, service="s", steps=steps)
         now = T0 + int(t * 1000)
-        warm.plan(now_ms=now, steady=t * 1000, preds=hist.predict(now_ms=now, horizon_ms=4000), weight=weight)
+        predictions = hist.predict(now_ms=now, horizon_ms=4000)
+        warm.plan(wall_now_ms=now, steady_ms=t * 1000, predictions=predictions, weights=weight)
     print(
         name,
         {q: f"{a}/{b}" for q, (a, b) in sorted(hits.items())},
         "unused",
-        warm.misses,
+        warm.figures.misses,
         "core-s a minute",
-        round(warm.held / SECS * 60),
+        round(warm.figures.held_core_s / SECS * 60),
     )
 
 
--- a/yarrowloom/jobs/history.py
+++ b/yarrowloom/jobs/history.py
@@ -12,23 +12,32 @@
     def note_job(
         self,
         *,
-        at: int,
+        at_ms: int,
         job_id: str,
-        q: str,
+        queue: str,
         service: str,
         steps: Sequence[Step],
-        first: int,
-        period: int,
-        times: int,
+        first_run_ms: int,
+        period_ms: int,
+        repeat_count: int,
     ) -> None:
         """A job was accepted."""
 
     def note_end(
-        self, *, q: str, step: Step, task: str, run: int, how: str, ms: float, whole: bool, minion_id: str
+        self,
+        *,
+        queue: str,
+        step: Step,
+        task: str,
+        run_id: int,
+        outcome: str,
+        ran_ms: float,
+        began_afresh: bool,
+        minion_id: str,
     ) -> None:
         """A run of a task ended."""
 
-    def note_over(self, *, at: int, job_id: str, q: str, steps: Sequence[Step], done: bool) -> None:
+    def note_over(self, *, at_ms: int, job_id: str, queue: str, steps: Sequence[Step], is_complete: bool) -> None:
         """A job ended."""
 
     def dump(self) -> dict[str, Any]:
--- a/yarrowloom/jobs/state_machine.py
+++ b/yarrowloom/jobs/state_machine.py
@@ -115,14 +115,14 @@
         self._count_pending(queue=job.queue)
         if self.history is not None:
             self.history.note_job(
-                at=job.accepted_at_ms,
+                at_ms=job.accepted_at_ms,
                 job_id=event.job_id,
-                q=job.queue,
+                queue=job.queue,
                 service=job.service,
                 steps=job.steps,
-                first=job.first_run_ms,
-                period=job.period_ms,
-                times=job.repeat_count,
+                first_run_ms=job.first_run_ms,
+                period_ms=job.period_ms,
+                repeat_count=job.repeat_count,
             )
         if job.repeat_count:
             return [JobTimed(job_id=event.job_id)]
@@ -175,14 +175,14 @@
         started_at_ms = unit.started_at_ms.pop(event.index, 0) if unit.started_at_ms is not UNSET else 0
         if self.history is not None and started_at_ms and event.ended_at_ms:
             self.history.note_end(
-                q=job.queue,
+                queue=job.queue,
                 step=step,
                 task=task_name(job_id=event.job_id, unit_key=event.unit_key, index=event.index),
-                run=event.run_id,
-                how=event.outcome,
-                ms=float(max(event.ended_at_ms - started_at_ms, 0)),
+                run_id=event.run_id,
+                outcome=event.outcome,
+                ran_ms=float(max(event.ended_at_ms - started_at_ms, 0)),
                 minion_id=unit.minion_ids[event.index],
-                whole=not unit.saved_progress[_shared_index(step=step, index=event.index)],
+                began_afresh=not unit.saved_progress[_shared_index(step=step, index=event.index)],
             )
         if event.outcome == RunOutcome.DONE and not step.is_long_running:
             effects = self._complete_task(event, job=job, step=step, unit=unit)
@@ -293,7 +293,9 @@
         """Tell the history if a job has ended, before its steps are dropped. Without a time, it isn't told."""
         if self.history is not None and at_ms and job.has_ended and not job.is_trimmed:
             is_complete = job.state is JobState.COMPLETE
-            self.history.note_over(at=at_ms, job_id=job_id, q=job.queue, steps=job.steps, done=is_complete)
+            self.history.note_over(
+                at_ms=at_ms, job_id=job_id, queue=job.queue, steps=job.steps, is_complete=is_complete
+            )
 
     def _trim_if_over(self, *, job: Job) -> None:
         if job.has_ended and not any(unit.has_running_task() for unit in job.units.values()):
--- a/yarrowloom/prediction/__init__.py
+++ b/yarrowloom/prediction/__init__.py
@@ -1,31 +1,23 @@
-"""What the system learns from its own record: when kinds of job are called, how long their tasks run.
+"""What the system learns from the events of jobs: when kinds of jobs are called, and how long their tasks run.
 
-Pure: no sockets, no clocks. `History` is state of the jobs' reducer; `Warm`, `Filler`, `reserve`, `may_fill` and
-`in_the_way` are for placing nodes.
+Pure: no sockets, no clocks. `History` is state that the reducer of jobs feeds; `WarmPlanner` and the functions of
+backfill are for nodes that schedule.
 """
 
-from .backfill import Filler, Minion, Reservation, Run, in_the_way, may_fill, reserve
 from .history import History
-from .job_kind import Form, Prediction, Why, kind_key, queue_key
-from .run_times import Times
-from .warm_plan import Bounds, Room, Warm
+from .job_kind import Basis, Prediction, TaskShape, kind_key, queue_key
+from .run_times import RunTimeQuantiles
+from .warm_plan import WarmLimits, WarmPlanner, WarmRequest
 
 __all__ = [
-    "Bounds",
-    "Filler",
-    "Form",
+    "Basis",
     "History",
-    "Minion",
     "Prediction",
-    "Reservation",
-    "Room",
-    "Run",
-    "Times",
-    "Warm",
-    "Why",
-    "in_the_way",
+    "RunTimeQuantiles",
+    "TaskShape",
+    "WarmLimits",
+    "WarmPlanner",
+    "WarmRequest",
     "kind_key",
-    "may_fill",
     "queue_key",
-    "reserve",
 ]
--- a/yarrowloom/prediction/accuracy.py
+++ b/yarrowloom/prediction/accuracy.py
@@ -1,89 +1,93 @@
-"""Whether predictions of one sort come true: the last outcomes as bits, with an off switch."""
+"""Whether predictions of one sort come true: the last outcomes as bits, with a switch that turns them off."""
 
 import enum
 from typing import Any
 
-KEEP = 16
-LEAST = 4  # outcomes needed before anything is believed
-ON_AT = 0.6
-OFF_AT = 0.35
-_MASK = (1 << KEEP) - 1
+MAX_OUTCOMES = 16
+MIN_OUTCOMES = 4  # needed before a prediction is trusted or distrusted
+TRUST_FROM = 0.6  # share of right predictions from which they are trusted
+DISTRUST_BELOW = 0.35
+_MASK = (1 << MAX_OUTCOMES) - 1
 
 
 class Trust(str, enum.Enum):
-    """The switch."""
+    """Whether predictions are used."""
 
-    FRESH = "fresh"
+    FRESH = "fresh"  # too few outcomes are known
     ON = "on"
     OFF = "off"
 
 
-MOVES: dict[Trust, frozenset[Trust]] = {
+TRANSITIONS: dict[Trust, frozenset[Trust]] = {
     Trust.FRESH: frozenset({Trust.ON, Trust.OFF}),
     Trust.ON: frozenset({Trust.OFF}),
     Trust.OFF: frozenset({Trust.ON}),
 }
 
 
-class Score:
-    """Invariants: `bits` holds the last `tries` (at most KEEP) outcomes, newest lowest; ON turns OFF only below
-    OFF_AT, OFF or FRESH turns ON only from ON_AT and LEAST outcomes; outcomes count on while OFF.
+class Accuracy:
+    """The record of one sort of prediction. Outcomes are recorded also while it isn't trusted.
+
+    Attributes:
+        outcomes: The last outcomes as bits, the newest lowest; 1: it came true.
+        count: How many of them are known. Invariant: at most MAX_OUTCOMES.
+        trust: Invariant: ON turns OFF only below DISTRUST_BELOW; OFF and FRESH turn ON only from TRUST_FROM and
+            MIN_OUTCOMES on.
     """
 
-    __slots__ = ("bits", "tries", "trust")
+    __slots__ = ("count", "outcomes", "trust")
 
     def __init__(self) -> None:
-        self.bits = 0
-        self.tries = 0
+        self.outcomes = 0
+        self.count = 0
         self.trust = Trust.FRESH
 
     @property
-    def rate(self) -> float:
+    def success_rate(self) -> float:
         """Share that came true, drawn towards one half while there are few.
 
-        >>> Score().rate
+        >>> Accuracy().success_rate
         0.5
         """
-        return (self.bits.bit_count() + 1) / (self.tries + 2)
+        return (self.outcomes.bit_count() + 1) / (self.count + 2)
 
     @property
-    def on(self) -> bool:
-        """Predictions may be used."""
+    def is_trusted(self) -> bool:
+        """Whether predictions may be used."""
         return self.trust is Trust.ON
 
-    def push(self, *, ok: bool) -> None:
-        """One more outcome."""
-        self.bits = (self.bits << 1 | ok) & _MASK
-        if self.tries < KEEP:
-            self.tries += 1
-        self.settle()
+    def record(self, *, came_true: bool) -> None:
+        """Take note of one more outcome."""
+        self.outcomes = (self.outcomes << 1 | came_true) & _MASK
+        if self.count < MAX_OUTCOMES:
+            self.count += 1
+        self._update_trust()
 
-    def settle(self) -> None:
-        """Turn the switch where the outcomes ask for it."""
-        if self.tries < LEAST:
+    def _update_trust(self) -> None:
+        if self.count < MIN_OUTCOMES:
             return
-        share = self.bits.bit_count() / self.tries
+        share = self.outcomes.bit_count() / self.count
         if self.trust is Trust.ON:
-            to = Trust.OFF if share < OFF_AT else Trust.ON
+            trust = Trust.OFF if share < DISTRUST_BELOW else Trust.ON
         else:
-            to = Trust.ON if share >= ON_AT else Trust.OFF
-        if to is not self.trust:
-            assert to in MOVES[self.trust]
-            self.trust = to
+            trust = Trust.ON if share >= TRUST_FROM else Trust.OFF
+        if trust is not self.trust:
+            assert trust in TRANSITIONS[self.trust]
+            self.trust = trust
 
-    def dump(self) -> Any:
-        """As plain data."""
-        return [self.bits, self.tries, self.trust.value]
+    def dump(self) -> list[Any]:
+        """The record as plain data: outcomes, count, trust."""
+        return [self.outcomes, self.count, self.trust.value]
 
     @classmethod
-    def load(cls, document: Any) -> "Score":
-        """Undo `dump`.
+    def load(cls, document: list[Any]) -> "Accuracy":
+        """The record that `dump` gave.
 
-        >>> s = Score()
-        >>> for ok in (True, True, False, True): s.push(ok=ok)
-        >>> (s.on, Score.load(s.dump()).dump() == s.dump())
+        >>> accuracy = Accuracy()
+        >>> for came_true in (True, True, False, True): accuracy.record(came_true=came_true)
+        >>> (accuracy.is_trusted, Accuracy.load(accuracy.dump()).dump() == accuracy.dump())
         (True, True)
         """
-        out = cls()
-        out.bits, out.tries, out.trust = document[0], document[1], Trust(document[2])
-        return out
+        accuracy = cls()
+        accuracy.outcomes, accuracy.count, accuracy.trust = document[0], document[1], Trust(document[2])
+        return accuracy
--- a/yarrowloom/prediction/backfill.py
+++ b/yarrowloom/prediction/backfill.py
@@ -1,219 +1,273 @@
-"""Backfill: when could a group start, and may shorter work go ahead of it? (EASY, D. Lifka 1995, on minions.)"""
+"""Backfill: when a group can start, and which shorter work may go ahead of it (EASY, D. Lifka 1995, on minions)."""
 
 import math
-from collections.abc import Sequence
+from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from .histogram import Hist
-from .job_kind import Form
+from ..common.resources import NO_RESOURCES, Resources
+from .histogram import DurationHistogram
+from .job_kind import TaskShape
 
 OVERDUE_MS = 500.0  # a run past its predicted end is taken to end this long from now
+START_SLACK_MS = 100.0  # a reserved group that starts this late has still kept its time
 
 
-class Run(NamedTuple):
-    """What holds room: its predicted end (upper quantile, milliseconds of the caller's clock) and its size. `filler`:
-    it went ahead of a reservation; `saves`: it keeps its progress when stopped.
+class PlannedRun(NamedTuple):
+    """What holds capacity of a minion.
+
+    Attributes:
+        ends_ms: Its predicted end (an upper quantile), by the caller's clock.
+        is_filler: Whether it went ahead of a reservation.
+        takes_checkpoints: Whether it keeps its progress when it is stopped.
     """
 
     task: str
-    ends: float
-    form: Form
-    filler: bool = False
-    saves: bool = False
+    ends_ms: float
+    shape: TaskShape
+    is_filler: bool = False
+    takes_checkpoints: bool = False
+
+    def expected_end_ms(self, *, now_ms: float) -> float:
+        """When it ends; a run that is overdue ends soon."""
+        return self.ends_ms if self.ends_ms > now_ms else now_ms + OVERDUE_MS
 
 
 @dataclass(slots=True, kw_only=True)
-class Minion:
-    """A minion as a planner sees it. Invariant: `free` is what no member of `runs` holds: cpu, mem, gpu."""
+class PlannedMinion:
+    """A minion as a planner sees it.
+
+    Attributes:
+        free: Invariant: what no member of `runs` holds.
+    """
 
     minion_id: str
     rack: str
     labels: frozenset[str]
-    free: tuple[int, int, int]
-    runs: list[Run] = field(default_factory=list)
+    free: Resources
+    runs: list[PlannedRun] = field(default_factory=list)
 
-    def at(self, *, when: float, now: float) -> tuple[int, int, int]:
+    def free_at(self, *, when_ms: float, now_ms: float) -> Resources:
         """What is free at a time, if nothing more starts."""
-        cpu, mem, gpu = self.free
-        for r in self.runs:
-            if (r.ends if r.ends > now else now + OVERDUE_MS) <= when:
-                cpu, mem, gpu = cpu + r.form.cpu, mem + r.form.mem, gpu + r.form.gpu
-        return cpu, mem, gpu
-
-    def start(self, *, run: Run) -> None:
-        """A run takes its room."""
-        self.free = self.free[0] - run.form.cpu, self.free[1] - run.form.mem, self.free[2] - run.form.gpu
+        ended = [run for run in self.runs if run.expected_end_ms(now_ms=now_ms) <= when_ms]
+        return self.free_without(ended)
+
+    def free_without(self, runs: Iterable[PlannedRun]) -> Resources:
+        """What is free once these runs have ended."""
+        free = self.free
+        for run in runs:
+            free = free.plus(run.shape.resources)
+        return free
+
+    def start(self, *, run: PlannedRun) -> None:
+        """A run takes its capacity."""
+        self.free = self.free.plus(run.shape.resources, -1)
         self.runs.append(run)
 
 
 class Reservation(NamedTuple):
-    """A group that waits: it can start at `at` with so many tasks on each minion of `places`."""
+    """A group that waits.
+
+    Attributes:
+        at_ms: When it can start.
+        tasks_by_minion: How many of its tasks then start on each minion.
+    """
 
-    at: float
-    form: Form
-    places: dict[str, int]
+    at_ms: float
+    shape: TaskShape
+    tasks_by_minion: dict[str, int]
 
 
-def copies(*, free: tuple[int, int, int], form: Form, most: int) -> int:
-    """How many tasks fit.
+class Request(NamedTuple):
+    """What a group asks for.
 
-    >>> copies(free=(4000, 100, 2), form=Form(1000, 50, 1, ""), most=9)
+    Attributes:
+        same_rack: Whether all tasks are to run in one rack.
+        max_per_minion: Most tasks on one minion; 0: any number.
+    """
+
+    shape: TaskShape
+    task_count: int
+    same_rack: bool = False
+    max_per_minion: int = 0
+
+
+def copies(*, free: Resources, shape: TaskShape, most: int) -> int:
+    """How many tasks fit, at most `most`.
+
+    >>> copies(free=Resources(4000, 100, 2), shape=TaskShape(1000, 50, 1, ""), most=9)
     2
-    >>> copies(free=(4000, 100, 2), form=Form(0, 0, 0, ""), most=9)
+    >>> copies(free=Resources(4000, 100, 2), shape=TaskShape(0, 0, 0, ""), most=9)
     9
     """
-    out = most
-    for have, need in zip(free, form[:3], strict=True):
-        if need:
-            out = min(out, have // need)
-    return max(0, out)
+    fitting = [have // need for have, need in zip(free, shape.resources, strict=True) if need]
+    return max(0, min([most, *fitting]))
 
 
-def _sum(*, minion_id: str, held: Sequence[Reservation]) -> tuple[int, int, int]:
+def _reserved(*, minion_id: str, held: Iterable[Reservation]) -> Resources:
     """What reservations take of a minion together."""
-    rows = [(r.places.get(minion_id, 0), r.form) for r in held]
-    return sum(n * f.cpu for n, f in rows), sum(n * f.mem for n, f in rows), sum(n * f.gpu for n, f in rows)
+    total = NO_RESOURCES
+    for reservation in held:
+        total = total.plus(reservation.shape.resources, reservation.tasks_by_minion.get(minion_id, 0))
+    return total
 
 
-def _place(
-    *,
-    when: float,
-    now: float,
-    minions: Sequence[Minion],
-    form: Form,
-    n: int,
-    tight: bool,
-    apart: int,
-    held: Sequence[Reservation],
+def _spread(
+    *, when_ms: float, now_ms: float, minions: Sequence[PlannedMinion], request: Request, held: Sequence[Reservation]
 ) -> dict[str, int] | None:
+    """Tasks by minion if all fit at a time, on as few minions as can be; None if they don't."""
+    most = min(request.task_count, request.max_per_minion) if request.max_per_minion else request.task_count
     racks: dict[str, list[tuple[int, str]]] = {}
-    for m in minions:
-        if not form.req or form.req in m.labels:
-            cpu, mem, gpu = m.at(when=when, now=now)
-            off = _sum(minion_id=m.minion_id, held=held)
-            got = copies(free=(cpu - off[0], mem - off[1], gpu - off[2]), form=form, most=min(n, apart) if apart else n)
-            if got:
-                racks.setdefault(m.rack if tight else "", []).append((-got, m.minion_id))
-    fits = [rows for _, rows in sorted(racks.items()) if -sum(got for got, _ in rows) >= n]
-    if not fits:
+    for minion in minions:
+        if request.shape.required_label and request.shape.required_label not in minion.labels:
+            continue
+        free = minion.free_at(when_ms=when_ms, now_ms=now_ms)
+        free = free.plus(_reserved(minion_id=minion.minion_id, held=held), -1)
+        fitting = copies(free=free, shape=request.shape, most=most)
+        if fitting:
+            racks.setdefault(minion.rack if request.same_rack else "", []).append((-fitting, minion.minion_id))
+
+    def capacity(rack: Iterable[tuple[int, str]]) -> int:
+        return -sum(negative_fitting for negative_fitting, _ in rack)
+
+    feasible = [rack for _, rack in sorted(racks.items()) if capacity(rack) >= request.task_count]
+    if not feasible:
         return None
-    out: dict[str, int] = {}
-    for got, minion_id in sorted(max(fits, key=lambda rows: -sum(got for got, _ in rows))):
-        if n > 0:
-            out[minion_id] = min(-got, n)
-            n -= out[minion_id]
-    return out
+    tasks_by_minion: dict[str, int] = {}
+    left = request.task_count
+    for negative_fitting, minion_id in sorted(max(feasible, key=capacity)):
+        if left > 0:
+            tasks_by_minion[minion_id] = min(-negative_fitting, left)
+            left -= tasks_by_minion[minion_id]
+    return tasks_by_minion
 
 
 def reserve(
-    *,
-    now: float,
-    minions: Sequence[Minion],
-    form: Form,
-    n: int,
-    tight: bool = False,
-    apart: int = 0,
-    held: Sequence[Reservation] = (),
+    *, now_ms: float, minions: Sequence[PlannedMinion], request: Request, held: Sequence[Reservation] = ()
 ) -> Reservation | None:
-    """The earliest time at which `n` tasks fit at once (`tight`: in one rack; `apart`: so many a minion at most, 0 is
-    any), if nothing more starts and room of earlier reservations `held` stays untouched; None if not even once all
-    that runs has ended. Weighs log2(runs) times all minions.
+    """The earliest time at which a group fits at once.
+
+    It is assumed that nothing more starts, and capacity of earlier reservations (`held`) stays untouched. None if it
+    doesn't fit even once all that runs has ended. The cost is log2(runs) times all minions.
     """
-    times = sorted({now, *(r.ends if r.ends > now else now + OVERDUE_MS for m in minions for r in m.runs)})
+    ends = {run.expected_end_ms(now_ms=now_ms) for minion in minions for run in minion.runs}
+    times = sorted({now_ms, *ends})
     low, high = 0, len(times) - 1
     best: dict[str, int] | None = None
     while low <= high:
         middle = (low + high) // 2
-        got = _place(when=times[middle], now=now, minions=minions, form=form, n=n, tight=tight, apart=apart, held=held)
-        if got is None:
+        spread = _spread(when_ms=times[middle], now_ms=now_ms, minions=minions, request=request, held=held)
+        if spread is None:
             low = middle + 1
         else:
-            best, high = got, middle - 1
-    return Reservation(at=times[low], form=form, places=best) if best is not None else None
+            best, high = spread, middle - 1
+    return Reservation(times[low], request.shape, best) if best is not None else None
 
 
 def may_fill(
-    *, now: float, minion: Minion, form: Form, upper_ms: float, held: Sequence[Reservation], slack_ms: float = 0.0
+    *,
+    now_ms: float,
+    minion: PlannedMinion,
+    shape: TaskShape,
+    upper_ms: float,
+    held: Sequence[Reservation],
+    slack_ms: float = 0.0,
 ) -> bool:
-    """May one task of `form` that runs for `upper_ms` at most start on `minion` now? It must fit, and for each
-    reservation there it must end by its time less the slack, or leave the room of all reservations there untouched.
+    """Whether one task that runs for `upper_ms` at most may start on a minion now.
+
+    It must fit, and for each reservation there it must end by its time less the slack, or leave the capacity of all
+    reservations there untouched.
 
-    >>> one = Form(1000, 0, 0, "")
-    >>> m = Minion(minion_id="m", rack="r", labels=frozenset(), free=(1000, 0, 0), runs=[Run("t", 500.0, one)])
-    >>> r = reserve(now=0.0, minions=[m], form=Form(2000, 0, 0, ""), n=1)
-    >>> [may_fill(now=0.0, minion=m, form=one, upper_ms=ms, held=[r]) for ms in (500, 501)]
+    >>> one = TaskShape(1000, 0, 0, "")
+    >>> run = PlannedRun("t", 500.0, one)
+    >>> minion = PlannedMinion(minion_id="m", rack="r", labels=frozenset(), free=Resources(1000, 0, 0), runs=[run])
+    >>> request = Request(shape=TaskShape(2000, 0, 0, ""), task_count=1)
+    >>> held = [reserve(now_ms=0.0, minions=[minion], request=request)]
+    >>> [may_fill(now_ms=0.0, minion=minion, shape=one, upper_ms=ms, held=held) for ms in (500, 501)]
     [True, False]
     """
-    if (form.req and form.req not in minion.labels) or not copies(free=minion.free, form=form, most=1):
+    if shape.required_label and shape.required_label not in minion.labels:
         return False
-    mine = [r for r in held if minion.minion_id in r.places]
-    if not mine:
+    if not copies(free=minion.free, shape=shape, most=1):
+        return False
+    held_here = [reservation for reservation in held if minion.minion_id in reservation.tasks_by_minion]
+    if not held_here:
         return True
-    used = _sum(minion_id=minion.minion_id, held=mine)
-    used = used[0] + form.cpu, used[1] + form.mem, used[2] + form.gpu
+    needed = _reserved(minion_id=minion.minion_id, held=held_here).plus(shape.resources)
     return all(
-        now + upper_ms <= r.at - slack_ms
-        or all(have >= need for have, need in zip(minion.at(when=r.at, now=now), used, strict=True))
-        for r in mine
+        now_ms + upper_ms <= reservation.at_ms - slack_ms
+        or minion.free_at(when_ms=reservation.at_ms, now_ms=now_ms).holds(needed)
+        for reservation in held_here
     )
 
 
-def in_the_way(*, now: float, minion: Minion, held: Reservation) -> list[Run]:
-    """Once a reservation's time has come: the fillers to stop on a minion so that it can start, those that keep
-    their progress first, then the ones that would end last, none in vain; nothing if stopping them does not help.
+def fillers_to_stop(*, now_ms: float, minion: PlannedMinion, held: Reservation) -> list[PlannedRun]:
+    """Once a reservation's time has come: the fillers to stop on a minion so that it can start.
+
+    Those that keep their progress go first, then those that would end last; none is stopped in vain, and none at all
+    if that doesn't help.
     """
-    n = held.places.get(minion.minion_id, 0)
+    wanted = held.tasks_by_minion.get(minion.minion_id, 0)
 
-    def enough(runs: Sequence[Run]) -> bool:
-        free = (
-            minion.free[0] + sum(r.form.cpu for r in runs),
-            minion.free[1] + sum(r.form.mem for r in runs),
-            minion.free[2] + sum(r.form.gpu for r in runs),
-        )
-        return copies(free=free, form=held.form, most=n) == n
+    def is_enough(runs: Sequence[PlannedRun]) -> bool:
+        return copies(free=minion.free_without(runs), shape=held.shape, most=wanted) == wanted
 
-    if now < held.at or enough([]):
+    if now_ms < held.at_ms or is_enough([]):
         return []
-    rows = sorted((r for r in minion.runs if r.filler), key=lambda r: (not r.saves, -r.ends, r.task))
-    k = next((k for k in range(1, len(rows) + 1) if enough(rows[:k])), 0)
-    out = rows[:k]
-    for r in rows[:k][::-1]:
-        if enough([x for x in out if x is not r]):
-            out = [x for x in out if x is not r]
-    return out
-
-
-class Filler:
-    """Figures of backfill for an operator. Invariant: counts only rise."""
+    fillers = sorted(
+        (run for run in minion.runs if run.is_filler),
+        key=lambda run: (not run.takes_checkpoints, -run.ends_ms, run.task),
+    )
+    count = next((count for count in range(1, len(fillers) + 1) if is_enough(fillers[:count])), 0)
+    chosen = fillers[:count]
+    for run in reversed(fillers[:count]):
+        others = [other for other in chosen if other is not run]
+        if is_enough(others):
+            chosen = others
+    return chosen
+
+
+class BackfillFigures:
+    """Figures of backfill for an operator; counts only rise.
+
+    Attributes:
+        started: Fillers that started.
+        stopped: Fillers that were stopped.
+        kept: Reserved groups that started by their time.
+        missed: Reserved groups that started later.
+        within: Fillers that ended within the time predicted at most.
+        beyond: Fillers that ran longer.
+        lateness: How much later than planned reserved groups started.
+        error: How far run times of fillers were off the most likely ones.
+    """
 
     def __init__(self) -> None:
-        self.filled = self.kept = self.missed = self.stopped = 0
+        self.started = self.stopped = self.kept = self.missed = 0
         self.within = self.beyond = 0
-        self.late = Hist()
-        self.error = Hist()
-
-    def ended(self, *, upper_ms: float, p50_ms: float, ms: float) -> None:
-        """A filler ran for `ms` to its end, where at most `upper_ms` and most likely `p50_ms` was predicted."""
-        self.within += ms <= upper_ms
-        self.beyond += ms > upper_ms
-        self.error.add(ms=abs(ms - p50_ms))
-
-    def started(self, *, planned: float, at: float, slack_ms: float = 100.0) -> None:
-        """A reserved group started at `at` where `planned` had been told first (same clock, milliseconds)."""
-        good = at <= planned + slack_ms
-        self.kept += good
-        self.missed += not good
-        self.late.add(ms=math.floor(max(0.0, at - planned)))
+        self.lateness = DurationHistogram()
+        self.error = DurationHistogram()
+
+    def filler_ended(self, *, upper_ms: float, p50_ms: float, ran_ms: float) -> None:
+        """A filler ran to its end, where at most `upper_ms` and most likely `p50_ms` was predicted."""
+        self.within += ran_ms <= upper_ms
+        self.beyond += ran_ms > upper_ms
+        self.error.add(ms=abs(ran_ms - p50_ms))
+
+    def group_started(self, *, planned_ms: float, at_ms: float, slack_ms: float = START_SLACK_MS) -> None:
+        """A reserved group started, where `planned_ms` had been told first; both by the same clock."""
+        is_kept = at_ms <= planned_ms + slack_ms
+        self.kept += is_kept
+        self.missed += not is_kept
+        self.lateness.add(ms=math.floor(max(0.0, at_ms - planned_ms)))
 
     def report(self) -> dict[str, Any]:
-        """Plain figures; times in milliseconds."""
+        """Plain figures; durations in milliseconds."""
         return {
-            "filled": self.filled,
+            "filled": self.started,
             "stopped": self.stopped,
             "reserved-kept": self.kept,
             "reserved-missed": self.missed,
-            "late-ms": self.late.report(),
+            "late-ms": self.lateness.report(),
             "ran-within": self.within,
             "ran-beyond": self.beyond,
             "error-ms": self.error.report(),
--- a/yarrowloom/prediction/call_times.py
+++ b/yarrowloom/prediction/call_times.py
@@ -1,231 +1,323 @@
-"""When one kind of job is called: a locked period, quantiles of the gaps, rates over a short and a long time."""
+"""When one kind of job is called: a learned period, quantiles of the gaps, rates over a short and a long time.
+
+A call is one or more jobs of a kind that come within a short time of each other.
+"""
 
 import math
-from typing import Any
+from typing import Any, NamedTuple
 
-from .accuracy import Score
-from .job_kind import Form
+from .accuracy import Accuracy
+from .job_kind import TaskShape
 
 BURST_MS = 250  # what comes within this of a call's first job belongs to the same call
-GAPS = 16
-FORMS = 8
-RACKS = 4
-SHORT_MS = 10_000.0  # time constants of the two rates
-LONG_MS = 300_000.0
-LEAST_PERIOD = 500.0
-MOST_PERIOD = 86_400_000.0
-SLIP = 0.2  # a call this share of a period off its time is not on time
-TOL_MS = 100.0
-JOBS_MOST = 64.0  # never more are expected at once
-
-
-class Calls:
-    """Times are History's inner ones, which never go back. Invariants: `gaps` holds the newest GAPS gaps between
-    calls; `period` 0 means not locked, else the next beat is due at `ref` + `period`; `lo`..`hi` is where the next
-    gap was expected when the last call came; `forms` and `racks` are bounded by FORMS and RACKS.
+MAX_GAPS = 16
+MIN_GAPS = 4  # needed before anything is expected of them
+MAX_SHAPES = 8
+MAX_LABELS = 4
+LABEL_DECAY = 0.9
+SHORT_RATE_MS = 10_000.0  # time constants of the two rates
+LONG_RATE_MS = 300_000.0
+MIN_PERIOD_MS = 500.0
+MAX_PERIOD_MS = 86_400_000.0
+MAX_PHASE_SHARE = 0.2  # a call this share of a period off its time is not on time
+MIN_TOLERANCE_MS = 100.0
+MIN_PERIOD_FIT = 0.6  # share of due times that a period must meet to be believed
+OFF_CALLS_TO_UNLOCK = 2  # calls in a row off their time that end a period
+MAX_MISSED_DUE_TIMES = 16  # counted at once
+MAX_SILENT_DUE_TIMES = 4  # passed in silence, after which a period expects nothing
+MAX_EXPECTED_JOBS = 64.0
+
+
+class JobShape(NamedTuple):
+    """What the main first step of one job asked for, and its number of tasks."""
+
+    cpu_millicores: int
+    memory_mb: int
+    gpus: int
+    task_count: int
+
+
+class ExpectedDueTime(NamedTuple):
+    """The next due time of a period, and the chance that it brings a call."""
+
+    at_ms: float
+    chance: float
+
+
+class ExpectedGap(NamedTuple):
+    """When the gap since the last call ends, and the chance that it does within the horizon asked for."""
+
+    earliest_ms: int
+    likely_ms: int
+    latest_ms: int
+    chance: float
+
+
+class PeriodFit(NamedTuple):
+    """How well a period explains the gaps that are known.
+
+    Attributes:
+        share: Calls on time for each due time, from 0 to 1.
+        reference_ms: The due time that the last call on time belongs to, counted from the call before the gaps.
+        error_ms: How far off their time calls were.
     """
 
-    __slots__ = (
-        "at",
-        "bad",
-        "err",
-        "forms",
-        "gaps",
-        "gscore",
-        "hi",
-        "lo",
-        "long",
-        "n",
-        "now",
-        "period",
-        "pscore",
-        "racks",
-        "ref",
-        "short",
-        "size",
-        "usual",
-    )
+    share: float
+    period_ms: float
+    reference_ms: float
+    error_ms: float
+
+
+# The encoded name of each field of `CallTimes`, in the order of its document.
+ENCODED_NAMES = {
+    "last_call_ms": "at",
+    "off_calls": "bad",
+    "period_error_ms": "err",
+    "shapes": "forms",
+    "gaps_ms": "gaps",
+    "gap_accuracy": "gscore",
+    "longest_expected_ms": "hi",
+    "shortest_expected_ms": "lo",
+    "long_rate": "long",
+    "call_count": "n",
+    "last_job_ms": "now",
+    "period_ms": "period",
+    "period_accuracy": "pscore",
+    "label_weights": "racks",
+    "reference_ms": "ref",
+    "short_rate": "short",
+    "call_size": "size",
+    "usual_call_size": "usual",
+}
+
+
+class CallTimes:
+    """Calls of one kind. Times are the history's inner ones in milliseconds, which never go back.
+
+    Attributes:
+        call_count: Calls so far.
+        last_call_ms: When the last call began.
+        last_job_ms: When the last job came.
+        call_size: Jobs of the last call.
+        usual_call_size: Moving average of jobs a call.
+        gaps_ms: Between calls, oldest first. Invariant: at most MAX_GAPS.
+        shortest_expected_ms: Where the next gap was expected as the last call came: lower end.
+        longest_expected_ms: Upper end; 0: nothing was expected.
+        period_ms: The learned period; 0: none.
+        reference_ms: The due time that the last call on time belonged to; the next is a period later.
+        period_error_ms: Moving average of how far off their time calls were.
+        off_calls: Calls in a row that were off their time.
+        short_rate: Jobs, decayed over SHORT_RATE_MS.
+        long_rate: Jobs, decayed over LONG_RATE_MS.
+        period_accuracy: Whether due times brought calls.
+        gap_accuracy: Whether gaps were as expected.
+        shapes: Of the first jobs of the newest calls, oldest first. Invariant: at most MAX_SHAPES.
+        label_weights: By preferred label, a decayed count of calls. Invariant: at most MAX_LABELS.
+    """
+
+    __slots__ = tuple(ENCODED_NAMES)
 
     def __init__(self) -> None:
-        self.n = 0
-        self.at = self.now = 0
-        self.size = 0
-        self.usual = 1.0
-        self.gaps: list[int] = []
-        self.lo = self.hi = 0
-        self.period = self.ref = self.err = 0.0
-        self.bad = 0
-        self.short = self.long = 0.0
-        self.pscore = Score()
-        self.gscore = Score()
-        self.forms: list[list[int]] = []
-        self.racks: dict[str, float] = {}
-
-    def put(self, *, t: int, form: Form, n: int, near: str, quiet: int) -> bool:
-        """One job. `quiet`: how long no job of any kind had come. True if it begins a call."""
-        dt = max(0, t - self.now)
-        self.short = self.short * math.exp(-dt / SHORT_MS) + 1
-        self.long = self.long * math.exp(-dt / LONG_MS) + 1
-        self.now = t
-        if self.n and t - self.at < BURST_MS:
-            self.size += 1
+        self.call_count = 0
+        self.last_call_ms = self.last_job_ms = 0
+        self.call_size = 0
+        self.usual_call_size = 1.0
+        self.gaps_ms: list[int] = []
+        self.shortest_expected_ms = self.longest_expected_ms = 0
+        self.period_ms = self.reference_ms = self.period_error_ms = 0.0
+        self.off_calls = 0
+        self.short_rate = self.long_rate = 0.0
+        self.period_accuracy = Accuracy()
+        self.gap_accuracy = Accuracy()
+        self.shapes: list[JobShape] = []
+        self.label_weights: dict[str, float] = {}
+
+    # -- what has come
+
+    def record_job(self, *, at_ms: int, shape: JobShape, preferred_label: str, silence_ms: int) -> bool:
+        """Take note of one job.
+
+        Args:
+            at_ms: When it came.
+            shape: What its main first step asks for.
+            preferred_label: That step's; empty: none.
+            silence_ms: How long no job of any kind had come.
+
+        Returns:
+            Whether it begins a call.
+        """
+        since_last_job = max(0, at_ms - self.last_job_ms)
+        self.short_rate = self.short_rate * math.exp(-since_last_job / SHORT_RATE_MS) + 1
+        self.long_rate = self.long_rate * math.exp(-since_last_job / LONG_RATE_MS) + 1
+        self.last_job_ms = at_ms
+        if self.call_count and at_ms - self.last_call_ms < BURST_MS:
+            self.call_size += 1
             return False
-        self.forms.append([form.cpu, form.mem, form.gpu, n])
-        if len(self.forms) > FORMS:
-            del self.forms[0]
-        self._rack(near=near)
-        if self.n:
-            self.usual += 0.3 * (min(self.size, JOBS_MOST) - self.usual)
-            self._gap(t=t, quiet=quiet)
-        self.at, self.size = t, 1
-        self.n += 1
+        self.shapes.append(shape)
+        if len(self.shapes) > MAX_SHAPES:
+            del self.shapes[0]
+        self._record_label(preferred_label)
+        if self.call_count:
+            self.usual_call_size += 0.3 * (min(self.call_size, MAX_EXPECTED_JOBS) - self.usual_call_size)
+            self._record_gap(at_ms=at_ms, silence_ms=silence_ms)
+        self.last_call_ms, self.call_size = at_ms, 1
+        self.call_count += 1
         return True
 
-    def _rack(self, *, near: str) -> None:
-        racks = self.racks
-        if near not in racks and len(racks) >= RACKS:
-            del racks[min(racks, key=lambda r: (racks[r], r))]
-        for r in racks:
-            racks[r] *= 0.9
-        racks[near] = racks.get(near, 0.0) + 1
-
-    def _gap(self, *, t: int, quiet: int) -> None:
-        gap = t - self.at
-        if self.hi:
-            self.gscore.push(ok=self.lo <= gap <= self.hi)
-        if self.period:
-            self._beat(t=t, quiet=quiet)
-        self.gaps.append(gap)
-        if len(self.gaps) > GAPS:
-            del self.gaps[0]
-        vals = sorted(self.gaps)
-        if len(vals) >= 4:
-            cut = len(vals) // 10
-            self.lo, self.hi = vals[cut], vals[-1 - cut]
-            self.lo -= self.lo // 10
-            self.hi += self.hi // 10
-        if not self.period and len(vals) >= 4 and (self.n < 2 * GAPS or self.n % 4 == 0):
-            self._lock(t=t)
-
-    def _beat(self, *, t: int, quiet: int) -> None:
-        """The locked period meets a call: beats without one count as misses, unless nothing at all came then."""
-        k = max(1, round((t - self.ref) / self.period))
-        off = t - self.ref - k * self.period
-        ok = abs(off) <= self.tol()
-        for _ in range(min(k - 1, 1 if quiet > self.period / 2 else 16)):
-            self.pscore.push(ok=False)
-        self.pscore.push(ok=ok)
-        if abs(off) <= SLIP * self.period:
-            self.bad = 0
-            self.ref += k * self.period + 0.25 * off
-            self.period += 0.1 * off / k
-            self.err += 0.15 * (abs(off) - self.err)
+    def _record_label(self, preferred_label: str) -> None:
+        weights = self.label_weights
+        if preferred_label not in weights and len(weights) >= MAX_LABELS:
+            del weights[min(weights, key=lambda label: (weights[label], label))]
+        for label in weights:
+            weights[label] *= LABEL_DECAY
+        weights[preferred_label] = weights.get(preferred_label, 0.0) + 1
+
+    def _record_gap(self, *, at_ms: int, silence_ms: int) -> None:
+        gap_ms = at_ms - self.last_call_ms
+        if self.longest_expected_ms:
+            self.gap_accuracy.record(came_true=self.shortest_expected_ms <= gap_ms <= self.longest_expected_ms)
+        if self.period_ms:
+            self._follow_period(at_ms=at_ms, silence_ms=silence_ms)
+        self.gaps_ms.append(gap_ms)
+        if len(self.gaps_ms) > MAX_GAPS:
+            del self.gaps_ms[0]
+        if len(self.gaps_ms) < MIN_GAPS:
+            return
+        ordered = sorted(self.gaps_ms)
+        cut = len(ordered) // 10
+        shortest, longest = ordered[cut], ordered[-1 - cut]
+        self.shortest_expected_ms = shortest - shortest // 10
+        self.longest_expected_ms = longest + longest // 10
+        if not self.period_ms and (self.call_count < 2 * MAX_GAPS or self.call_count % 4 == 0):
+            self._look_for_period(at_ms=at_ms)
+
+    def _follow_period(self, *, at_ms: int, silence_ms: int) -> None:
+        """Compare a call with the period. Due times without a call are misses, unless nothing at all came then."""
+        due_times = max(1, round((at_ms - self.reference_ms) / self.period_ms))
+        off_ms = at_ms - self.reference_ms - due_times * self.period_ms
+        is_on_time = abs(off_ms) <= self.tolerance_ms()
+        was_all_silent = silence_ms > self.period_ms / 2
+        for _ in range(min(due_times - 1, 1 if was_all_silent else MAX_MISSED_DUE_TIMES)):
+            self.period_accuracy.record(came_true=False)
+        self.period_accuracy.record(came_true=is_on_time)
+        if abs(off_ms) <= MAX_PHASE_SHARE * self.period_ms:
+            self.off_calls = 0
+            self.reference_ms += due_times * self.period_ms + 0.25 * off_ms
+            self.period_ms += 0.1 * off_ms / due_times
+            self.period_error_ms += 0.15 * (abs(off_ms) - self.period_error_ms)
         else:
-            self.bad += 1
-            if self.bad >= 2:
-                self.period = 0.0
-                self.bad = 0
-
-    def tol(self) -> float:
-        """How far off its time a call still is on time, in milliseconds."""
-        return min(SLIP * self.period, max(TOL_MS, 4 * self.err))
-
-    def _lock(self, *, t: int) -> None:
-        """Try few periods on the calls kept; at most 3 x GAPS steps."""
-        gaps = self.gaps
-        vals = sorted(gaps)
-        median = float(vals[len(vals) // 2])
-        pair = sorted(a + b for a, b in zip(gaps, gaps[1:], strict=False))
-        best = (0.0, 0.0, 0.0, 0.0)
-        for period in (median, float(pair[len(pair) // 2]), median / 2):
-            if not LEAST_PERIOD <= period <= MOST_PERIOD:
-                continue
-            p, ref, err, ok, beats = period, 0.0, 0.0, 0, 0
-            at = 0
-            for gap in gaps:
-                at += gap
-                k = max(1, round((at - ref) / p))
-                off = at - ref - k * p
-                beats += min(k, 8)
-                if abs(off) <= SLIP * p:
-                    ok += 1
-                    ref += k * p + 0.5 * off
-                    p += 0.2 * off / k
-                    err += 0.3 * (abs(off) - err)
-                elif ok == 0 or off < 0:
-                    ref = at
-            if ok / max(beats, len(gaps)) > best[0] and p >= LEAST_PERIOD:
-                best = (ok / max(beats, len(gaps)), p, t - at + ref, err)
-        if best[0] >= 0.6:
-            _, self.period, self.ref, self.err = best
-
-    # -- what is expected; nothing here changes state
-
-    def beat(self, *, now: float) -> tuple[float, float] | None:
-        """The next beat, and the chance that it brings a call; each beat passed in silence halves it."""
-        if not self.period or not self.pscore.on:
+            self.off_calls += 1
+            if self.off_calls >= OFF_CALLS_TO_UNLOCK:
+                self.period_ms = 0.0
+                self.off_calls = 0
+
+    def tolerance_ms(self) -> float:
+        """How far off its time a call still is on time."""
+        return min(MAX_PHASE_SHARE * self.period_ms, max(MIN_TOLERANCE_MS, 4 * self.period_error_ms))
+
+    def _look_for_period(self, *, at_ms: int) -> None:
+        """Try few periods on the gaps that are known: the median, that of two gaps, and half of it."""
+        ordered = sorted(self.gaps_ms)
+        median = float(ordered[len(ordered) // 2])
+        pairs = sorted(one + two for one, two in zip(self.gaps_ms, self.gaps_ms[1:], strict=False))
+        best = PeriodFit(0.0, 0.0, 0.0, 0.0)
+        for period_ms in (median, float(pairs[len(pairs) // 2]), median / 2):
+            if MIN_PERIOD_MS <= period_ms <= MAX_PERIOD_MS:
+                fit = self._fit_period(period_ms)
+                if fit.share > best.share and fit.period_ms >= MIN_PERIOD_MS:
+                    best = fit
+        if best.share >= MIN_PERIOD_FIT:
+            self.period_ms, self.period_error_ms = best.period_ms, best.error_ms
+            self.reference_ms = at_ms - sum(self.gaps_ms) + best.reference_ms
+
+    def _fit_period(self, period_ms: float) -> PeriodFit:
+        """Follow a period over the gaps, beginning at the call before them."""
+        reference_ms, error_ms, on_time, due_times = 0.0, 0.0, 0, 0
+        call_ms = 0
+        for gap_ms in self.gaps_ms:
+            call_ms += gap_ms
+            passed = max(1, round((call_ms - reference_ms) / period_ms))
+            off_ms = call_ms - reference_ms - passed * period_ms
+            due_times += min(passed, 8)
+            if abs(off_ms) <= MAX_PHASE_SHARE * period_ms:
+                on_time += 1
+                reference_ms += passed * period_ms + 0.5 * off_ms
+                period_ms += 0.2 * off_ms / passed
+                error_ms += 0.3 * (abs(off_ms) - error_ms)
+            elif on_time == 0 or off_ms < 0:
+                reference_ms = call_ms
+        share = on_time / max(due_times, len(self.gaps_ms))
+        return PeriodFit(share, period_ms, reference_ms, error_ms)
+
+    # -- what is expected; nothing here changes the state
+
+    def next_due_time(self, *, now_ms: float) -> ExpectedDueTime | None:
+        """The period's next due time; each one that passed in silence halves its chance."""
+        if not self.period_ms or not self.period_accuracy.is_trusted:
             return None
-        k = max(1, math.ceil((now - self.tol() - self.ref) / self.period))
-        return (self.ref + k * self.period, self.pscore.rate * 0.5 ** (k - 1)) if k <= 4 else None
+        passed = max(1, math.ceil((now_ms - self.tolerance_ms() - self.reference_ms) / self.period_ms))
+        if passed > MAX_SILENT_DUE_TIMES:
+            return None
+        chance = self.period_accuracy.success_rate * 0.5 ** (passed - 1)
+        return ExpectedDueTime(at_ms=self.reference_ms + passed * self.period_ms, chance=chance)
 
-    def gap(self, *, now: float, horizon: float) -> tuple[int, int, int, float] | None:
-        """(early, likely, late, chance within the horizon), from the gaps that are longer than the silence so far."""
-        if not self.gscore.on:
+    def end_of_gap(self, *, now_ms: float, horizon_ms: float) -> ExpectedGap | None:
+        """When the next call comes, from the gaps that are longer than the silence so far."""
+        if not self.gap_accuracy.is_trusted:
             return None
-        past = now - self.at
-        left = sorted(gap for gap in self.gaps if gap > past)
-        if not left:
+        silence_ms = now_ms - self.last_call_ms
+        longer = sorted(gap_ms for gap_ms in self.gaps_ms if gap_ms > silence_ms)
+        if not longer:
             return None
-        soon = sum(gap <= past + horizon for gap in left)
-        chance = self.gscore.rate * soon / (len(left) + 0.5)
-        return (
-            self.at + left[0] - left[0] // 10,
-            self.at + left[len(left) // 2],
-            self.at + left[-1] + left[-1] // 10,
-            chance,
+        within_horizon = sum(gap_ms <= silence_ms + horizon_ms for gap_ms in longer)
+        return ExpectedGap(
+            earliest_ms=self.last_call_ms + longer[0] - longer[0] // 10,
+            likely_ms=self.last_call_ms + longer[len(longer) // 2],
+            latest_ms=self.last_call_ms + longer[-1] + longer[-1] // 10,
+            chance=self.gap_accuracy.success_rate * within_horizon / (len(longer) + 0.5),
         )
 
-    def rate(self, *, now: float) -> float:
-        """Jobs a millisecond: the lower of both while a burst fades, their mean while it grows."""
-        dt = max(0.0, now - self.now)
-        short = self.short * math.exp(-dt / SHORT_MS) / SHORT_MS
-        long = self.long * math.exp(-dt / LONG_MS) / LONG_MS
+    def jobs_per_ms(self, *, now_ms: float) -> float:
+        """The rate of jobs: the lower of both rates while a burst fades, their mean while it grows."""
+        since_last_job = max(0.0, now_ms - self.last_job_ms)
+        short = self.short_rate * math.exp(-since_last_job / SHORT_RATE_MS) / SHORT_RATE_MS
+        long = self.long_rate * math.exp(-since_last_job / LONG_RATE_MS) / LONG_RATE_MS
         return min(short, long) if short < long else (short + long) / 2
 
-    def shape(self, *, req: str, whole: bool) -> tuple[Form, int]:
-        """What holds any of the last few (`whole`) or most of them, and how many tasks they mostly had."""
-        at = len(self.forms) - 1 if whole else 5 * len(self.forms) // 8
-        cpu, mem, gpu = (sorted(f[i] for f in self.forms)[at] for i in range(3))
-        ns = sorted(f[3] for f in self.forms)
-        return Form(cpu=cpu, mem=mem, gpu=gpu, req=req), ns[len(ns) // 2]
+    def expected_shape(self, *, required_label: str, holds_all: bool) -> tuple[TaskShape, int]:
+        """What holds the newest shapes (`holds_all`) or most of them, and how many tasks they mostly had."""
+        last = len(self.shapes) - 1 if holds_all else 5 * len(self.shapes) // 8
+        cpu_millicores, memory_mb, gpus, _ = (sorted(column)[last] for column in zip(*self.shapes, strict=True))
+        task_counts = sorted(shape.task_count for shape in self.shapes)
+        return TaskShape(cpu_millicores, memory_mb, gpus, required_label), task_counts[len(task_counts) // 2]
+
+    def expected_label(self) -> str:
+        """The preferred label of more than half of the calls, empty if there is none."""
+        weights = self.label_weights
+        best = max(weights, key=lambda label: (weights[label], label), default="")
+        return best if best and 2 * weights[best] > sum(weights.values()) else ""
 
-    def rack(self) -> str:
-        """The rack that mostly holds the data, or none that does so more often than not."""
-        best = max(self.racks, key=lambda r: (self.racks[r], r), default="")
-        return best if best and 2 * self.racks[best] > sum(self.racks.values()) else ""
+    # -- snapshots
 
-    def dump(self) -> Any:
-        """As plain data."""
-        out = {k: getattr(self, k).dump() if k in ("pscore", "gscore") else getattr(self, k) for k in self.__slots__}
-        return {**out, "gaps": list(self.gaps), "forms": [list(f) for f in self.forms], "racks": dict(self.racks)}
+    def dump(self) -> dict[str, Any]:
+        """All of it as plain data that shares nothing with the state."""
+        document = {encoded: getattr(self, name) for name, encoded in ENCODED_NAMES.items()}
+        document["pscore"] = self.period_accuracy.dump()
+        document["gscore"] = self.gap_accuracy.dump()
+        document["gaps"] = list(self.gaps_ms)
+        document["forms"] = [list(shape) for shape in self.shapes]
+        document["racks"] = dict(self.label_weights)
+        return document
 
     @classmethod
-    def load(cls, document: Any) -> "Calls":
-        """Undo `dump`."""
-        out = cls()
-        for k in cls.__slots__:
-            val = document[k]
-            setattr(
-                out,
-                k,
-                Score.load(val)
-                if k in ("pscore", "gscore")
-                else [list(f) for f in val]
-                if k == "forms"
-                else list(val)
-                if k == "gaps"
-                else dict(val)
-                if k == "racks"
-                else val,
-            )
-        return out
+    def load(cls, document: dict[str, Any]) -> "CallTimes":
+        """What `dump` gave."""
+        calls = cls()
+        for name, encoded in ENCODED_NAMES.items():
+            setattr(calls, name, document[encoded])
+        calls.period_accuracy = Accuracy.load(document["pscore"])
+        calls.gap_accuracy = Accuracy.load(document["gscore"])
+        calls.gaps_ms = list(document["gaps"])
+        calls.shapes = [JobShape(*shape) for shape in document["forms"]]
+        calls.label_weights = dict(document["racks"])
+        return calls
--- a/yarrowloom/prediction/history.py
+++ b/yarrowloom/prediction/history.py
@@ -1,346 +1,255 @@
-"""The one history of warm jobs and backfill: kept by the reducer of jobs, fed by its events, asked by placing nodes."""
+"""What is learned from the events of a job group: when kinds of jobs are called, how long their tasks run."""
 
 from collections.abc import Sequence
 from typing import Any
 
 from ..jobs.submission import Step
-from .call_times import JOBS_MOST, Calls
-from .job_kind import Form, Prediction, Why, kind_key, queue_key, root
-from .run_times import Runs, Times
-from .successor_jobs import Follow, What
-
-FRESH = 192  # kinds on probation
-KINDS = 128  # kinds that were called PROVEN times
-PROVEN = 3
-TIMERS = 256
-STEP_MS = 2_000  # the time of day going back by more than this is a step of the clock
-FINER = 0.15  # a period, being the finer word, is believed unless the gaps are surer by this
-MOST = 64  # predictions of one call
-
-
-class Kind:
-    """What is known of one kind. All but `calls` is fixed by the kind's key, or is the newest seen."""
-
-    __slots__ = ("calls", "gang", "queue", "req", "service", "tight")
-
-    def __init__(self, *, queue: str, service: str, req: str, gang: bool, tight: bool, calls: Calls) -> None:
-        self.queue, self.service, self.req, self.gang, self.tight, self.calls = queue, service, req, gang, tight, calls
-
-    def dump(self) -> Any:
-        """As plain data."""
-        return [self.queue, self.service, self.req, self.gang, self.tight, self.calls.dump()]
-
-    @classmethod
-    def load(cls, document: Any) -> "Kind":
-        """Undo `dump`."""
-        queue, service, req, gang, tight, calls = document
-        return cls(queue=queue, service=service, req=req, gang=gang, tight=tight, calls=Calls.load(calls))
+from .call_times import CallTimes, JobShape
+from .forecast import Forecast
+from .job_kind import Prediction, TaskShape, kind_key, main_first_step, queue_key
+from .known_kind import KnownKind
+from .run_times import RunTimeQuantiles, RunTimes
+from .successor_jobs import SuccessorJobs, TriggerEvent
+from .timed_jobs import TimedJob
+
+MAX_NEW_KINDS = 192
+MAX_PROVEN_KINDS = 128
+CALLS_TO_PROVE = 3
+MAX_TIMED_JOBS = 256
+CLOCK_STEP_MS = 2_000  # wall time going back by more than this is a step of the clock
+FORGET_AMONG = 4  # proven kinds called longest ago, of which the least useful is forgotten
 
 
 class History:
-    """State of a reducer: the same events give the same state. Times come in with the events, as wall milliseconds.
-
-    Invariants: inner time is wall time plus `shift` and never goes back (`clock` is the newest); `fresh` and
-    `kinds` are bounded by FRESH and KINDS, have no key in common and stand in the order of use, so a flood of new
-    kinds pushes out new kinds only; each job counts for its kind and for its queue as a whole; `timers` is bounded
-    by TIMERS; only proven kinds are followed or predicted. `looked` counts the candidates weighed by the last
-    `predict`; it is no part of the state.
+    """The learned state of a job group: the same events give the same state.
+
+    Times come in with the events, as wall time in milliseconds. Inner time is wall time plus `clock_shift_ms`; it
+    never goes back. Each job counts for its kind and for its queue as a whole.
+
+    Attributes:
+        run_times: How long runs take.
+        successors: Which kinds follow others. Invariant: only proven kinds do.
+        new_kinds: Kinds called less than CALLS_TO_PROVE times, in the order of use. Invariant: at most MAX_NEW_KINDS,
+            so a flood of new kinds pushes out new kinds only.
+        proven_kinds: The others, in the order of use. Invariant: at most MAX_PROVEN_KINDS.
+        timed_jobs: By job id, jobs whose times are known. Invariant: at most MAX_TIMED_JOBS.
+        newest_ms: The newest inner time.
+        clock_shift_ms: Inner time less wall time.
+        candidates_weighed: By the last `predict`; no part of the state.
 
     >>> from ..jobs.submission import parse_submission
     >>> stages = b'[{"task-count":1,"cpus":500,"mem-mb":64,"estimate-ms":900}]'
     >>> steps = parse_submission(body=b'{"task-spec":"x","stages":' + stages + b'}').steps
-    >>> h = History()
+    >>> history = History()
     >>> for i in range(12):
-    ...     h.note_job(at=60_000 * i, job_id=f"{i:016x}", q="rebuild", service="s", steps=steps)
-    >>> [(p.why.value, p.likely) for p in h.predict(now_ms=715_000, horizon_ms=10_000)]
+    ...     history.note_job(at_ms=60_000 * i, job_id=f"{i:016x}", queue="rebuild", service="s", steps=steps)
+    >>> [(p.basis.value, p.likely_ms) for p in history.predict(now_ms=715_000, horizon_ms=10_000)]
     [('period', 720000)]
-    >>> round(h.times(q="rebuild", step=steps[0]).p50)
+    >>> round(history.run_time(queue="rebuild", step=steps[0]).p50)
     900
     """
 
     def __init__(self) -> None:
-        self.runs = Runs()
-        self.follow = Follow()
-        self.fresh: dict[str, Kind] = {}
-        self.kinds: dict[str, Kind] = {}
-        self.timers: dict[str, list[Any]] = {}
-        self.clock = 0
-        self.shift = 0
-        self.looked = 0
+        self.run_times = RunTimes()
+        self.successors = SuccessorJobs()
+        self.new_kinds: dict[str, KnownKind] = {}
+        self.proven_kinds: dict[str, KnownKind] = {}
+        self.timed_jobs: dict[str, TimedJob] = {}
+        self.newest_ms = 0
+        self.clock_shift_ms = 0
+        self.candidates_weighed = 0
 
     # -- events
 
-    def _inner(self, at: int) -> tuple[int, int]:
-        """(inner time, how long nothing came before it)."""
-        t = at + self.shift
-        if t < self.clock:
-            if self.clock - t > STEP_MS:
-                self.shift += self.clock - t
-            t = self.clock
-        quiet = t - self.clock if self.clock else 0
-        self.clock = t
-        return t, quiet
-
     def note_job(
         self,
         *,
-        at: int,
+        at_ms: int,
         job_id: str,
-        q: str,
+        queue: str,
         service: str,
         steps: Sequence[Step],
-        first: int = 0,
-        period: int = 0,
-        times: int = 0,
+        first_run_ms: int = 0,
+        period_ms: int = 0,
+        repeat_count: int = 0,
     ) -> None:
-        """A job was taken at wall time `at`, of queue `q`, with tasks for service `svc`. Never raises for a job that
-        `job.spec.parse` lets through. With `times`, the due times are known and nothing is learned.
-        """
-        first_step = root(steps=steps)
-        key = kind_key(q=q, steps=steps, period=period if times else 0)
-        form = Form(first_step.cpu_millicores, first_step.memory_mb, first_step.gpus, first_step.required_label)
-        if times:
-            self.timers.pop(job_id, None)
-            if len(self.timers) >= TIMERS:
-                del self.timers[next(iter(self.timers))]
-            self.timers[job_id] = [
-                key,
-                q,
-                service,
-                list(form),
-                first_step.is_gang,
-                first_step.prefers_same_rack,
-                first_step.task_count,
-                first_step.preferred_label,
-                first,
-                period,
-                times,
-            ]
-            return
-        t, quiet = self._inner(at)
-        for name in (key, queue_key(q=q)):
-            self._call(key=name, t=t, quiet=quiet, q=q, service=service, step=first_step, form=form)
-
-    def _call(self, *, key: str, t: int, quiet: int, q: str, service: str, step: Step, form: Form) -> None:
-        kind = self.kinds.pop(key, None)
-        if kind is not None:
-            self.kinds[key] = kind
-        else:
-            kind = self.fresh.pop(key, None)
-            if kind is None:
-                kind = Kind(
-                    queue=q,
-                    service=service,
-                    req=form.req,
-                    gang=step.is_gang,
-                    tight=step.prefers_same_rack,
-                    calls=Calls(),
-                )
-                if len(self.fresh) >= FRESH:
-                    del self.fresh[next(iter(self.fresh))]
-            self.fresh[key] = kind
-        kind.service, kind.req, kind.gang, kind.tight = service, form.req, step.is_gang, step.prefers_same_rack
-        began = kind.calls.put(t=t, form=form, n=step.task_count, near=step.preferred_label, quiet=quiet)
-        if key in self.fresh:
-            if kind.calls.n < PROVEN:
-                return
-            del self.fresh[key]
-            self._room()
-            self.kinds[key] = kind
-        if began:
-            self.follow.called(kind=key, at=t)
-            self.follow.trigger(kind=key, what=What.CALL, at=t)
-
-    def _room(self) -> None:
-        """Forget the least useful of the four proven kinds called longest ago, if there are too many."""
-        if len(self.kinds) < KINDS:
+        """A job was accepted. With a `repeat_count` its times are known, and nothing is learned of it."""
+        step = main_first_step(steps=steps)
+        kind = kind_key(queue=queue, steps=steps, period_ms=period_ms if repeat_count else 0)
+        if repeat_count:
+            timed_job = TimedJob(
+                kind=kind,
+                queue=queue,
+                service=service,
+                shape=TaskShape.of(step),
+                is_gang=step.is_gang,
+                prefers_same_rack=step.prefers_same_rack,
+                task_count=step.task_count,
+                preferred_label=step.preferred_label,
+                first_run_ms=first_run_ms,
+                period_ms=period_ms,
+                repeat_count=repeat_count,
+            )
+            self._add_timed_job(job_id=job_id, timed_job=timed_job)
             return
-        old = [key for key, _ in zip(self.kinds, range(4), strict=False)]
-        worst = min(old, key=lambda k: (self.kinds[k].calls.pscore.on + self.kinds[k].calls.gscore.on, old.index(k)))
-        del self.kinds[worst]
-        self.follow.drop(kind=worst)
-
-    def note_over(self, *, at: int, job_id: str, q: str, steps: Sequence[Step], done: bool) -> None:
-        """A job has ended at wall time `at`; `done`: it is complete, not failed or cancelled."""
-        if self.timers.pop(job_id, None) is None and done:
-            t, _ = self._inner(at)
-            for key in (kind_key(q=q, steps=steps), queue_key(q=q)):
-                if key in self.kinds:
-                    self.follow.trigger(kind=key, what=What.END, at=t)
+        inner_ms, silence_ms = self._advance(at_ms)
+        for key in (kind, queue_key(queue=queue)):
+            self._record_job(key=key, inner_ms=inner_ms, silence_ms=silence_ms, queue=queue, service=service, step=step)
+
+    def note_over(self, *, at_ms: int, job_id: str, queue: str, steps: Sequence[Step], is_complete: bool) -> None:
+        """A job ended: it is complete, or it failed or was cancelled."""
+        if self.timed_jobs.pop(job_id, None) is None and is_complete:
+            inner_ms, _ = self._advance(at_ms)
+            for kind in (kind_key(queue=queue, steps=steps), queue_key(queue=queue)):
+                if kind in self.proven_kinds:
+                    self.successors.record_trigger(kind=kind, event=TriggerEvent.END, at_ms=inner_ms)
 
     def note_end(
         self,
         *,
-        q: str,
+        queue: str,
         step: Step,
         task: str,
-        run: int,
-        how: str,
-        ms: float,
-        far: float = 1.0,
-        whole: bool = True,
+        run_id: int,
+        outcome: str,
+        ran_ms: float,
+        remote_factor: float = 1.0,
+        began_afresh: bool = True,
         minion_id: str = "",
     ) -> None:
-        """Run `run` of `task` ended as `how` after `ms` milliseconds of running. `far`: by how much being away from
-        its data made it longer (1.0: not at all); `whole`: it began without saved progress; `mid`: the minion, if slow
-        ones are to be told apart. All but whole `done` runs are passed over, and so is an end told again among the
-        last SEEN ones. One member of a gang stands for all.
+        """A run of a task ended.
+
+        Runs that were not done, or began with saved progress, are passed over, and so is an end that is told again.
+        One member of a gang stands for all.
+
+        Args:
+            queue: The job's queue.
+            step: The task's step.
+            task: The task's name.
+            run_id: Number of the run.
+            ran_ms: How long it ran.
+            outcome: How it ended, see `RunOutcome`.
+            remote_factor: By how much being away from its data made it longer; 1.0: not at all.
+            began_afresh: Whether it began without saved progress.
+            minion_id: Where it ran, if slow minions are to be told apart.
         """
-        self.runs.note(q=q, step=step, task=task, run=run, how=how, ms=ms, far=far, whole=whole, minion_id=minion_id)
+        self.run_times.note_end(
+            queue=queue,
+            step=step,
+            task=task,
+            run_id=run_id,
+            outcome=outcome,
+            ran_ms=ran_ms,
+            remote_factor=remote_factor,
+            began_afresh=began_afresh,
+            minion_id=minion_id,
+        )
+
+    def _advance(self, wall_ms: int) -> tuple[int, int]:
+        """The inner time of an event, and how long nothing had come before it."""
+        inner_ms = wall_ms + self.clock_shift_ms
+        if inner_ms < self.newest_ms:
+            if self.newest_ms - inner_ms > CLOCK_STEP_MS:
+                self.clock_shift_ms += self.newest_ms - inner_ms
+            inner_ms = self.newest_ms
+        silence_ms = inner_ms - self.newest_ms if self.newest_ms else 0
+        self.newest_ms = inner_ms
+        return inner_ms, silence_ms
+
+    def _add_timed_job(self, *, job_id: str, timed_job: TimedJob) -> None:
+        self.timed_jobs.pop(job_id, None)
+        if len(self.timed_jobs) >= MAX_TIMED_JOBS:
+            del self.timed_jobs[next(iter(self.timed_jobs))]
+        self.timed_jobs[job_id] = timed_job
+
+    def _record_job(self, *, key: str, inner_ms: int, silence_ms: int, queue: str, service: str, step: Step) -> None:
+        known = self._used_kind(key=key, queue=queue)
+        known.update(service=service, step=step)
+        shape = JobShape(step.cpu_millicores, step.memory_mb, step.gpus, step.task_count)
+        begins_call = known.calls.record_job(
+            at_ms=inner_ms, shape=shape, preferred_label=step.preferred_label, silence_ms=silence_ms
+        )
+        if key in self.new_kinds:
+            if known.calls.call_count < CALLS_TO_PROVE:
+                return
+            del self.new_kinds[key]
+            self._make_room_for_proven_kind()
+            self.proven_kinds[key] = known
+        if begins_call:
+            self.successors.record_call(kind=key, at_ms=inner_ms)
+            self.successors.record_trigger(kind=key, event=TriggerEvent.CALL, at_ms=inner_ms)
+
+    def _used_kind(self, *, key: str, queue: str) -> KnownKind:
+        """What is known of a kind, which becomes the one used last."""
+        known = self.proven_kinds.pop(key, None)
+        if known is not None:
+            self.proven_kinds[key] = known
+            return known
+        known = self.new_kinds.pop(key, None)
+        if known is None:
+            known = KnownKind(queue=queue, calls=CallTimes())
+            if len(self.new_kinds) >= MAX_NEW_KINDS:
+                del self.new_kinds[next(iter(self.new_kinds))]
+        self.new_kinds[key] = known
+        return known
+
+    def _make_room_for_proven_kind(self) -> None:
+        """Forget the least useful of those called longest ago, if there are too many."""
+        if len(self.proven_kinds) < MAX_PROVEN_KINDS:
+            return
+        oldest = [key for key, _ in zip(self.proven_kinds, range(FORGET_AMONG), strict=False)]
+        least_useful = min(oldest, key=lambda key: self.proven_kinds[key].trusted_bases)
+        del self.proven_kinds[least_useful]
+        self.successors.forget(kind=least_useful)
 
     # -- questions; none of them changes the state
 
-    def times(self, *, q: str, step: Step, far: float = 1.0, minion_id: str = "") -> Times:
-        """How long a task of this step runs, in milliseconds, if being away makes it `far` times as long; on the
-        minion `mid`, or on one that is not slow.
-        """
-        return self.runs.times(q=q, step=step, far=far, minion_id=minion_id)
+    def run_time(self, *, queue: str, step: Step, remote_factor: float = 1.0, minion_id: str = "") -> RunTimeQuantiles:
+        """How long a task of a step runs.
 
-    def predict(self, *, now_ms: int, horizon_ms: int) -> list[Prediction]:
-        """Calls expected from now until the horizon, the earliest first; at most MOST, one for each kind beside the
-        known times. Weighs at most KINDS + TIMERS + RECENT x EACH candidates.
+        Args:
+            queue: The job's queue.
+            step: The step, with the caller's estimate.
+            remote_factor: By how much being away from its data makes it longer.
+            minion_id: Where it is to run; empty: on a minion that is not slow.
         """
-        now = max(now_ms + self.shift, self.clock)
-        off = now - now_ms
-        best: dict[str, Prediction] = {}
-        self.looked = 0
-
-        def take(
-            *, key: str, why: Why, early: float, likely: float, late: float, confidence: float, jobs: float
-        ) -> None:
-            if confidence <= 0 or early > now + horizon_ms or (key in best and best[key].confidence >= confidence):
-                return
-            kind = self.kinds[key]
-            form, n = kind.calls.shape(req=kind.req, whole=not key.endswith("/*"))
-            best[key] = Prediction(
-                kind=key,
-                why=why,
-                early=int(max(early, now)) - off,
-                likely=int(max(likely, now)) - off,
-                late=int(max(late, now)) - off,
-                queue=kind.queue,
-                service=kind.service,
-                form=form,
-                gang=kind.gang,
-                tight=kind.tight,
-                n=n,
-                near=kind.calls.rack(),
-                confidence=min(confidence, 1.0),
-                jobs=min(JOBS_MOST, max(jobs, 1.0)),
-            )
-
-        for key, kind in self.kinds.items():
-            calls = kind.calls
-            self.looked += 1
-            beat = calls.beat(now=now)
-            if beat is not None:
-                beats = 1 + max(0.0, now + horizon_ms - beat[0]) // calls.period
-                take(
-                    key=key,
-                    why=Why.PERIOD,
-                    early=beat[0] - calls.tol(),
-                    likely=beat[0],
-                    late=beat[0] + calls.tol(),
-                    confidence=beat[1],
-                    jobs=beats * calls.usual,
-                )
-            gap = calls.gap(now=now, horizon=horizon_ms)
-            if gap is not None and (beat is None or gap[3] > beat[1] + FINER):
-                take(
-                    key=key,
-                    why=Why.GAPS,
-                    early=gap[0],
-                    likely=gap[1],
-                    late=gap[2],
-                    confidence=gap[3],
-                    jobs=max(gap[3] * calls.usual, calls.rate(now=now) * horizon_ms),
-                )
-        for trig in self.follow.recent:
-            for key, pair in self.follow.pairs.get((trig.kind, trig.what), {}).items():
-                self.looked += 1
-                if not pair.open or key not in self.kinds or not pair.lags:
-                    continue
-                low, likely, high = pair.band()
-                if now <= trig.at + high:
-                    calls = self.kinds[key].calls
-                    take(
-                        key=key,
-                        why=Why.FOLLOW,
-                        early=trig.at + low,
-                        likely=trig.at + likely,
-                        late=trig.at + high,
-                        confidence=pair.worth(rate=calls.rate(now=now)),
-                        jobs=calls.usual,
-                    )
-        out = [*self._either(best=best), *self._timed(now_ms=now_ms, horizon_ms=horizon_ms)]
-        return sorted(out, key=lambda p: (p.early, -p.confidence, p.kind))[:MOST]
-
-    def _either(self, *, best: dict[str, Prediction]) -> list[Prediction]:
-        """A queue as a whole, or its kinds one by one: the finer word, unless the coarse one is surer by FINER."""
-        sure: dict[str, float] = {}
-        for key, p in best.items():
-            if key != queue_key(q=p.queue):
-                sure[p.queue] = max(sure.get(p.queue, 0.0), p.confidence)
-        out = []
-        for key, p in best.items():
-            all_of = best.get(queue_key(q=p.queue))
-            coarse = all_of is not None and all_of.confidence > sure.get(p.queue, 0.0) + FINER
-            if coarse == (key == queue_key(q=p.queue)):
-                out.append(p)
-        return out
+        return self.run_times.quantiles(queue=queue, step=step, remote_factor=remote_factor, minion_id=minion_id)
 
-    def _timed(self, *, now_ms: int, horizon_ms: int) -> list[Prediction]:
-        """Known times, which are wall times and need no learning."""
-        out = []
-        for key, q, service, form, gang, tight, n, near, first, period, times in self.timers.values():
-            self.looked += 1
-            k = max(0, -((first - now_ms) // period)) if period else 0
-            due = first + k * period
-            if k >= times or not now_ms <= due <= now_ms + horizon_ms:
-                continue
-            more = (now_ms + horizon_ms - due) // period if period else times - 1
-            out.append(
-                Prediction(
-                    kind=key,
-                    why=Why.TIMED,
-                    early=due,
-                    likely=due,
-                    late=due,
-                    queue=q,
-                    service=service,
-                    form=Form(*form),
-                    gang=gang,
-                    tight=tight,
-                    n=n,
-                    near=near,
-                    confidence=1.0,
-                    jobs=min(JOBS_MOST, 1.0 + min(more, times - 1 - k)),
-                )
-            )
-        return out
-
-    # -- checkpoint
+    def predict(self, *, now_ms: int, horizon_ms: int) -> list[Prediction]:
+        """Calls expected from now until the horizon, the earliest first; one for each kind beside the known times."""
+        forecast = Forecast(
+            proven_kinds=self.proven_kinds,
+            successors=self.successors,
+            now_ms=max(now_ms + self.clock_shift_ms, self.newest_ms),
+            wall_now_ms=now_ms,
+            horizon_ms=horizon_ms,
+        )
+        predictions = forecast.predict(timed_jobs=self.timed_jobs.values())
+        self.candidates_weighed = forecast.candidates_weighed
+        return predictions
+
+    # -- snapshots
 
     def dump(self) -> dict[str, Any]:
         """All of it, as plain JSON data that shares nothing with the state."""
         return {
-            "runs": self.runs.dump(),
-            "follow": self.follow.dump(),
-            "clock": self.clock,
-            "shift": self.shift,
-            "fresh": [[k, v.dump()] for k, v in self.fresh.items()],
-            "kinds": [[k, v.dump()] for k, v in self.kinds.items()],
-            "timers": [[k, *v] for k, v in self.timers.items()],
+            "runs": self.run_times.dump(),
+            "follow": self.successors.dump(),
+            "clock": self.newest_ms,
+            "shift": self.clock_shift_ms,
+            "fresh": [[key, known.dump()] for key, known in self.new_kinds.items()],
+            "kinds": [[key, known.dump()] for key, known in self.proven_kinds.items()],
+            "timers": [[job_id, *timed_job.dump()] for job_id, timed_job in self.timed_jobs.items()],
         }
 
     def load(self, document: dict[str, Any]) -> None:
-        """Replace all of it. `document` may be empty: a record from before there was a history."""
+        """Replace all of it by what `dump` gave; empty: a snapshot from before there was a history."""
         self.__init__()  # type: ignore[misc]
         if not document:
             return
-        self.runs.load(document["runs"])
-        self.follow.load(document["follow"])
-        self.clock, self.shift = document["clock"], document["shift"]
-        self.fresh = {k: Kind.load(v) for k, v in document["fresh"]}
-        self.kinds = {k: Kind.load(v) for k, v in document["kinds"]}
-        self.timers = {k: list(v) for k, *v in document["timers"]}
+        self.run_times.load(document["runs"])
+        self.successors.load(document["follow"])
+        self.newest_ms, self.clock_shift_ms = document["clock"], document["shift"]
+        self.new_kinds = {key: KnownKind.load(known) for key, known in document["fresh"]}
+        self.proven_kinds = {key: KnownKind.load(known) for key, known in document["kinds"]}
+        self.timed_jobs = {job_id: TimedJob.load(timed_job) for job_id, *timed_job in document["timers"]}
--- a/yarrowloom/prediction/job_kind.py
+++ b/yarrowloom/prediction/job_kind.py
@@ -1,126 +1,160 @@
-"""Kinds of job: what is alike enough to share a history. All sizes go into buckets of a power of two."""
+"""Kinds of jobs: what is alike enough to share a history. All sizes go into buckets of a power of two."""
 
 import enum
 import zlib
 from collections.abc import Sequence
 from typing import NamedTuple
 
+from ..common.resources import Resources
 from ..jobs.submission import Step
 
-SIGNED = 16  # steps past this many count only by their number
+MAX_SIGNED_STEPS = 16  # steps past this many count only by their number
+CORES_PER_GPU = 8  # what a GPU counts as where work is weighed in cores
 
 
-class Form(NamedTuple):
-    """What one task asks for: thousandths of a core, MB, GPUs, and a label that its minion must have."""
+class TaskShape(NamedTuple):
+    """What one task asks for.
 
-    cpu: int
-    mem: int
-    gpu: int
-    req: str
+    Attributes:
+        required_label: A label that its minion must have; empty: none.
+    """
+
+    cpu_millicores: int
+    memory_mb: int
+    gpus: int
+    required_label: str
+
+    @classmethod
+    def of(cls, step: Step) -> "TaskShape":
+        """What a task of this step asks for."""
+        return cls(step.cpu_millicores, step.memory_mb, step.gpus, step.required_label)
+
+    @property
+    def resources(self) -> Resources:
+        """The amounts alone."""
+        return Resources(self.cpu_millicores, self.memory_mb, self.gpus)
 
     @property
     def cores(self) -> float:
-        """Price in cores; a GPU counts as `GPU_CORES`.
+        """Its weight in cores; a GPU counts as CORES_PER_GPU.
 
-        >>> Form(cpu=500, mem=1, gpu=2, req="").cores
+        >>> TaskShape(cpu_millicores=500, memory_mb=1, gpus=2, required_label="").cores
         16.5
         """
-        return self.cpu / 1000 + GPU_CORES * self.gpu
+        return self.cpu_millicores / 1000 + CORES_PER_GPU * self.gpus
+
 
+class RunTimeKey(NamedTuple):
+    """What run times are kept by: queue, buckets of the shape, and whether the caller gave an estimate at all."""
 
-GPU_CORES = 8
-RunKey = tuple[str, int, int, int, bool]
+    queue: str
+    cpu_bucket: int
+    memory_bucket: int
+    gpu_bucket: int
+    has_estimate: bool
 
 
-class Why(str, enum.Enum):
+class Basis(str, enum.Enum):
     """What a prediction rests on."""
 
     TIMED = "timed"  # the caller said so: first-run-ms, period-ms
     PERIOD = "period"  # calls at a learned period and phase
     GAPS = "gaps"  # quantiles of the time between calls
-    FOLLOW = "follow"  # calls some time after another kind's call or end
+    SUCCESSOR = "follow"  # calls some time after another kind's call or end
 
 
 class Prediction(NamedTuple):
-    """A call that is expected. Times are wall milliseconds; `confidence` is the learned chance, from 0 to 1, that the
-    call comes within the horizon asked for; `jobs` how many jobs are expected by then; `n` tasks of one job that can
-    start at its arrival (its largest first step).
+    """A call that is expected. Times are wall time in milliseconds.
+
+    Attributes:
+        kind: The kind of job, see `kind_key` and `queue_key`.
+        task_count: Tasks of one job that can start at its arrival: its largest first step.
+        preferred_label: A label of minions near the data; empty: none.
+        confidence: The learned chance, from 0 to 1, that the call comes within the horizon asked for.
+        job_count: How many jobs are expected by then.
     """
 
     kind: str
-    why: Why
-    early: int
-    likely: int
-    late: int
+    basis: Basis
+    earliest_ms: int
+    likely_ms: int
+    latest_ms: int
     queue: str
     service: str
-    form: Form
-    gang: bool
-    tight: bool
-    n: int
-    near: str
+    shape: TaskShape
+    is_gang: bool
+    prefers_same_rack: bool
+    task_count: int
+    preferred_label: str
     confidence: float
-    jobs: float
+    job_count: float
 
 
-def root(*, steps: Sequence[Step]) -> Step:
-    """The step that counts most among those that can start at once."""
-    return max(
-        (step for step in steps if not step.depends_on),
-        key=lambda step: (step.task_count * (step.cpu_millicores + 8000 * step.gpus), step.task_count),
-    )
+def main_first_step(*, steps: Sequence[Step]) -> Step:
+    """The heaviest among the steps that can start at once."""
+
+    def weight(step: Step) -> tuple[int, int]:
+        return step.task_count * (step.cpu_millicores + 1000 * CORES_PER_GPU * step.gpus), step.task_count
+
+    return max((step for step in steps if not step.depends_on), key=weight)
 
 
-def kind_key(*, q: str, steps: Sequence[Step], period: int = 0) -> str:
-    """Name of a job's kind: queue, shape of the step it starts with, signature of all steps, repeat pattern.
+def kind_key(*, queue: str, steps: Sequence[Step], period_ms: int = 0) -> str:
+    """Name of a job's kind: its queue, and a checksum over buckets of all steps and of the period.
 
     >>> from msgspec.structs import replace
     >>> from ..jobs.submission import parse_submission
-    >>> steps = parse_submission(body=b'{"task-spec":"x","stages":[{"task-count":2,"cpus":500,"affinity":"r1"}]}').steps
+    >>> body = b'{"task-spec":"x","stages":[{"task-count":2,"cpus":500,"affinity":"r1"}]}'
+    >>> steps = parse_submission(body=body).steps
     >>> alike = replace(steps[0], cpu_millicores=400, preferred_label="r2")
-    >>> kind_key(q="a", steps=steps) == kind_key(q="a", steps=[alike])
+    >>> kind_key(queue="a", steps=steps) == kind_key(queue="a", steps=[alike])
     True
-    >>> kind_key(q="a", steps=steps) == kind_key(q="a", steps=[replace(steps[0], cpu_millicores=5000)])
+    >>> kind_key(queue="a", steps=steps) == kind_key(queue="a", steps=[replace(steps[0], cpu_millicores=5000)])
     False
     """
-    sig = [len(steps)]
-    for s in steps[:SIGNED]:
-        sig += (
-            s.cpu_millicores.bit_length(),
-            s.memory_mb.bit_length(),
-            s.gpus.bit_length(),
-            s.task_count.bit_length(),
-            s.is_gang + 2 * s.prefers_same_rack + 4 * s.is_long_running + 8 * bool(s.depends_on),
+    signature = [len(steps)]
+    for step in steps[:MAX_SIGNED_STEPS]:
+        signature += (
+            step.cpu_millicores.bit_length(),
+            step.memory_mb.bit_length(),
+            step.gpus.bit_length(),
+            step.task_count.bit_length(),
+            step.is_gang + 2 * step.prefers_same_rack + 4 * step.is_long_running + 8 * bool(step.depends_on),
         )
-    return (
-        f"{q}/{zlib.crc32(repr((sig, [s.required_label for s in steps[:SIGNED]], period.bit_length())).encode()):08x}"
-    )
+    labels = [step.required_label for step in steps[:MAX_SIGNED_STEPS]]
+    checksum = zlib.crc32(repr((signature, labels, period_ms.bit_length())).encode())
+    return f"{queue}/{checksum:08x}"
 
 
-def queue_key(*, q: str) -> str:
+def queue_key(*, queue: str) -> str:
     """The kind that stands for all jobs of a queue, whatever their sizes.
 
-    >>> queue_key(q="a")
+    >>> queue_key(queue="a")
     'a/*'
     """
-    return f"{q}/*"
+    return f"{queue}/*"
+
+
+def is_queue_key(kind: str) -> bool:
+    """Whether a kind stands for all jobs of its queue."""
+    return kind.endswith("/*")
 
 
-def related(*, one: str, two: str) -> bool:
-    """Two kinds of which one contains the other.
+def are_related(one: str, other: str) -> bool:
+    """Whether two kinds are the same, or one of them contains the other.
 
-    >>> related(one="a/*", two="a/01"), related(one="a/02", two="a/01"), related(one="a/*", two="b/*")
+    >>> are_related("a/*", "a/01"), are_related("a/02", "a/01"), are_related("a/*", "b/*")
     (True, False, False)
     """
-    q, _, rest = one.rpartition("/")
-    p, _, other = two.rpartition("/")
-    return q == p and (rest == other or "*" in (rest, other))
+    one_queue, _, one_rest = one.rpartition("/")
+    other_queue, _, other_rest = other.rpartition("/")
+    return one_queue == other_queue and (one_rest == other_rest or "*" in (one_rest, other_rest))
 
 
-def run_key(*, q: str, step: Step) -> RunKey:
-    """What run times are kept by: queue, shape, and whether the caller gave an estimate at all."""
-    return (
-        q,
+def run_time_key(*, queue: str, step: Step) -> RunTimeKey:
+    """What the run times of a step's tasks are kept by."""
+    return RunTimeKey(
+        queue,
         step.cpu_millicores.bit_length(),
         step.memory_mb.bit_length(),
         step.gpus.bit_length(),
--- a/yarrowloom/prediction/slow_minions.py
+++ b/yarrowloom/prediction/slow_minions.py
@@ -1,64 +1,91 @@
-"""Slow minions: how much longer runs take on one than on the middle one."""
+"""Slow minions: how much longer runs take on one than on the median one."""
 
+from dataclasses import dataclass
 from typing import Any
 
-MINIONS = 512
-LEAST = 5  # runs needed before a minion is called slow
-FROM = 114  # log of 1.25 in the scale of run times: less is noise
-CUT = 2048
-EVERY = 64  # the middle is found anew after so many runs
+MAX_MINIONS = 512
+MIN_RUNS = 5  # needed before a minion is called slow
+MIN_EXCESS = 114  # logarithm of 1.25 in the scale of run times: what is less is noise
+MAX_EXCESS = 2048  # a single run counts as no more than this
+MEDIAN_EVERY = 64  # runs after which the median is found anew
 
 
-class Slow:
-    """Invariants: at most MINIONS rows [runs, mean log of how much longer], the one first heard of goes first;
-    residuals are of plain run times, never of corrected ones; slowness is relative to the middle minion, so that a
-    change which all see is none.
+@dataclass(slots=True)
+class MinionSpeed:
+    """How much longer runs take on one minion.
+
+    Attributes:
+        runs: Runs seen. Invariant: at most MIN_RUNS, as more make no difference.
+        mean_excess: Moving average of the logarithm of how much longer runs took there than their kind usually does.
+    """
+
+    runs: int
+    mean_excess: int
+
+
+class SlowMinions:
+    """Excess of run times by minion, as logarithms in the scale of `run_times`.
+
+    Excess is that of plain run times, never of corrected ones, and it is relative to the median minion: a change that
+    all minions see makes none of them slow.
+
+    Attributes:
+        minions: By minion id. Invariant: at most MAX_MINIONS; the one first heard of is forgotten first.
+        median_excess: The median of the minions' excess, as last found.
+        runs_until_median: Runs until the median is found anew.
     """
 
-    __slots__ = ("base", "left", "rows")
+    __slots__ = ("median_excess", "minions", "runs_until_median")
 
     def __init__(self) -> None:
-        self.rows: dict[str, list[int]] = {}
-        self.base = 0
-        self.left = EVERY
-
-    def note(self, *, minion_id: str, off: int) -> int:
-        """A run took `off` (log) longer than its kind usually does; returns what `log` says now."""
-        row = self.rows.get(minion_id)
-        if row is None:
-            if len(self.rows) >= MINIONS:
-                del self.rows[next(iter(self.rows))]
-            row = self.rows[minion_id] = [0, self.base]
-        if row[0] < LEAST:
-            row[0] += 1
-        row[1] += ((CUT if off > CUT else -CUT if off < -CUT else off) - row[1]) // 4
-        self.left -= 1
-        if self.left <= 0:
-            self.left = EVERY
-            vals = sorted([v for _, v in self.rows.values()])
-            self.base = vals[(len(vals) - 1) // 2]
-        more = row[1] - self.base
-        return more if more >= FROM and row[0] >= LEAST else 0
-
-    def log(self, *, minion_id: str) -> int:
-        """How much longer runs take there, as a log; 0 for all that is not clearly slow.
-
-        >>> Slow().log(minion_id="m")
+        self.minions: dict[str, MinionSpeed] = {}
+        self.median_excess = 0
+        self.runs_until_median = MEDIAN_EVERY
+
+    def record(self, *, minion_id: str, excess: int) -> int:
+        """Take note that a run took `excess` longer than its kind usually does; returns the minion's excess now."""
+        minion = self.minions.get(minion_id)
+        if minion is None:
+            if len(self.minions) >= MAX_MINIONS:
+                del self.minions[next(iter(self.minions))]
+            minion = self.minions[minion_id] = MinionSpeed(0, self.median_excess)
+        if minion.runs < MIN_RUNS:
+            minion.runs += 1
+        bounded = MAX_EXCESS if excess > MAX_EXCESS else -MAX_EXCESS if excess < -MAX_EXCESS else excess
+        minion.mean_excess += (bounded - minion.mean_excess) // 4
+        self.runs_until_median -= 1
+        if self.runs_until_median <= 0:
+            self._find_median()
+        return self._excess_of(minion)
+
+    def _find_median(self) -> None:
+        self.runs_until_median = MEDIAN_EVERY
+        ordered = sorted([minion.mean_excess for minion in self.minions.values()])
+        self.median_excess = ordered[(len(ordered) - 1) // 2]
+
+    def _excess_of(self, minion: MinionSpeed) -> int:
+        excess = minion.mean_excess - self.median_excess
+        return excess if excess >= MIN_EXCESS and minion.runs >= MIN_RUNS else 0
+
+    def excess(self, *, minion_id: str) -> int:
+        """How much longer runs take there, as a logarithm; 0 for all that is not clearly slow.
+
+        >>> SlowMinions().excess(minion_id="m")
         0
         """
-        row = self.rows.get(minion_id)
-        if row is None or row[0] < LEAST or row[1] - self.base < FROM:
-            return 0
-        return row[1] - self.base
+        minion = self.minions.get(minion_id)
+        return self._excess_of(minion) if minion is not None else 0
 
-    def dump(self) -> Any:
-        """As plain data."""
-        return [self.base, self.left, [[k, *v] for k, v in self.rows.items()]]
+    def dump(self) -> list[Any]:
+        """All of it as plain data."""
+        rows = [[minion_id, minion.runs, minion.mean_excess] for minion_id, minion in self.minions.items()]
+        return [self.median_excess, self.runs_until_median, rows]
 
     @classmethod
-    def load(cls, document: Any) -> "Slow":
-        """Undo `dump`."""
-        out = cls()
-        out.base, out.left = document[0], document[1]
-        out.rows = {k: list(v) for k, *v in document[2]}
-        return out
+    def load(cls, document: list[Any]) -> "SlowMinions":
+        """What `dump` gave."""
+        slow_minions = cls()
+        slow_minions.median_excess, slow_minions.runs_until_median = document[0], document[1]
+        for minion_id, runs, mean_excess in document[2]:
+            slow_minions.minions[minion_id] = MinionSpeed(runs, mean_excess)
+        return slow_minions
--- a/yarrowloom/scheduling/binding.py
+++ b/yarrowloom/scheduling/binding.py
@@ -405,7 +405,7 @@
         if self.warm.is_on and group.unit_key.startswith("0.") and job.state is JobState.PENDING:
             self.warm.job_started(
                 queue=job.queue,
-                kind=kind_key(q=job.queue, steps=job.steps),
+                kind=kind_key(queue=job.queue, steps=job.steps),
                 now=self.context.now,
                 wait_ms=self.context.environment.wall_now * 1000 - job.accepted_at_ms,
             )
--- a/yarrowloom/scheduling/scheduling_pass.py
+++ b/yarrowloom/scheduling/scheduling_pass.py
@@ -224,7 +224,7 @@
         step = job.step_of(unit_key=group.unit_key)
         if group.is_gang or step.is_long_running:
             return math.inf
-        return self.context.history.times(q=job.queue, step=step).p95 / 1000
+        return self.context.history.run_time(queue=job.queue, step=step).p95 / 1000
 
     # -- failed cycles
 
--- a/yarrowloom/scheduling/warm_capacity.py
+++ b/yarrowloom/scheduling/warm_capacity.py
@@ -5,7 +5,7 @@
 
 from ..common.defaults import WarmRow
 from ..common.resources import NO_RESOURCES, Resources
-from ..prediction import Bounds, History, Room, Warm
+from ..prediction import History, WarmLimits, WarmPlanner, WarmRequest
 from .capacity import ClusterCapacity
 from .scheduling_cycle import PlacementRequest, run_cycle
 
@@ -18,13 +18,13 @@
     """Capacity kept for one predicted kind of job.
 
     Attributes:
-        room: The prediction's wish.
+        request: What the plan wants.
         rank: The rank of its queue.
         size: What one task needs.
         tasks_by_minion: For how many tasks each minion keeps capacity.
     """
 
-    room: Room
+    request: WarmRequest
     rank: int
     size: Resources
     tasks_by_minion: dict[str, int] = field(default_factory=dict)
@@ -39,7 +39,7 @@
     Attributes:
         capacity: The minions.
         history: What was learned of earlier jobs.
-        warm: The plan: which kinds are worth a reservation, within the settings' bounds.
+        planner: Plans which kinds are worth a reservation, within the settings' limits.
         reservations: By kind of job.
         planned_at: When the plan was made last, monotonic seconds.
     """
@@ -47,14 +47,14 @@
     def __init__(self, *, capacity: ClusterCapacity, history: History, settings: WarmRow) -> None:
         self.capacity = capacity
         self.history = history
-        self.warm = Warm(
-            bounds=Bounds(
-                on=settings["on"],
-                core_s=settings["core_s"],
-                tasks=settings["tasks"],
-                expiry_ms=settings["expiry_ms"],
+        self.planner = WarmPlanner(
+            limits=WarmLimits(
+                is_on=settings["on"],
+                max_core_s_per_minute=settings["core_s"],
+                max_tasks=settings["tasks"],
+                max_hold_ms=settings["expiry_ms"],
                 lead_ms=settings["lead_ms"],
-                least=settings["least"],
+                min_confidence=settings["least"],
             )
         )
         self.reservations: dict[str, WarmReservation] = {}
@@ -63,7 +63,7 @@
     @property
     def is_on(self) -> bool:
         """Whether the settings switch warming on."""
-        return self.warm.bounds.on
+        return self.planner.limits.is_on
 
     def tick(self, *, now: float, wall_now: float, ranks: dict[str, int], evacuated: frozenset[str]) -> None:
         """Plan anew, a few times a second.
@@ -79,53 +79,53 @@
         self.planned_at = now
         for kind, reservation in list(self.reservations.items()):
             if not self._is_valid(reservation=reservation, ranks=ranks, evacuated=evacuated):
-                self.warm.lost(kind=kind, steady=now * 1000)
-        rooms = self._plan(now=now, wall_now=wall_now, ranks=ranks)
-        for kind in [kind for kind in self.reservations if kind not in rooms]:
+                self.planner.give_up(kind=kind, steady_ms=now * 1000)
+        requests = self._plan(now=now, wall_now=wall_now, ranks=ranks)
+        for kind in [kind for kind in self.reservations if kind not in requests]:
             self._drop(kind=kind)
-        for kind, room in rooms.items():
-            if kind not in self.reservations and not self._reserve(room=room, rank=ranks[room.queue], now=now):
-                self.warm.lost(kind=kind, steady=now * 1000)
+        for kind, request in requests.items():
+            if kind not in self.reservations and not self._reserve(wanted=request, rank=ranks[request.queue], now=now):
+                self.planner.give_up(kind=kind, steady_ms=now * 1000)
 
     def _is_valid(self, *, reservation: WarmReservation, ranks: dict[str, int], evacuated: frozenset[str]) -> bool:
         """Whether its queue still has its rank, and all its minions are open."""
-        if ranks.get(reservation.room.queue) != reservation.rank:
+        if ranks.get(reservation.request.queue) != reservation.rank:
             return False
         minions = [self.capacity.minions.get(minion_id) for minion_id in reservation.tasks_by_minion]
         return all(minion is not None and minion.is_open and minion.zone not in evacuated for minion in minions)
 
-    def _plan(self, *, now: float, wall_now: float, ranks: dict[str, int]) -> dict[str, Room]:
+    def _plan(self, *, now: float, wall_now: float, ranks: dict[str, int]) -> dict[str, WarmRequest]:
         now_ms = int(wall_now * 1000)
-        predictions = self.history.predict(now_ms=now_ms, horizon_ms=int(self.warm.bounds.expiry_ms))
+        predictions = self.history.predict(now_ms=now_ms, horizon_ms=int(self.planner.limits.max_hold_ms))
         last_rank = max(ranks.values(), default=0)
-        rooms = self.warm.plan(
-            now_ms=now_ms,
-            steady=now * 1000,
-            preds=[prediction for prediction in predictions if prediction.queue in ranks],
-            weight={queue: WEIGHT_PER_RANK ** (last_rank - rank) for queue, rank in ranks.items()},
+        requests = self.planner.plan(
+            wall_now_ms=now_ms,
+            steady_ms=now * 1000,
+            predictions=[prediction for prediction in predictions if prediction.queue in ranks],
+            weights={queue: WEIGHT_PER_RANK ** (last_rank - rank) for queue, rank in ranks.items()},
         )
-        return {room.kind: room for room in rooms}
+        return {request.kind: request for request in requests}
 
-    def _reserve(self, *, room: Room, rank: int, now: float) -> bool:
+    def _reserve(self, *, wanted: WarmRequest, rank: int, now: float) -> bool:
         """Choose the minions by a cycle of its own; False if it finds none."""
-        size = Resources(room.form.cpu, room.form.mem, room.form.gpu)
+        size = wanted.shape.resources
         decision = run_cycle(
             capacity=self.capacity,
             request=PlacementRequest(
-                service=room.service,
+                service=wanted.service,
                 size=size,
-                members=list(range(room.n)),
-                min_count=room.n if room.gang else 1,
-                required_label=room.form.req,
-                preferred_label=room.near,
-                same_rack=room.tight and room.gang,
+                members=list(range(wanted.task_count)),
+                min_count=wanted.task_count if wanted.is_gang else 1,
+                required_label=wanted.shape.required_label,
+                preferred_label=wanted.preferred_label,
+                same_rack=wanted.prefers_same_rack and wanted.is_gang,
                 rank=rank + 1,
                 now=now,
             ),
         )
         if not decision.feasible:
             return False
-        reservation = self.reservations[room.kind] = WarmReservation(room=room, rank=rank, size=size)
+        reservation = self.reservations[wanted.kind] = WarmReservation(request=wanted, rank=rank, size=size)
         tasks = reservation.tasks_by_minion
         for _, minion_id in decision.placements:
             tasks[minion_id] = tasks.get(minion_id, 0) + 1
@@ -137,7 +137,7 @@
         reservation = self.reservations.pop(kind)
         for minion_id in reservation.tasks_by_minion:
             self._update_minion(minion_id=minion_id)
-        self.capacity.grown.setdefault(reservation.room.service, {}).update(
+        self.capacity.grown.setdefault(reservation.request.service, {}).update(
             (minion_id, minion.free)
             for minion_id in reservation.tasks_by_minion
             if (minion := self.capacity.minions.get(minion_id)) is not None and minion.is_open
@@ -154,19 +154,19 @@
             tasks = reservation.tasks_by_minion[minion_id]
             minion.warm_reserved = minion.warm_reserved.plus(reservation.size, tasks)
         minion.warm_rank = min((reservation.rank for reservation in reservations), default=0)
-        minion.warm_until = max((reservation.room.until / 1000 for reservation in reservations), default=0.0)
+        minion.warm_until = max((reservation.request.until_ms / 1000 for reservation in reservations), default=0.0)
 
     def job_started(self, *, queue: str, kind: str, wait_ms: float, now: float) -> None:
         """A job's first tasks start: its reservation has served, or there was none."""
         if not self.is_on:
             return
-        room = self.warm.room(q=queue, kind=kind)
-        if room is not None and room.kind in self.reservations:
-            self.warm.hit(kind=room.kind, steady=now * 1000, wait_ms=wait_ms)
-            self._drop(kind=room.kind)
+        request = self.planner.request_for(queue=queue, kind=kind)
+        if request is not None and request.kind in self.reservations:
+            self.planner.hit(kind=request.kind, steady_ms=now * 1000, wait_ms=wait_ms)
+            self._drop(kind=request.kind)
         else:
-            self.warm.began_cold(kind=kind, wait_ms=wait_ms)
+            self.planner.started_cold(kind=kind, wait_ms=wait_ms)
 
     def report(self) -> dict[str, Any]:
         """Figures for the operator."""
-        return self.warm.report()
+        return self.planner.report()
