--- a/tests/node/test_disk_writer.py
+++ b/tests/node/test_disk_writer.py
@@ -81,7 +81,7 @@
     killed = disk.copy()
     killed.kill()
     lose_all(disk=disk)
-    # The checkpoint that begins the next file stands for the entries before it.
+    # The snapshot that begins the next file stands for the entries before it.
     for left in (disk, killed):
         found = written(disk=left)
         assert found == sorted(set(found))
--- a/tests/storage/stored_data.py
+++ b/tests/storage/stored_data.py
@@ -33,7 +33,7 @@
 
     verdict: str
     records: list[Any]  # all that the ring holds, in order, parsed
-    snapshot: list[Any]  # what the recovered node would write as its first checkpoint, parsed
+    snapshot: list[Any]  # what the recovered node would write as its first snapshot, parsed
 
     def document(self) -> dict[str, Any]:
         """The form in which the expectation is stored."""
--- a/tests/storage/test_mutants.py
+++ b/tests/storage/test_mutants.py
@@ -7,7 +7,7 @@
 
 from tests.storage.test_crash_proof import FIRST, SECOND, troubles
 from tests.storage.test_storage import DAMAGES, damage, path
-from tests.support.storage_proof import Bounds, Breach, Life, Oracle, explore, make_ring, play, replay, walk
+from tests.support.storage_proof import Bounds, Life, Oracle, ProofError, explore, make_journal, play, replay, walk
 from yarrowloom.simulator.machines.disk import Operation, SimDisk, Trouble
 from yarrowloom.storage import JournalState, RingJournal
 from yarrowloom.storage.record_format import HEADER_BYTES, Header, RingFile
@@ -37,16 +37,16 @@
     """One file damaged after each number of batches."""
     for turns in range(9):
         disk, oracle = SimDisk(), Oracle()
-        play(disk=disk, oracle=oracle, life=Life(batches=(3,) * turns), make=make_ring, cut=None)
+        play(disk=disk, oracle=oracle, life=Life(batches=(3,) * turns), make=make_journal, cut=None)
         for slot in range(4):
             for how in DAMAGES:
                 hurt = disk.copy()
                 hurt.kill()
                 damage(disk=hurt, slot=slot, how=how)
-                ring = make_ring(hurt, 99)
+                ring = make_journal(hurt, 99)
                 records = ring.load()
                 if ring.state is not JournalState.LOST and replay(records=records) != oracle.acknowledged:
-                    raise Breach(f"damage not seen: {how} {slot}")
+                    raise ProofError(f"damage not seen: {how} {slot}")
         newest = max(range(4), key=lambda slot: header_number(disk=disk, slot=slot))
         for slot in range(4):
             if slot != newest:
@@ -66,10 +66,10 @@
         hurt = disk.copy()
         hurt.kill()
         hurt.damage(path=path(slot), content=old[:position] + bytes([old[position] ^ 64]) + old[position + 1 :])
-        ring = make_ring(hurt, 99)
+        ring = make_journal(hurt, 99)
         records = ring.load()
         if ring.state is not JournalState.COMPLETE or replay(records=records) != wanted:
-            raise Breach(f"a header that is not needed: {slot} {position}")
+            raise ProofError(f"a header that is not needed: {slot} {position}")
 
 
 def proof() -> None:
@@ -148,5 +148,5 @@
 def test_a_guard_taken_out_is_found(mutant: object, monkeypatch: pytest.MonkeyPatch) -> None:
     assert callable(mutant)
     mutant(monkeypatch)
-    with pytest.raises(Breach):
+    with pytest.raises(ProofError):
         proof()
--- a/tests/storage/test_ring_journal.py
+++ b/tests/storage/test_ring_journal.py
@@ -10,12 +10,12 @@
 
 
 def fill(*, rng: random.Random, ring: RingJournal, kept: list[bytes], n: int) -> None:
-    """Append batches; on each turn of the ring a checkpoint stands for all before."""
+    """Append batches; on each turn of the ring a snapshot stands for all before."""
     for _ in range(n):
         bodies = [rng.randbytes(rng.randint(0, 300)) for _ in range(rng.randint(1, 4))]
         if ring.is_full(extra_bytes=ring.encoded_bytes(bodies=bodies)):
             ring.rotate()
-            mark = b"checkpoint %d" % len(kept)
+            mark = b"snapshot %d" % len(kept)
             ring.append(bodies=[mark, *bodies])
             kept[:] = [mark, *bodies]
         else:
@@ -70,8 +70,8 @@
     assert RingJournal(folder=str(tmp_path), file_count=4, file_bytes=4096).load() == [b"x"]
 
 
-def test_files_grow_where_a_checkpoint_would_fill_them(tmp_path: pathlib.Path) -> None:
-    """A file that a checkpoint nearly fills would be left again after a few records, each time for another one."""
+def test_files_grow_where_a_snapshot_would_fill_them(tmp_path: pathlib.Path) -> None:
+    """A file that a snapshot nearly fills would be left again after a few records, each time for another one."""
     ring = RingJournal(folder=str(tmp_path), file_count=4, file_bytes=4096, max_file_bytes=32768)
     ring.load()
     ring.rotate()
@@ -124,7 +124,7 @@
     ]
 
 
-def test_a_file_with_a_torn_checkpoint_after_a_gap_does_not_count(tmp_path: pathlib.Path) -> None:
+def test_a_file_with_a_torn_snapshot_after_a_gap_does_not_count(tmp_path: pathlib.Path) -> None:
     first = RingJournal(folder=str(tmp_path), file_count=4, file_bytes=4096)
     first.load()
     first.rotate()
--- a/tests/storage/test_storage.py
+++ b/tests/storage/test_storage.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.support.storage_proof import FILE_BYTES, FOLDER, Life, Oracle, Process, checkpoint, make_ring, play, replay
+from tests.support.storage_proof import FILE_BYTES, FOLDER, Life, Oracle, Process, make_journal, play, replay, snapshot
 from yarrowloom.common.errors import StorageError
 from yarrowloom.common.log import Log
 from yarrowloom.common.settings import NodeSettings
@@ -24,7 +24,7 @@
 def after(*, batches: tuple[int, ...]) -> tuple[SimDisk, Oracle]:
     """A disk on which some batches were acknowledged, after the loss of power."""
     disk, oracle = SimDisk(), Oracle()
-    assert play(disk=disk, oracle=oracle, life=Life(batches=batches), make=make_ring, cut=None)
+    assert play(disk=disk, oracle=oracle, life=Life(batches=batches), make=make_journal, cut=None)
     lose_all(disk=disk)
     return disk, oracle
 
@@ -37,7 +37,7 @@
 
 
 def verdict(*, disk: SimDisk) -> JournalState:
-    ring = make_ring(disk.copy(), 99)
+    ring = make_journal(disk.copy(), 99)
     ring.load()
     return ring.state
 
@@ -69,7 +69,7 @@
     """Also the newest file gone while older ones are there. Damage to any one file, after each number of batches."""
     disk, oracle = after(batches=(3,) * turns)
     damage(disk=disk, slot=slot, how=how)
-    ring = make_ring(disk, 99)
+    ring = make_journal(disk, 99)
     records = ring.load()
     assert ring.state in (JournalState.COMPLETE, JournalState.LOST)
     if ring.state is JournalState.COMPLETE:
@@ -81,7 +81,7 @@
 def test_the_newest_file_gone_is_called_lost_until_a_new_journal_stands(turns: int, how: str) -> None:
     """Whatever cuts off the first start after it, the old journal is never taken up again."""
     disk, _ = after(batches=(3,) * turns)
-    ring = make_ring(disk.copy(), 99)
+    ring = make_journal(disk.copy(), 99)
     ring.load()
     damage(disk=disk, slot=ring._durable_file % 4, how=how)
     assert verdict(disk=disk) is JournalState.LOST
@@ -89,7 +89,7 @@
     for cut in range(1, 40):
         again, ended = disk.copy(), False
         again.cut_at = again.calls + cut
-        ring = make_ring(again, 100)
+        ring = make_journal(again, 100)
         try:
             ring.load()
             ring.begin_file(snapshot=new)
@@ -100,7 +100,7 @@
             last = again.copy()
             kept = tuple(min(writes[0], size) for size in last.unsynced_writes())
             last.lose_power(outcome=Outcome(names=names * len(last.unsynced_names()), writes=kept))
-            ring = make_ring(last, 101)
+            ring = make_journal(last, 101)
             records = ring.load()
             assert ring.state is JournalState.LOST or (ring.state, records) == (JournalState.COMPLETE, new)
             assert ring.state is JournalState.COMPLETE or not ended
@@ -114,7 +114,7 @@
     ended = False
     while not ended:
         disk = SimDisk()
-        ended = play(disk=disk, oracle=Oracle(), life=Life(), make=make_ring, cut=len(found) + 1)
+        ended = play(disk=disk, oracle=Oracle(), life=Life(), make=make_journal, cut=len(found) + 1)
         lose_all(disk=disk)
         found.append(verdict(disk=disk))
     first = found.index(JournalState.COMPLETE)  # from the sync of the first batch on
@@ -148,7 +148,7 @@
 
 def test_a_sync_that_failed_is_not_called_again_on_the_same_file() -> None:
     disk = SimDisk()
-    process = Process(disk=disk, oracle=Oracle(), make=make_ring)
+    process = Process(disk=disk, oracle=Oracle(), make=make_journal)
     process.start()
     process.put(count=1)
     disk.troubles = [Trouble(operation=Operation.SYNC_DATA, error=errno.EIO)]
@@ -157,42 +157,42 @@
     assert process.ring.is_full(extra_bytes=0)
     with pytest.raises(OSError, match="no ring file"):
         process.ring.append(bodies=[b'{"entry": 1}'])
-    process.ring.begin_file(snapshot=checkpoint(state=[0]), bodies=[b'{"entry": 1}'])
+    process.ring.begin_file(snapshot=snapshot(state=[0]), bodies=[b'{"entry": 1}'])
     lose_all(disk=disk)
-    assert replay(records=make_ring(disk, 2).load()) == [0, 1]
+    assert replay(records=make_journal(disk, 2).load()) == [0, 1]
 
 
 def test_tries_without_end_leave_the_durable_file_alone() -> None:
     """The disk refuses each sync; every fourth try wrote over the only durable file."""
     disk, oracle = after(batches=(3, 3))
     disk.troubles = [Trouble(operation=Operation.SYNC_DATA, error=errno.EIO, times=100)]
-    ring = make_ring(disk, 5)
+    ring = make_journal(disk, 5)
     ring.load()
     for _ in range(20):
         with pytest.raises(OSError, match=r"Input/output"):
-            ring.begin_file(snapshot=checkpoint(state=[1]))
+            ring.begin_file(snapshot=snapshot(state=[1]))
     lose_all(disk=disk)
-    assert replay(records=make_ring(disk, 6).load()) == oracle.acknowledged
+    assert replay(records=make_journal(disk, 6).load()) == oracle.acknowledged
 
 
 def test_starts_without_end_leave_the_durable_file_alone() -> None:
     """Each life is killed before its first sync."""
     disk, oracle = after(batches=(3, 3))
     for life in range(12):
-        ring = make_ring(disk, 10 + life)
+        ring = make_journal(disk, 10 + life)
         ring.load()
         disk.troubles = [Trouble(operation=Operation.SYNC_DATA, error=errno.EIO)]
         with pytest.raises(OSError, match=r"Input/output"):
-            ring.begin_file(snapshot=checkpoint(state=[1])[:2])
+            ring.begin_file(snapshot=snapshot(state=[1])[:2])
         disk.kill()
 
     lose_all(disk=disk)
-    assert replay(records=make_ring(disk, 31).load()) == oracle.acknowledged
+    assert replay(records=make_journal(disk, 31).load()) == oracle.acknowledged
 
 
 def test_a_disk_that_is_full_for_a_while() -> None:
     disk, oracle = SimDisk(room_bytes=2 * FILE_BYTES), Oracle()
-    process = Process(disk=disk, oracle=oracle, make=make_ring)
+    process = Process(disk=disk, oracle=oracle, make=make_journal)
     process.start()
 
     def fill() -> None:
@@ -203,11 +203,11 @@
         fill()
     disk.room_bytes = None
     disk.kill()
-    process = Process(disk=disk, oracle=oracle, make=make_ring)
+    process = Process(disk=disk, oracle=oracle, make=make_journal)
     process.start()
     process.put(count=3)
     lose_all(disk=disk)
-    assert replay(records=make_ring(disk, 9).load()) == oracle.acknowledged
+    assert replay(records=make_journal(disk, 9).load()) == oracle.acknowledged
 
 
 def test_a_start_waits_for_a_disk_that_refuses() -> None:
@@ -216,7 +216,7 @@
         Trouble(operation=Operation.SYNC_FOLDER, error=errno.EIO, times=3),
         Trouble(operation=Operation.WRITE, error=errno.ENOSPC, times=2),
     ]
-    ring = make_ring(disk, 1)
+    ring = make_journal(disk, 1)
     assert retry_disk_call(call=ring.load, journal=ring, log=LOG, sleep=waits.append) == []
     assert len(waits) == 5
     disk.troubles = [Trouble(operation=Operation.SYNC_FOLDER, error=errno.EACCES)]
--- a/tests/support/storage_proof.py
+++ b/tests/support/storage_proof.py
@@ -1,7 +1,7 @@
 """A user of the ring on a simulated disk, and all ends that power and kills can bring it to.
 
 The user keeps a list of numbers. It writes them as a node does: in batches, each batch acknowledged once it is synced,
-with a checkpoint of the list at the beginning of each file. After each end the disk has to show what was acknowledged.
+with a snapshot of the list at the beginning of each file. After each end the disk has to show what was acknowledged.
 """
 
 import copy
@@ -17,15 +17,15 @@
 
 FOLDER = "/data"
 FILE_BYTES = 360
-TRIES = 14
-MakeRing = Callable[[SimDisk, int], RingJournal]
+MAX_ATTEMPTS = 14
+MakeJournal = Callable[[SimDisk, int], RingJournal]
 
 
-class Breach(AssertionError):
+class ProofError(AssertionError):
     """The disk does not show what it has to."""
 
 
-def make_ring(disk: SimDisk, life: int) -> RingJournal:
+def make_journal(disk: SimDisk, life: int) -> RingJournal:
     rng = random.Random(life)
     return RingJournal(
         folder=FOLDER, file_count=4, file_bytes=FILE_BYTES, file_system=disk, salt=lambda: rng.getrandbits(32)
@@ -57,16 +57,16 @@
         """The list that the records stand for, if it is one of those allowed."""
         if verdict is JournalState.EMPTY:
             if self.started or records:
-                raise Breach(f"called empty, acknowledged {self.acknowledged}")
+                raise ProofError(f"called empty, acknowledged {self.acknowledged}")
             return []
         if verdict is JournalState.LOST:
-            raise Breach(f"called lost without damage, acknowledged {self.acknowledged}")
+            raise ProofError(f"called lost without damage, acknowledged {self.acknowledged}")
         state = replay(records=records)
         extra = state[len(self.acknowledged) :]
         if state[: len(self.acknowledged)] != self.acknowledged:
-            raise Breach(f"acknowledged {self.acknowledged}, found {state}")
+            raise ProofError(f"acknowledged {self.acknowledged}, found {state}")
         if extra != self.in_flight[: len(extra)]:
-            raise Breach(f"found {extra}, written last {self.in_flight}")
+            raise ProofError(f"found {extra}, written last {self.in_flight}")
         return state
 
 
@@ -81,18 +81,18 @@
         if "list" in record:
             state = record["list"]
         elif state is None:
-            raise Breach("a journal that begins without a checkpoint")
+            raise ProofError("a journal that begins without a snapshot")
         else:
             state = [*state, record["entry"]]
             entries.append(record["entry"])
     if entries != sorted(set(entries)):
-        raise Breach(f"entries twice or out of order: {entries}")
+        raise ProofError(f"entries twice or out of order: {entries}")
     if state is None:
-        raise Breach("a whole journal without a checkpoint")
+        raise ProofError("a whole journal without a snapshot")
     return state
 
 
-def checkpoint(*, state: list[int]) -> list[bytes]:
+def snapshot(*, state: list[int]) -> list[bytes]:
     """Two records and their end."""
     return [json.dumps({"part": 1, "list": []}).encode(), json.dumps({"list": state}).encode(), SNAPSHOT_END]
 
@@ -100,7 +100,7 @@
 class Process:
     """One life on a disk."""
 
-    def __init__(self, *, disk: SimDisk, oracle: Oracle, make: MakeRing) -> None:
+    def __init__(self, *, disk: SimDisk, oracle: Oracle, make: MakeJournal) -> None:
         self.oracle = oracle
         self.ring = make(disk, oracle.life)
         oracle.life += 1
@@ -108,8 +108,8 @@
     def start(self) -> None:
         """Read the journal and begin a new file."""
         oracle = self.oracle
-        self._until_taken(write=self._read)
-        self._until_taken(write=lambda: self._open(bodies=[]))
+        self._retry(write=self._read)
+        self._retry(write=lambda: self._open(bodies=[]))
         oracle.acknowledged, oracle.in_flight, oracle.started = list(self.state), [], True
 
     def _read(self) -> None:
@@ -123,7 +123,7 @@
         oracle.next_value += count
         oracle.in_flight = values
         bodies = [json.dumps({"entry": value, "pad": "x" * (value % 7)}).encode() for value in values]
-        self._until_taken(write=lambda: self._write(bodies=bodies))
+        self._retry(write=lambda: self._write(bodies=bodies))
         self.state += values
         oracle.acknowledged, oracle.in_flight = list(self.state), []
 
@@ -134,19 +134,19 @@
             self.ring.append(bodies=bodies)
 
     def _open(self, *, bodies: list[bytes]) -> None:
-        head = checkpoint(state=self.state)
+        head = snapshot(state=self.state)
         self.ring.rotate(snapshot_bytes=0)
         self.ring.append(bodies=head + bodies)
 
-    def _until_taken(self, *, write: Callable[[], None]) -> None:
-        for _ in range(TRIES):
+    def _retry(self, *, write: Callable[[], None]) -> None:
+        for _ in range(MAX_ATTEMPTS):
             try:
                 write()
             except (OSError, StorageError):
                 self.ring.close()
             else:
                 return
-        raise Breach("refused too often")
+        raise ProofError("refused too often")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -188,7 +188,7 @@
     return list(range(1, length))
 
 
-def play(*, disk: SimDisk, oracle: Oracle, life: Life, make: MakeRing, cut: int | None) -> bool:
+def play(*, disk: SimDisk, oracle: Oracle, life: Life, make: MakeJournal, cut: int | None) -> bool:
     """Play a life; true if it came to its end before power was cut at its call number `cut`."""
     disk.troubles = [copy.copy(trouble) for trouble in life.troubles]
     disk.cut_at = disk.calls + cut if cut is not None else None
@@ -204,7 +204,7 @@
     return True
 
 
-def check(*, disk: SimDisk, oracle: Oracle, make: MakeRing) -> None:
+def check(*, disk: SimDisk, oracle: Oracle, make: MakeJournal) -> None:
     """Load on a copy."""
     ring = make(disk.copy(), oracle.life)
     records = ring.load()
@@ -216,7 +216,7 @@
     lives: list[Life],
     bounds: list[Bounds],
     seed: int = 0,
-    make: MakeRing = make_ring,
+    make: MakeJournal = make_journal,
     disk: SimDisk | None = None,
     oracle: Oracle | None = None,
     tally: Tally | None = None,
@@ -254,7 +254,7 @@
     return tally
 
 
-def _cuts(*, life: Life, make: MakeRing, disk: SimDisk, oracle: Oracle) -> Iterator[tuple[int, SimDisk, Oracle]]:
+def _cuts(*, life: Life, make: MakeJournal, disk: SimDisk, oracle: Oracle) -> Iterator[tuple[int, SimDisk, Oracle]]:
     """Disk and oracle as they are before each call of a life, and after its last."""
     cut, whole = 0, False
     while not whole:
@@ -264,7 +264,7 @@
         yield cut, ended, known
 
 
-def walk(*, seed: int, lives: list[Life], longest: int, make: MakeRing = make_ring) -> Tally:
+def walk(*, seed: int, lives: list[Life], longest: int, make: MakeJournal = make_journal) -> Tally:
     """Lives in a row, each ended at a random call by a kill or by a loss of power with a random outcome."""
     rng = random.Random(seed)
     disk, oracle, tally = SimDisk(), Oracle(), Tally()
--- a/yarrowloom/storage/filesystem.py
+++ b/yarrowloom/storage/filesystem.py
@@ -1,17 +1,31 @@
-"""The file operations that the store needs: a protocol, and the operating system behind it."""
+"""The file operations that the journal needs: a protocol, and the operating system behind it."""
 
 import os
 from typing import Protocol
 
 
 class FileSystem(Protocol):
-    """Blocking file operations on numbered handles. Each raises `OSError` where the disk refuses."""
+    """Blocking file operations on numbered handles.
+
+    Each raises `OSError` where the disk refuses. Folders and new names last only once their folder is synced.
+    """
 
     def make_folder(self, *, path: str) -> None:
-        """Create a folder that lasts; one that is there is left alone."""
+        """Create a folder and its parents, and make their names durable; one that exists is left alone."""
 
     def open(self, *, path: str, create: bool) -> int:
-        """Open for reading and writing; `create` makes a missing file, else `FileNotFoundError`."""
+        """Open a file for reading and writing.
+
+        Args:
+            path: The file's name with its folder.
+            create: Whether a missing file is made.
+
+        Returns:
+            A handle for the other operations, until `close`.
+
+        Raises:
+            FileNotFoundError: The file is missing and `create` is false.
+        """
 
     def size(self, *, handle: int) -> int:
         """Length of the file in bytes."""
@@ -59,13 +73,13 @@
         """Read the whole file."""
         os.lseek(handle, 0, os.SEEK_SET)
         parts: list[bytes] = []
-        left = os.fstat(handle).st_size
-        while left > 0:
-            part = os.read(handle, left)
+        remaining_bytes = os.fstat(handle).st_size
+        while remaining_bytes > 0:
+            part = os.read(handle, remaining_bytes)
             if not part:
                 break
             parts.append(part)
-            left -= len(part)
+            remaining_bytes -= len(part)
         return b"".join(parts)
 
     def write(self, *, handle: int, position: int, data: bytes) -> None:
--- a/yarrowloom/storage/ring_journal.py
+++ b/yarrowloom/storage/ring_journal.py
@@ -8,7 +8,8 @@
 import errno
 import os
 import secrets
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
 from typing import NamedTuple
 
 from ..common.errors import Finding, StorageError
@@ -130,17 +131,22 @@
         self._next_record = replayed.next_record
         return replayed.bodies
 
+    @contextmanager
+    def _closing(self, *, handle: int) -> Iterator[None]:
+        """Close a handle at the end, whatever happens."""
+        try:
+            yield
+        finally:
+            self._file_system.close(handle=handle)
+
     def _read_file(self, *, index: int) -> RingFile:
-        file_system = self._file_system
         try:
-            handle = file_system.open(path=self._path(index=index), create=False)
+            handle = self._file_system.open(path=self._path(index=index), create=False)
         except FileNotFoundError:
             return RingFile.decode(index=index, file_count=self.file_count, raw=None)
-        try:
-            file_system.sync(handle=handle)
-            raw = file_system.read(handle=handle)
-        finally:
-            file_system.close(handle=handle)
+        with self._closing(handle=handle):
+            self._file_system.sync(handle=handle)
+            raw = self._file_system.read(handle=handle)
         return RingFile.decode(index=index, file_count=self.file_count, raw=raw)
 
     def _make_files(self, *, files: list[RingFile]) -> None:
@@ -158,14 +164,12 @@
     def _write_header(self, *, index: int, content: bytes, create: bool) -> None:
         file_system = self._file_system
         handle = file_system.open(path=self._path(index=index), create=create)
-        try:
+        with self._closing(handle=handle):
             file_system.write(handle=handle, position=0, data=content)
             if create:
                 file_system.sync(handle=handle)
             else:
                 file_system.sync_data(handle=handle)
-        finally:
-            file_system.close(handle=handle)
 
     # -- writing
 
