--- a/tests/scheduling/test_binding.py
+++ b/tests/scheduling/test_binding.py
@@ -1,4 +1,4 @@
-"""Binding through failures: the placing node ends, stands still or is cut off at each step of a cycle's way."""
+"""Binding through failures: the scheduler ends, stands still or is cut off at each step of a cycle's way."""
 
 import random
 from typing import Any
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize("how", ["kill", "power", "freeze", "cut"])
 @pytest.mark.parametrize("at", STEPS, ids=[k.name for k in STEPS])
-def test_the_placing_node_fails_at_any_step_of_a_cycle(at: Kind, how: str) -> None:
+def test_all_jobs_end_if_the_scheduler_fails_at_any_step_of_a_binding(at: Kind, how: str) -> None:
     seed = 7000 + 10 * int(at) + len(how)
     sim, oracle, caller, _ = cluster(seed=seed, minions=6, edges=2)
     hit = strike(sim=sim, at=at, nth=random.Random(seed).randint(2, 9), how=how)
@@ -120,7 +120,7 @@
 
 
 def test_leases_of_a_failed_gang_attempt_all_go_back() -> None:
-    """The snapshot is old: one agent refuses; nothing starts, no room stays taken, the group is tried again."""
+    """The snapshot is old: one agent refuses; nothing starts, no capacity stays taken, the group is tried again."""
     sim, oracle, caller, fleet = cluster(seed=7501, minions=3)
     core = sim.core(sim.serving(group_id=1)[0])
     scheduler = core.schedulers[1]
--- a/tests/scheduling/test_warm_capacity.py
+++ b/tests/scheduling/test_warm_capacity.py
@@ -1,4 +1,4 @@
-"""Warm room in the simulated cluster: it keeps later work off, starts nothing, and dies with what it rests on."""
+"""Warm capacity in the simulated cluster: it keeps later work off, starts nothing, and dies with what it rests on."""
 
 from functools import partial
 from typing import Any
@@ -48,7 +48,7 @@
     assert oracle.broken == []
 
 
-def test_room_is_kept_before_the_call_and_nothing_starts_in_it(warm: None) -> None:
+def test_capacity_is_kept_before_the_call_and_nothing_starts_in_it(warm: None) -> None:
     sim, oracle, caller, fleet = cluster(seed=8101, minions=4, work=0.4)
     beat(sim=sim, caller=caller, times=14, gap=3.0)
     scheduler = scheduler_of(sim)
@@ -60,7 +60,8 @@
     slow = caller.submit(stages=[{**FILL, "task-count": 8}], queue="slow")
     sim.run(seconds=0.1)
     busy = {m.minion_id for m in fleet if m.running}
-    assert busy and not busy & set(kept.tasks_by_minion), "later ranks keep off warm room"
+    assert busy
+    assert not busy & set(kept.tasks_by_minion), "later ranks keep off warm capacity"
     hits = scheduler.warm.planner.figures.hits
     caller.submit(stages=[URGENT])
     sim.run(seconds=0.3)
@@ -69,8 +70,8 @@
     ended(sim=sim, oracle=oracle, caller=caller)
 
 
-def test_work_that_ends_in_time_may_use_warm_room(warm: None) -> None:
-    """What by its learned run time ends before the room is wanted no more is let in."""
+def test_work_that_ends_in_time_may_use_warm_capacity(warm: None) -> None:
+    """What by its learned run time ends before the capacity is wanted no more is let in."""
     sim, oracle, caller, fleet = cluster(seed=8201, minions=4, work=0.2)
     quick = {"task-count": 2, "cpus": 1000, "mem-mb": 100, "estimate-ms": 200}
     for _ in range(14):
@@ -93,7 +94,7 @@
 
 
 @pytest.mark.parametrize("what", ["kill", "crash", "drain", "evacuate", "config"])
-def test_warm_room_dies_with_what_it_rests_on(warm: None, what: str) -> None:
+def test_warm_capacity_ends_with_what_it_rests_on(warm: None, what: str) -> None:
     sim, oracle, caller, fleet = cluster(seed=8300 + len(what), minions=6, work=0.4, edges=2)
     beat(sim=sim, caller=caller, times=14, gap=3.0)
     scheduler = scheduler_of(sim)
--- a/yarrowloom/scheduling/warm_capacity.py
+++ b/yarrowloom/scheduling/warm_capacity.py
@@ -84,7 +84,7 @@
         for kind in [kind for kind in self.reservations if kind not in requests]:
             self._drop(kind=kind)
         for kind, request in requests.items():
-            if kind not in self.reservations and not self._reserve(wanted=request, rank=ranks[request.queue], now=now):
+            if kind not in self.reservations and not self._reserve(request=request, rank=ranks[request.queue], now=now):
                 self.planner.give_up(kind=kind, steady_ms=now * 1000)
 
     def _is_valid(self, *, reservation: WarmReservation, ranks: dict[str, int], evacuated: frozenset[str]) -> bool:
@@ -106,26 +106,26 @@
         )
         return {request.kind: request for request in requests}
 
-    def _reserve(self, *, wanted: WarmRequest, rank: int, now: float) -> bool:
+    def _reserve(self, *, request: WarmRequest, rank: int, now: float) -> bool:
         """Choose the minions by a cycle of its own; False if it finds none."""
-        size = wanted.shape.resources
+        size = request.shape.resources
         decision = run_cycle(
             capacity=self.capacity,
             request=PlacementRequest(
-                service=wanted.service,
+                service=request.service,
                 size=size,
-                members=list(range(wanted.task_count)),
-                min_count=wanted.task_count if wanted.is_gang else 1,
-                required_label=wanted.shape.required_label,
-                preferred_label=wanted.preferred_label,
-                same_rack=wanted.prefers_same_rack and wanted.is_gang,
+                members=list(range(request.task_count)),
+                min_count=request.task_count if request.is_gang else 1,
+                required_label=request.shape.required_label,
+                preferred_label=request.preferred_label,
+                same_rack=request.prefers_same_rack and request.is_gang,
                 rank=rank + 1,
                 now=now,
             ),
         )
         if not decision.feasible:
             return False
-        reservation = self.reservations[wanted.kind] = WarmReservation(request=wanted, rank=rank, size=size)
+        reservation = self.reservations[request.kind] = WarmReservation(request=request, rank=rank, size=size)
         tasks = reservation.tasks_by_minion
         for _, minion_id in decision.placements:
             tasks[minion_id] = tasks.get(minion_id, 0) + 1
