--- a/tests/agent/test_heartbeat.py
+++ b/tests/agent/test_heartbeat.py
@@ -116,6 +116,17 @@
     assert oracle.broken == []
 
 
+@pytest.mark.parametrize(("key", "value", "place"), MALFORMED)
+def test_malformed_heartbeat_of_an_unknown_minion_is_answered_400(key: str, value: object, place: str) -> None:
+    """Labels that are no list once raised a TypeError out of the node, which nothing caught."""
+    sim, _, _, _ = cluster(seed=561, minions=1)
+    for ip in sim.core_ips:
+        status, answer = sim.ask(ip=ip, method="PUT", path="/minions/i-new", document={**WHOLE, key: value})
+        assert status == 400
+        assert place in answer["text"]
+    assert not any("i-new" in sim.core(ip).agent.minions for ip in sim.core_ips)
+
+
 def test_response_has_the_published_keys() -> None:
     response = HeartbeatResponse(
         fence=3,
--- a/yarrowloom/node/heartbeat_routing.py
+++ b/yarrowloom/node/heartbeat_routing.py
@@ -6,7 +6,7 @@
 from typing import Any, Protocol
 
 from ..agent import Agent
-from ..agent.heartbeat import parse_heartbeat
+from ..agent.heartbeat import MinionHeartbeat, parse_heartbeat
 from ..common.log import Log
 from ..common.records import MalformedRecordError, Record, decode
 from ..transport.http_server import Response
@@ -88,8 +88,11 @@
 
     def on_heartbeat(self, *, minion_id: str, document: dict[str, Any], call: Any) -> None:
         """A minion's heartbeat came over HTTP: it goes to the minion's agent, here or elsewhere."""
+        heartbeat = self._parsed(minion_id=minion_id, document=document, call=call)
+        if heartbeat is None:
+            return
         if self.is_owned_here(minion_id=minion_id):
-            self._to_agent(minion_id=minion_id, document=document, call=call)
+            self.environment.agent.on_heartbeat(minion_id=minion_id, heartbeat=heartbeat, call=call)
             return
         owner, found_at = self.owners.get(minion_id, ("", -math.inf))
         if owner and owner != self.environment.node_id and self.environment.now - found_at < OWNER_KNOWN_S:
@@ -97,9 +100,9 @@
             return
         query = OwnerQuery(
             minion_id=minion_id,
-            zone=str(document.get("zone", "")),
-            service=str(document.get("backend", "")),
-            labels=[str(label) for label in document.get("labels", [])],
+            zone=heartbeat.zone or "",
+            service=heartbeat.service or "",
+            labels=heartbeat.labels or [],
         )
         self.environment.calls.start(
             group_id=0,
@@ -129,15 +132,20 @@
         )
 
     def _to_agent(self, *, minion_id: str, document: dict[str, Any], call: Any) -> None:
-        """A heartbeat of an owned minion; what cannot be read is refused."""
+        """A heartbeat of an owned minion, which another node took or which waited for its owner to be found."""
+        heartbeat = self._parsed(minion_id=minion_id, document=document, call=call)
+        if heartbeat is not None:
+            self.environment.agent.on_heartbeat(minion_id=minion_id, heartbeat=heartbeat, call=call)
+
+    def _parsed(self, *, minion_id: str, document: dict[str, Any], call: Any) -> MinionHeartbeat | None:
+        """The heartbeat; None: it is malformed, which is answered here."""
         node = self.environment
         try:
-            heartbeat = parse_heartbeat(document=document)
+            return parse_heartbeat(document=document)
         except MalformedRecordError as error:
             node.log.warn("heartbeat-malformed", minion=minion_id, why=error.text)
             node.respond(call=call, response=Response.of(BAD_REQUEST, {"error": "not a beat", "text": error.text}))
-            return
-        node.agent.on_heartbeat(minion_id=minion_id, heartbeat=heartbeat, call=call)
+            return None
 
     def _forward(self, *, owner: str, minion_id: str, document: dict[str, Any], call: Any) -> None:
         self.environment.calls.start(
