--- a/tests/mutants/test_operator_request_mutants.py
+++ b/tests/mutants/test_operator_request_mutants.py
@@ -22,6 +22,7 @@
 from yarrowloom.cluster_state.operator_requests import AcceptedChanges
 from yarrowloom.cluster_state.registry import Registry
 from yarrowloom.cluster_state.registry_events import ZoneEvacuationChanged
+from yarrowloom.common.effects import Effect
 from yarrowloom.common.errors import StaleVersionError, YarrowError
 from yarrowloom.node import http_routes
 from yarrowloom.node.call_messages import CallOperation
@@ -63,7 +64,7 @@
 
 
 def confirmed_before_it_is_durable(patch: pytest.MonkeyPatch) -> None:
-    def barrier(self: Replica, *, then: tuple[Any, ...]) -> None:
+    def barrier(self: Replica, *, then: Effect) -> None:
         self.environment.effect(effect=then)
 
     patch.setattr(Replica, "barrier", barrier)
--- a/tests/mutants/test_state_mutants.py
+++ b/tests/mutants/test_state_mutants.py
@@ -8,7 +8,7 @@
 
 from tests.support.mutant_proof import assert_guard_is_needed, settle
 from tests.support.simulated_work import Day, Worker, task
-from yarrowloom.common.effects import AnyEffect
+from yarrowloom.common.effects import Effect
 from yarrowloom.jobs.effects import JobEffect, UnitReady
 from yarrowloom.jobs.events import RunOutcome, TaskEnded
 from yarrowloom.jobs.state_machine import Jobs
@@ -176,7 +176,7 @@
     def remove_guard(patch: pytest.MonkeyPatch) -> None:
         real = Replica.commit
 
-        def commit(self: Replica, *, event: dict[str, Any], then: AnyEffect | None = None) -> Any:
+        def commit(self: Replica, *, event: dict[str, Any], then: Effect | None = None) -> Any:
             if isinstance(then, Reply):
                 self.environment.effect(effect=then)
                 then = None
--- a/tests/node/test_controller.py
+++ b/tests/node/test_controller.py
@@ -134,7 +134,7 @@
     ordered.runs["t"] = TaskRun(task="t", run=1, group_id=1, lease_id=1)
     lost.phase = Phase.LOST
     well.runs["t"] = TaskRun(task="t", run=1, group_id=1, lease_id=1, is_sent=True)
-    node.release_minions(minion_ids=[*minion_ids, "i-none"])
+    node.core_heartbeats.release_minions(minion_ids=[*minion_ids, "i-none"])
     assert [m in node.agent.minions for m in minion_ids] == [True, True, True, True, False]
 
 
--- a/tests/replication/test_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -10,7 +10,7 @@
 from tests.support.replication_adapter import Member
 from tests.support.replication_explorer import ALL, Search, calm, do, ready, replay
 from tests.support.replication_model import Op, World
-from yarrowloom.common.effects import AnyEffect, NoEffect
+from yarrowloom.common.effects import Effect, NoEffect
 from yarrowloom.common.records import Record
 from yarrowloom.replication import election as ballot
 from yarrowloom.replication import replica
@@ -56,7 +56,7 @@
     """What waits for a sync is said before it."""
     real = Member.write
 
-    def write(self: Member, *, record: Record, done: AnyEffect) -> None:
+    def write(self: Member, *, record: Record, done: Effect) -> None:
         if isinstance(done, SendMessage) and done.message.KIND in kinds:
             real(self, record=record, done=NoEffect())
             self.effect(effect=done)
--- a/tests/replication/test_stalled_process.py
+++ b/tests/replication/test_stalled_process.py
@@ -142,9 +142,9 @@
     before = sim.now
     while sim.now < before + STILL_S + 1.0:
         sim.run(seconds=0.05)
-        assert agent.agent_lease_expires <= sim.now + 1.5
+        assert agent.core_heartbeats.lease_expires <= sim.now + 1.5
         if newest(sim, group_id=0).primary == sim.core(primary).node_id:
-            assert agent.agent_lease_expires <= before + 1.5
+            assert agent.core_heartbeats.lease_expires <= before + 1.5
 
 
 @pytest.mark.parametrize("seed", [13, 14, 15])
--- a/tests/support/replica_cell.py
+++ b/tests/support/replica_cell.py
@@ -2,11 +2,12 @@
 
 import random
 from collections.abc import Callable, Sequence
+from dataclasses import dataclass
 from typing import Any
 
 import orjson
 
-from yarrowloom.common.effects import AnyEffect, NoEffect
+from yarrowloom.common.effects import Effect, NoEffect
 from yarrowloom.common.records import Record
 from yarrowloom.node.recovery import last_snapshot, records_since
 from yarrowloom.replication.effects import BatchSynced, SnapshotSynced
@@ -22,6 +23,13 @@
 STEP_S = 0.05
 
 
+@dataclass(frozen=True, slots=True, kw_only=True)
+class EventConfirmed(Effect):
+    """The event of this number is durable."""
+
+    number: int
+
+
 class Rows:
     """A reducer that keeps its events in order; one that it refuses is taken half-way."""
 
@@ -50,7 +58,7 @@
         self.node_id = node_id
         self.incarnation = 1
         self.journal: list[bytes] = []
-        self.unsynced: list[tuple[bytes, AnyEffect]] = []
+        self.unsynced: list[tuple[bytes, Effect]] = []
         self.notes: list[tuple[str, dict[str, object]]] = []
         self.state = Rows()
         self.replica: Replica
@@ -64,10 +72,10 @@
     def send_message(self, *, node_id: str, message: Message) -> None:
         self.cell.wire.append((self.node_id, node_id, message.KIND, message.encoded()))
 
-    def write(self, *, record: Record, done: AnyEffect) -> None:
+    def write(self, *, record: Record, done: Effect) -> None:
         self.unsynced.append((record.encoded(), done))
 
-    def effect(self, *, effect: AnyEffect) -> None:
+    def effect(self, *, effect: Effect) -> None:
         match effect:
             case BatchSynced():
                 self.replica.batch_synced(epoch_number=effect.epoch_number, last_event=effect.last_event)
@@ -75,7 +83,7 @@
                 self.replica.snapshot_synced(snapshot_id=effect.snapshot_id)
             case SendMessage():
                 self.send_message(node_id=effect.node_id, message=effect.message)
-            case ("confirmed", number):
+            case EventConfirmed(number=number):
                 self.cell.confirmed.append(number)
             case _:
                 assert effect == NoEffect(), effect
@@ -121,7 +129,7 @@
         self.journal += [body for body, _ in batch]
         self.ran(batch=batch)
 
-    def ran(self, *, batch: list[tuple[bytes, AnyEffect]]) -> None:
+    def ran(self, *, batch: list[tuple[bytes, Effect]]) -> None:
         for _, done in batch:
             self.effect(effect=done)
         self.replica.flush()
@@ -224,7 +232,7 @@
         return self.members[epoch.backups[0]]
 
     def commit(self, *, x: int, member: Member | None = None) -> None:
-        (member or self.primary()).replica.commit(event={"x": x}, then=("confirmed", x))
+        (member or self.primary()).replica.commit(event={"x": x}, then=EventConfirmed(number=x))
 
 
 __all__ = ["SNAPSHOT_END", "Cell", "Member", "Role", "Rows"]
--- a/tests/support/replication_adapter.py
+++ b/tests/support/replication_adapter.py
@@ -9,7 +9,7 @@
 
 from tests.support.binding_model import Broken
 from yarrowloom.cluster_state.registry import Registry
-from yarrowloom.common.effects import AnyEffect, NoEffect
+from yarrowloom.common.effects import Effect, NoEffect
 from yarrowloom.common.records import Record, decode
 from yarrowloom.replication.effects import BatchSynced, SnapshotSynced
 from yarrowloom.replication.environment import Reducer, ReplicaEnvironment
@@ -33,6 +33,20 @@
 ROLES_WITH_STATE = frozenset({Role.PRIMARY, Role.BACKUP, Role.LAPSED, Role.CANDIDATE})
 
 
+@dataclass(frozen=True, slots=True, kw_only=True)
+class EventAcknowledged(Effect):
+    """The event of this number is durable."""
+
+    number: int
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class StateRead(Effect):
+    """A read of the state is durable: it saw events of these numbers."""
+
+    numbers: list[int]
+
+
 class Book:
     """A reducer: the numbers of the events that were applied, in their order."""
 
@@ -91,7 +105,7 @@
     asked_votes: int = -1  # the newest of these for which votes were asked
     draws: int = 0
     synced: list[dict[str, Any]] = field(default_factory=list)
-    pending: list[tuple[int, dict[str, Any], AnyEffect]] = field(default_factory=list)
+    pending: list[tuple[int, dict[str, Any], Effect]] = field(default_factory=list)
     last_heard: dict[str, float] = field(default_factory=dict)
     view: list[str] = field(default_factory=list)  # the uids that it takes for members
     replica: Replica = field(init=False)
@@ -107,12 +121,12 @@
         self.w.check_send(member=self, kind=kind, body=body)
         self.w.send(src=self, dst=addr_of(node_id=node_id), kind=kind.name, body=body, copy=LANES[kind] is Lane.COPY)
 
-    def write(self, *, record: Record, done: AnyEffect) -> None:
+    def write(self, *, record: Record, done: Effect) -> None:
         if isinstance(done, SendMessage) and isinstance(done.message, BatchAppended):
             self.w.check_left(member=self, n=done.message.epoch_number)
         self.pending.append((self.w.next_serial(), orjson.loads(record.encoded()), done))
 
-    def effect(self, *, effect: AnyEffect) -> None:
+    def effect(self, *, effect: Effect) -> None:
         match effect:
             case BatchSynced():
                 self.replica.batch_synced(epoch_number=effect.epoch_number, last_event=effect.last_event)
@@ -120,9 +134,9 @@
                 self.replica.snapshot_synced(snapshot_id=effect.snapshot_id)
             case SendMessage():
                 self.send_message(node_id=effect.node_id, message=effect.message)
-            case ("ack", number):
+            case EventAcknowledged(number=number):
                 self.w.acked_by(member=self, numbers=[number])
-            case ("answer", numbers):
+            case StateRead(numbers=numbers):
                 self.w.acked_by(member=self, numbers=numbers)
             case _:
                 assert effect == NoEffect(), effect
@@ -228,11 +242,11 @@
         return rows
 
     def commit(self, *, number: int) -> None:
-        self.replica.commit(event=event(number=number, registry=self.registry), then=("ack", number))
+        self.replica.commit(event=event(number=number, registry=self.registry), then=EventAcknowledged(number=number))
         self.replica.flush()
 
     def read(self) -> None:
-        self.replica.barrier(then=("answer", list(self.numbers())))
+        self.replica.barrier(then=StateRead(numbers=list(self.numbers())))
         self.replica.flush()
 
     def take(self, *, node_id: str, kind: str, body: dict[str, Any]) -> None:
@@ -243,7 +257,7 @@
             self.replica.on(node_id=node_id, kind=Kind[kind], body=body)
         self.replica.flush()
 
-    def done(self, *, effects: list[AnyEffect]) -> None:
+    def done(self, *, effects: list[Effect]) -> None:
         for effect in effects:
             self.effect(effect=effect)
         self.replica.flush()
--- a/yarrowloom/common/effects.py
+++ b/yarrowloom/common/effects.py
@@ -1,7 +1,6 @@
 """Effects: what a state machine wants done once an event is durable, as data."""
 
 from dataclasses import dataclass
-from typing import Any
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -12,6 +11,3 @@
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NoEffect(Effect):
     """Nothing is to be done."""
-
-
-AnyEffect = Effect | tuple[Any, ...]  # a tuple: the name of an action that has no class yet, and its arguments
--- a/yarrowloom/node/controller.py
+++ b/yarrowloom/node/controller.py
@@ -1,7 +1,7 @@
 """What the primary of group 0 does besides serving its log: leases to agents, owners of minions, core members."""
 
 import math
-from typing import Any, NamedTuple, Protocol
+from typing import NamedTuple, Protocol
 
 from msgspec import UNSET
 
@@ -15,10 +15,13 @@
     RegistryEvent,
 )
 from ..cluster_state.registry_rows import CoreMember, MinionDescription
+from ..common.effects import Effect
 from ..common.settings import NodeSettings
 from ..replication import Replica
 from ..replication.epoch import addr_of
+from ..transport.effects import Reply
 from ..transport.message import Message
+from .effects import NotifyOwners
 from .messages import Heartbeat, HeartbeatAck, OwnedMinion
 from .minion_rebalancing import MOVES_PER_ROUND, MinionRebalancing
 from .registry_requests import OwnerQuery
@@ -33,6 +36,7 @@
 MEMBER_SILENCE_S = 30.0  # a member that was silent for longer is removed
 ASSIGNMENTS_MOST = 256  # in one commit, and in one tick for each kind of work
 NEW_MINIONS_WINDOW_S = 0.05  # new minions that come within this time share a commit
+OK = 200
 SERVICE_PAUSE_S = 0.3  # a primary that did not serve for longer doesn't count that time as silence of others
 
 
@@ -45,9 +49,7 @@
     registry: Registry
     replicas: dict[int, Replica]
 
-    def commit_registry(
-        self, *, event: RegistryEvent, then: tuple[Any, ...] | None = None, publish: bool = False
-    ) -> None:
+    def commit_registry(self, *, event: RegistryEvent, then: Effect | None = None, publish: bool = False) -> None:
         """Commit an event to group 0; `publish`: other nodes are told of the registry once it is durable."""
 
     def send_message(self, *, node_id: str, message: Message) -> None:
@@ -226,7 +228,9 @@
         if not assignments:
             return
         minion_ids = [assignment.minion_id for assignment in assignments]
-        self.node.commit_registry(event=MinionsAssigned(assignments=assignments), then=("owned", minion_ids))
+        self.node.commit_registry(
+            event=MinionsAssigned(assignments=assignments), then=NotifyOwners(minion_ids=minion_ids)
+        )
 
     def on_assigned(self, *, minion_ids: list[str]) -> None:
         """Assignments are durable: tell the owners."""
@@ -309,7 +313,9 @@
 
     def _reply_owner(self, *, node_id: str, request_id: int, owner: str) -> None:
         """Respond to a call once the ownership is durable."""
-        self.node.replicas[0].barrier(then=("reply", node_id, request_id, 200, {"o": owner}))
+        self.node.replicas[0].barrier(
+            then=Reply(node_id=node_id, request_id=request_id, status=OK, document={"o": owner})
+        )
 
     # -- moves in quiet times
 
--- a/yarrowloom/node/core.py
+++ b/yarrowloom/node/core.py
@@ -4,13 +4,9 @@
 from functools import partial
 from typing import Any
 
-import msgspec
-from msgspec import UNSET
-
 from ..agent.messages import AGENT_MESSAGES, CapacitySummary
-from ..cluster_state.minion_ownership import ownership_digest
 from ..common.defaults import Defaults
-from ..common.effects import AnyEffect, Effect, NoEffect
+from ..common.effects import Effect, NoEffect
 from ..common.log import Log
 from ..common.records import decode
 from ..common.settings import NodeSettings
@@ -23,9 +19,8 @@
 from ..transport.envelope import Kind, dump
 from ..transport.http_server import Request
 from .call_messages import GroupCall, GroupReply
-from .controller import AGENT_LEASE_S
 from .core_environment import CoreEnvironment
-from .edge_relays import EdgeRelays
+from .effects import AcknowledgeOwnAgent, ApplyUpdate, NotifyOwners
 from .http_routes import dispatch
 from .input_scheduler import Input, InputClass
 from .messages import ClusterUpdate, Heartbeat, HeartbeatAck
@@ -59,7 +54,6 @@
             rand=rand,
             defaults=defaults,
         )
-        self.relays = EdgeRelays()
         self._effect_handlers: dict[type[Effect], Callable[[Any], None]] = {
             NoEffect: lambda _effect: None,
             BatchSynced: self._batch_synced,
@@ -68,6 +62,9 @@
             Reply: self._respond_to_call,
             StopRuns: self._stop_runs,
             OrderRuns: self._order_runs,
+            ApplyUpdate: self._apply_update,
+            NotifyOwners: self._notify_owners,
+            AcknowledgeOwnAgent: self._acknowledge_own_agent,
         }
         self._handlers: dict[Kind, Callable[..., None]] = {
             Kind.HEARTBEAT: self._on_heartbeat,
@@ -78,26 +75,12 @@
             Kind.CAPACITY_REPORT: self._on_capacity_report,
             **{kind: partial(self._on_replication, kind=kind) for kind in GROUP_MESSAGE_KINDS},
         }
-        self._effects: dict[str, Callable[..., None]] = {
-            "send": self._sendeff,
-            "none": self._none,
-            "reply": self._reply,
-            "publish": self._publish,
-            "owned": self._owned,
-            "own-heartbeat-ack": self._own_heartbeat_ack,
-        }
 
     # -- effects
 
-    def effect(self, *, effect: AnyEffect) -> None:
+    def effect(self, *, effect: Effect) -> None:
         """Carry out an effect whose event is durable."""
-        if isinstance(effect, Effect):
-            self._effect_handlers[type(effect)](effect)
-        else:
-            self._effects[effect[0]](*effect[1:])
-
-    def _none(self) -> None:
-        pass
+        self._effect_handlers[type(effect)](effect)
 
     def _batch_synced(self, effect: BatchSynced) -> None:
         replica = self.replicas[effect.group_id]
@@ -109,24 +92,18 @@
     def _send_message(self, effect: SendMessage) -> None:
         self.send_message(node_id=effect.node_id, message=effect.message)
 
-    def _sendeff(self, node_id: str, kind: int, body: dict[str, Any]) -> None:
-        self.send(node_id=node_id, kind=Kind(kind), body=body)
-
-    def _reply(self, node_id: str, request_id: int, status: int, document: Any) -> None:
-        self.reply(node_id=node_id, request_id=request_id, status=status, document=document)
-
-    def _publish(self, update: ClusterUpdate) -> None:
-        self.apply_update(update=update)
-
     def _respond_to_call(self, effect: Reply) -> None:
         self.reply(node_id=effect.node_id, request_id=effect.request_id, status=effect.status, document=effect.document)
 
-    def _owned(self, minion_ids: list[str]) -> None:
+    def _apply_update(self, effect: ApplyUpdate) -> None:
+        self.apply_update(update=effect.update)
+
+    def _notify_owners(self, effect: NotifyOwners) -> None:
         if self.controller is not None:
-            self.controller.on_assigned(minion_ids=minion_ids)
+            self.controller.on_assigned(minion_ids=effect.minion_ids)
 
-    def _own_heartbeat_ack(self, ack: HeartbeatAck) -> None:
-        self._apply_heartbeat_ack(node_id=self.node_id, ack=ack)
+    def _acknowledge_own_agent(self, effect: AcknowledgeOwnAgent) -> None:
+        self.core_heartbeats.on_ack(node_id=self.node_id, ack=effect.ack)
 
     def _stop_runs(self, effect: StopRuns) -> None:
         if effect.group_id in self.schedulers:
@@ -143,7 +120,7 @@
         dispatch(node=self, call=call, request=req)
         self._flush()
 
-    def done(self, *, effects: list[AnyEffect]) -> None:
+    def done(self, *, effects: list[Effect]) -> None:
         """Records are synced."""
         for effect in effects:
             self.effect(effect=effect)
@@ -153,16 +130,6 @@
         for replica in self.replicas.values():
             replica.flush()
 
-    def heartbeat(self) -> Heartbeat:
-        """A core's heartbeat also tells the minions that its agent owns: a digest, and all of them if asked for."""
-        owned = [(minion.minion_id, minion.fence) for minion in self.agent.minions.values()]
-        return msgspec.structs.replace(
-            super().heartbeat(),
-            minions_digest=ownership_digest(fences=owned),
-            controller_echo=self.controller_echo,
-            owned_minions=owned if self.owned_minions_wanted else UNSET,
-        )
-
     def on(self, *, node_id: str, kind: Kind, m: Any) -> None:
         """Take one message of a node; `m` is its parsed body, and the node's from now on.
 
@@ -198,70 +165,10 @@
     def _on_heartbeat(self, *, node_id: str, m: Any) -> None:
         heartbeat = decode(m, into=Heartbeat)
         self.on_heartbeat(heartbeat=heartbeat)
-        ack = self.heartbeat_ack(heartbeat=heartbeat)
-        if heartbeat.kind == "edge":
-            relays = self.relays.for_edge(node_id=heartbeat.node_id, now=self.now, alive_edges=self._alive_edges)
-            ack = msgspec.structs.replace(ack, relays=relays or UNSET)
-        if self.controller is not None and self.replicas[0].is_serving():
-            ack = self._with_controller_part(ack=ack, own=self.controller.on_heartbeat(heartbeat=heartbeat))
-            if ack.owned or ack.disowned:
-                self.replicas[0].barrier(then=SendMessage(node_id=heartbeat.node_id, message=ack))
-                return
-        self.send_message(node_id=heartbeat.node_id, message=ack)
-
-    def _alive_edges(self) -> list[str]:
-        return self.roster.alive_of_kind(kind="edge", now=self.now)
-
-    def _with_controller_part(self, *, ack: HeartbeatAck, own: HeartbeatAck) -> HeartbeatAck:
-        """An acknowledgement joined with what the controller says in it."""
-        return msgspec.structs.replace(
-            ack,
-            grants_lease=own.grants_lease,
-            wants_owned_minions=own.wants_owned_minions,
-            minions_to_release=own.minions_to_release,
-            owned=own.owned,
-            disowned=own.disowned,
-            controller_time=self.now,
-            live_members=[u for u in self.roster.registry.members if self.is_alive(node_id=u)],
-        )
+        self.core_heartbeats.acknowledge(heartbeat=heartbeat)
 
     def _on_heartbeat_ack(self, *, node_id: str, m: Any) -> None:
-        self._apply_heartbeat_ack(node_id=node_id, ack=decode(m, into=HeartbeatAck))
-
-    def _apply_heartbeat_ack(self, *, node_id: str, ack: HeartbeatAck) -> None:
-        """Take what a node says in answer to a heartbeat, or as the controller by itself."""
-        if ack.sent_at is not UNSET:
-            self.heartbeats.last_ack = self.now
-        if ack.live_members is not UNSET:
-            self.membership.on_listed_alive(node_ids=ack.live_members)
-        if ack.update is not UNSET:
-            self.apply_update(update=ack.update)
-        if ack.sent_at is not UNSET:
-            self.heartbeats.on_ack(node_id=node_id, ack=ack)
-            self._take_lease(ack=ack, sent_at=ack.sent_at)
-        for owned in ack.owned or ():
-            self.agent.add_minion(
-                minion_id=owned.minion_id,
-                fence=owned.fence,
-                service=owned.row.service or "",
-                zone=owned.row.zone or "",
-                labels=owned.row.labels or [],
-            )
-        for minion_id in ack.disowned or ():
-            self.agent.remove_minion(minion_id=minion_id)
-        if ack.wants_owned_minions or ack.minions_to_release:
-            self.release_minions(minion_ids=ack.minions_to_release or [])
-            self.owned_minions_wanted = True
-            self.heartbeats.send_soon()
-
-    def _take_lease(self, *, ack: HeartbeatAck, sent_at: float) -> None:
-        """The controller lets the agent act, if this node has all evacuations that the controller knew of."""
-        if ack.controller_time is not UNSET:
-            epoch = None if ack.proof_epoch is UNSET else ack.proof_epoch
-            self.controller_echo = (epoch, ack.controller_time)
-        version = -1 if ack.registry_version is UNSET else ack.registry_version
-        if ack.grants_lease and version <= self.roster.registry.version:
-            self.agent_lease_expires = max(self.agent_lease_expires, sent_at + AGENT_LEASE_S)
+        self.core_heartbeats.on_ack(node_id=node_id, ack=decode(m, into=HeartbeatAck))
 
     def _on_cluster_update(self, *, node_id: str, m: Any) -> None:
         self.apply_update(update=decode(m, into=ClusterUpdate))
@@ -319,14 +226,9 @@
             self._resume(stalled_s=self.now - self.last_pulse)
         self.last_pulse = self.now
         self.prove_own()
-        self.heartbeats.send_due()
-        sent_heartbeats = self.heartbeats.last_sent == self.now
+        self.core_heartbeats.send_due()
         if self.controller is not None and self.replicas[0].is_serving():
-            if sent_heartbeats:
-                self._acknowledge_own_agent()
             self.controller.tick()
-        if self.heartbeats.last_sent == self.now:
-            self.owned_minions_wanted = False
         self.calls.tick()
         self.call_server.sweep()
         for replica in self.replicas.values():
@@ -344,16 +246,6 @@
             for node_id, at in times.items():
                 times[node_id] = min(at + stalled_s, self.now)
 
-    def _acknowledge_own_agent(self) -> None:
-        """The controller's part of an acknowledgement, to the agent of its own node."""
-        assert self.controller is not None
-        ack = self.controller.on_heartbeat(heartbeat=self.heartbeat())
-        if ack.owned is UNSET:
-            self._apply_heartbeat_ack(node_id=self.node_id, ack=ack)
-        elif ack.owned or ack.disowned:
-            own = HeartbeatAck(owned=ack.owned, disowned=ack.disowned)
-            self.replicas[0].barrier(then=("own-heartbeat-ack", own))
-
     def leave(self) -> None:
         """The process is to end: hand what it holds to others, and the groups served here to their backups."""
         for replica in self.replicas.values():
--- a/yarrowloom/node/core_environment.py
+++ b/yarrowloom/node/core_environment.py
@@ -1,6 +1,5 @@
 """What a core node is made of, and what it gives its state machines."""
 
-import math
 from collections.abc import Sequence
 from typing import Any
 
@@ -10,7 +9,7 @@
 from ..cluster_state.registry import Registry
 from ..cluster_state.registry_events import RegistryEvent
 from ..common.defaults import SHIPPED, Defaults
-from ..common.effects import AnyEffect
+from ..common.effects import Effect
 from ..common.log import Log
 from ..common.records import Record
 from ..common.settings import NodeSettings
@@ -22,10 +21,12 @@
 from .call_messages import CallOperation, GroupReply
 from .call_server import CallServer
 from .controller import Controller
+from .core_heartbeats import CoreHeartbeats
+from .effects import ApplyUpdate
 from .group_calls import first_number, ignore_result
 from .heartbeat_routing import ForwardedCall, HeartbeatRouting
 from .membership import Membership
-from .messages import ClusterUpdate, ContactProof, RegistryUpdate
+from .messages import ClusterUpdate, ContactProof, Heartbeat, RegistryUpdate
 from .node_base import JOB_GROUPS, NodeBase
 from .registry_calls import RegistryCalls
 from .registry_requests import MinionRemoval
@@ -53,9 +54,7 @@
         registry_calls: Answers calls of group 0.
         call_server: Takes the calls of other nodes.
         heartbeat_routing: Finds the agents of minions.
-        agent_lease_expires: Until when the agent may act, by the monotonic clock in seconds.
-        controller_echo: Epoch and time of the controller's last acknowledgement; empty: there was none.
-        owned_minions_wanted: Whether the controller wants to be told all minions that the agent owns.
+        core_heartbeats: The agent's lease, and ownership of minions in heartbeats.
         previous_primary: By group id: the primary of the epoch before the newest one.
         last_pulse: When the last pulse was.
     """
@@ -97,9 +96,7 @@
         self.schedulers: dict[int, Scheduler] = {}
         self.controller: Controller | None = None
         self.agent = self._make_agent()
-        self.agent_lease_expires = -math.inf
-        self.controller_echo: tuple[int | float | None, ...] = ()
-        self.owned_minions_wanted = False
+        self.core_heartbeats = CoreHeartbeats(environment=self)
         self.previous_primary: dict[int, str] = {}
         self.last_pulse = now
 
@@ -139,7 +136,7 @@
         """Job groups."""
         return range(1, JOB_GROUPS + 1)
 
-    def write(self, *, record: Record, done: AnyEffect) -> None:
+    def write(self, *, record: Record, done: Effect) -> None:
         """To disk."""
         self.out.writes.append((record.encoded(), done))
 
@@ -226,7 +223,7 @@
 
     def trusted(self) -> bool:
         """Whether the agent may act: its lease from the controller is valid, or the controller is here."""
-        if self.now < self.agent_lease_expires:
+        if self.now < self.core_heartbeats.lease_expires:
             return True
         return self.controller is not None and self.replicas[0].is_serving()
 
@@ -241,18 +238,9 @@
         self.prove_own()
         return super().proof()
 
-    def release_minions(self, *, minion_ids: list[str]) -> None:
-        """The controller wants these given to other agents.
-
-        Only those in good order are let go, with none on its way out: the next agent would have to find out anew that
-        a minion is silent or about to leave.
-        """
-        for minion_id in minion_ids:
-            minion = self.agent.minions.get(minion_id)
-            if minion is None or not self.agent.is_open(minion):
-                continue
-            if not any(run.is_unsent for run in minion.runs.values()):
-                self.agent.remove_minion(minion_id=minion_id)
+    def heartbeat(self) -> Heartbeat:
+        """A core's heartbeat also tells the minions that its agent owns."""
+        return self.core_heartbeats.with_owned_minions(heartbeat=super().heartbeat())
 
     # -- what schedulers and the agent ask
 
@@ -289,9 +277,7 @@
 
     # -- group 0
 
-    def commit_registry(
-        self, *, event: RegistryEvent, then: tuple[Any, ...] | None = None, publish: bool = False
-    ) -> None:
+    def commit_registry(self, *, event: RegistryEvent, then: Effect | None = None, publish: bool = False) -> None:
         """Commit an event to group 0.
 
         Args:
@@ -301,7 +287,8 @@
         """
         self.replicas[0].commit(event=event.document(), then=then)
         if publish:
-            self.replicas[0].barrier(then=("publish", ClusterUpdate(registry=self._registry_update())))
+            update = ClusterUpdate(registry=self._registry_update())
+            self.replicas[0].barrier(then=ApplyUpdate(update=update))
 
     def _registry_update(self) -> RegistryUpdate:
         registry = self.registry
@@ -346,7 +333,7 @@
         document = self.load(body=response.body) if response.body else {}
         self.reply(node_id=call.node_id, request_id=call.request_id, status=response.status, document=document)
 
-    def effect(self, *, effect: AnyEffect) -> None:
+    def effect(self, *, effect: Effect) -> None:
         """Carry out an effect that is now durable."""
         raise NotImplementedError
 
--- a/yarrowloom/node/disk_writer.py
+++ b/yarrowloom/node/disk_writer.py
@@ -4,12 +4,12 @@
 
 import trio
 
-from ..common.effects import AnyEffect
+from ..common.effects import Effect
 from ..common.log import Log
 from ..storage import SNAPSHOT_END, RingJournal
 from ..storage.startup_retry import RETRY_S
 
-Write = tuple[bytes, AnyEffect]  # an encoded record, and the effect that may follow once it is durable
+Write = tuple[bytes, Effect]  # an encoded record, and the effect that may follow once it is durable
 
 
 class DiskWriter:
--- a/yarrowloom/node/outputs.py
+++ b/yarrowloom/node/outputs.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..common.effects import AnyEffect
+from ..common.effects import Effect
 from ..transport.envelope import Kind
 from ..transport.http_server import Response
 
@@ -19,5 +19,5 @@
     """
 
     sends: list[tuple[str, Kind, bytes]] = field(default_factory=list)
-    writes: list[tuple[bytes, AnyEffect]] = field(default_factory=list)
+    writes: list[tuple[bytes, Effect]] = field(default_factory=list)
     answers: list[tuple[Any, Response]] = field(default_factory=list)
--- a/yarrowloom/node/registry_calls.py
+++ b/yarrowloom/node/registry_calls.py
@@ -5,11 +5,14 @@
 
 from ..cluster_state.registry import Registry
 from ..cluster_state.registry_events import MinionRemoved, RegistryEvent
+from ..common.effects import Effect
 from ..common.errors import YarrowError
 from ..common.records import MalformedRecordError, decode
 from ..replication import Replica
+from ..transport.effects import Reply
 from .call_messages import CallOperation
 from .controller import Controller
+from .effects import ApplyUpdate
 from .http_errors import error_answer
 from .messages import ClusterUpdate
 from .registry_requests import ConfigChange, EvacuationChange, MinionDeparture, MinionRemoval, OwnerQuery
@@ -25,9 +28,7 @@
     replicas: dict[int, Replica]
     controller: Controller | None
 
-    def commit_registry(
-        self, *, event: RegistryEvent, then: tuple[Any, ...] | None = None, publish: bool = False
-    ) -> None:
+    def commit_registry(self, *, event: RegistryEvent, then: Effect | None = None, publish: bool = False) -> None:
         """Commit an event to group 0."""
 
     def note(self, *, event: str, **fields: object) -> None:
@@ -62,7 +63,9 @@
         self._operations[operation](node_id, request_id, body)
 
     def _reply_when_durable(self, *, node_id: str, request_id: int, status: int, document: Any) -> None:
-        self.environment.replicas[0].barrier(then=("reply", node_id, request_id, status, document))
+        self.environment.replicas[0].barrier(
+            then=Reply(node_id=node_id, request_id=request_id, status=status, document=document)
+        )
 
     def _refuse(self, *, node_id: str, request_id: int, error: YarrowError) -> None:
         status, document = error_answer(error=error)
@@ -81,7 +84,7 @@
         if event is not None:
             node.commit_registry(event=event)
             assert registry.config is not None
-            node.replicas[0].barrier(then=("publish", ClusterUpdate(config=registry.config)))
+            node.replicas[0].barrier(then=ApplyUpdate(update=ClusterUpdate(config=registry.config)))
             node.note(event="config-accepted", config_version=registry.config_version)
         self._reply_when_durable(node_id=node_id, request_id=request_id, status=OK, document={})
 
@@ -112,7 +115,7 @@
         removal = decode(body, into=MinionRemoval)
         self.environment.commit_registry(
             event=MinionRemoved(minion_id=removal.minion_id, fence=removal.fence),
-            then=("reply", node_id, request_id, OK, {}),
+            then=Reply(node_id=node_id, request_id=request_id, status=OK, document={}),
         )
 
     def _find_owner_of_departing(self, node_id: str, request_id: int, body: Any) -> None:
--- a/yarrowloom/replication/batch.py
+++ b/yarrowloom/replication/batch.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from ..common.effects import AnyEffect
+from ..common.effects import Effect
 
 
 class PendingEvent(NamedTuple):
@@ -15,7 +15,7 @@
     """
 
     event: dict[str, Any] | None
-    effect: AnyEffect | None
+    effect: Effect | None
 
 
 @dataclass(slots=True, kw_only=True)
@@ -38,7 +38,7 @@
     first: int
     last: int
     events: list[dict[str, Any]]
-    effects: list[AnyEffect]
+    effects: list[Effect]
     begun_at: float
     sent_at: float = 0.0
     local_durable: bool = False
--- a/yarrowloom/replication/election.py
+++ b/yarrowloom/replication/election.py
@@ -10,7 +10,7 @@
 
 from msgspec import UNSET
 
-from ..common.effects import AnyEffect
+from ..common.effects import Effect
 from .acceptor import Acceptor
 from .backup_selection import BackupSelection, Outcome
 from .effects import SnapshotSynced
@@ -248,7 +248,7 @@
         candidate.store_snapshot(record)
         return record
 
-    def _snapshot_synced_effect(self, record: SnapshotRecord) -> AnyEffect:
+    def _snapshot_synced_effect(self, record: SnapshotRecord) -> Effect:
         return SnapshotSynced(group_id=self._candidate.group_id, snapshot_id=record.snapshot_id)
 
     def on_snapshot_synced(self, *, snapshot_id: str) -> None:
--- a/yarrowloom/replication/environment.py
+++ b/yarrowloom/replication/environment.py
@@ -5,7 +5,7 @@
 
 import orjson
 
-from ..common.effects import AnyEffect, Effect
+from ..common.effects import Effect
 from ..common.records import Record
 from ..transport.envelope import dump
 from ..transport.message import Message
@@ -54,10 +54,10 @@
     def send_message(self, *, node_id: str, message: Message) -> None:
         """Send to another node, or to this one."""
 
-    def write(self, *, record: Record, done: AnyEffect) -> None:
+    def write(self, *, record: Record, done: Effect) -> None:
         """Write to disk; `done` comes back as an effect once it is synced."""
 
-    def effect(self, *, effect: AnyEffect) -> None:
+    def effect(self, *, effect: Effect) -> None:
         """Carry out an effect that is now durable."""
 
     def partners(self, *, first: Sequence[str]) -> list[str]:
--- a/yarrowloom/replication/event_pipeline.py
+++ b/yarrowloom/replication/event_pipeline.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from ..common.effects import AnyEffect
+from ..common.effects import Effect
 from .batch import Batch, PendingEvent
 from .effects import BatchSynced
 from .environment import ReplicaEnvironment
@@ -27,11 +27,11 @@
         self._environment = environment
         self._group_id = group_id
 
-    def append(self, *, event: dict[str, Any], then: AnyEffect | None) -> None:
+    def append(self, *, event: dict[str, Any], then: Effect | None) -> None:
         """An event was applied; `then` waits for it."""
         self.pending_events.append(PendingEvent(event, then))
 
-    def barrier(self, *, then: AnyEffect) -> None:
+    def barrier(self, *, then: Effect) -> None:
         """Carry out an effect once all events so far are durable: at once if none is on its way."""
         if self.pending_events:
             self.pending_events.append(PendingEvent(None, then))
@@ -45,7 +45,7 @@
         self.pending_events.clear()
         self.in_flight = None
 
-    def take_effects(self) -> list[AnyEffect]:
+    def take_effects(self) -> list[Effect]:
         """All effects that wait, in order; nothing waits after that."""
         effects = list(self.in_flight.effects) if self.in_flight is not None else []
         effects += [pending.effect for pending in self.pending_events if pending.effect is not None]
--- a/yarrowloom/replication/replica.py
+++ b/yarrowloom/replication/replica.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Any
 
-from ..common.effects import AnyEffect, Effect, NoEffect
+from ..common.effects import Effect, NoEffect
 from ..transport.effects import SendMessage
 from ..transport.message_kinds import Kind
 from .batch import Batch
@@ -106,7 +106,7 @@
         """Whether the member may act as the primary right now."""
         return self.role is Role.PRIMARY and self.lease.is_valid()
 
-    def commit(self, *, event: dict[str, Any], then: AnyEffect | None = None) -> Sequence[Effect]:
+    def commit(self, *, event: dict[str, Any], then: Effect | None = None) -> Sequence[Effect]:
         """Apply an event; only while serving.
 
         Args:
@@ -120,7 +120,7 @@
         self.pipeline.append(event=event, then=then)
         return effects
 
-    def barrier(self, *, then: AnyEffect) -> None:
+    def barrier(self, *, then: Effect) -> None:
         """Carry out an effect once all that was applied so far is durable."""
         self.pipeline.barrier(then=then)
 
@@ -192,7 +192,7 @@
             return
         self._assume_role()
 
-    def _save_acceptor(self, *, done: AnyEffect) -> None:
+    def _save_acceptor(self, *, done: Effect) -> None:
         self.environment.write(record=self.acceptor.stored_record(group_id=self.group_id), done=done)
 
     # -- disk
--- a/yarrowloom/scheduling/job_queue.py
+++ b/yarrowloom/scheduling/job_queue.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from ..agent.messages import StoppedRun
-from ..common.effects import AnyEffect
+from ..common.effects import Effect
 from ..jobs.effects import JobEnded, JobTimed, StopTask, UnitReady
 from ..jobs.events import JobEvent, JobsForgotten, RunDue
 from ..jobs.model import WAITING, Job
@@ -130,7 +130,7 @@
 
     # -- events
 
-    def commit(self, event: JobEvent, *, then: AnyEffect | None = None) -> None:
+    def commit(self, event: JobEvent, *, then: Effect | None = None) -> None:
         """Commit an event to the record, and follow at once what it brings about.
 
         Args:
--- a/yarrowloom/simulator/faulty_cluster.py
+++ b/yarrowloom/simulator/faulty_cluster.py
@@ -8,6 +8,7 @@
 
 import orjson
 
+from ..common.effects import NoEffect
 from ..storage import SNAPSHOT_END
 from ..transport.envelope import LANES, Kind, Lane
 from ..transport.http_server import Response
@@ -151,7 +152,7 @@
             written = 0
             head = [*self.core(ip).checkpoint(), SNAPSHOT_END]
             self._digest_records(ip=ip, bodies=head)
-            proc.disk = [(body, ("none",)) for body in head] + proc.disk
+            proc.disk = [(body, NoEffect()) for body in head] + proc.disk
             self.disks[ip].pending[:0] = head
         self.journal[ip, proc.life] = written
 
--- a/yarrowloom/simulator/machines/process.py
+++ b/yarrowloom/simulator/machines/process.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from ...common.effects import AnyEffect
+from ...common.effects import Effect
 from ...node.core import CoreNode
 from ...node.edge import EdgeNode
 from ...node.input_scheduler import DuplicateFilter, InputScheduler
@@ -26,7 +26,7 @@
         self.up = True
         self.frozen_till = 0.0
         self.disk_busy = False
-        self.disk: list[tuple[bytes, AnyEffect]] = []
+        self.disk: list[tuple[bytes, Effect]] = []
         self.inbox: list[Callable[[], None]] = []
         self.duplicates = DuplicateFilter()
         self.input_scheduler: InputScheduler | None = None  # only where processor time is charged
--- a/yarrowloom/testbed/virtual_testbed.py
+++ b/yarrowloom/testbed/virtual_testbed.py
@@ -16,7 +16,7 @@
 
 import orjson
 
-from ..common.effects import AnyEffect
+from ..common.effects import Effect
 from ..common.log import Log
 from ..common.settings import NodeSettings
 from ..node.core import CoreNode
@@ -61,7 +61,7 @@
     node: CoreNode | EdgeNode
     inputs: dict[str, Cost] = field(default_factory=dict)
     sent: dict[str, Cost] = field(default_factory=dict)
-    disk: list[tuple[bytes, AnyEffect]] = field(default_factory=list)
+    disk: list[tuple[bytes, Effect]] = field(default_factory=list)
     busy: bool = False
 
     def reset(self) -> None:
