--- a/docs/experiments/growth_recover.py
+++ b/docs/experiments/growth_recover.py
@@ -63,7 +63,7 @@
         if len(oracle.accepted) > acc:
             marks.setdefault("first job accepted", at)
         links = max((len(p.links) for ip in sim.core_ips for p in sim.core(ip).placers.values()), default=0)
-        met = sum(bool(m.met) for ip in sim.core_ips for m in sim.core(ip).agent.minions.values())
+        met = sum(bool(m.once_attached) for ip in sim.core_ips for m in sim.core(ip).agent.minions.values())
         if links >= 0.95 * minions and met >= 0.95 * minions:
             marks.setdefault("95% of the minions attached", at)
         if any(set(m.top.items()) - seen[m.minion_id] for m in fleet):
