--- a/tests/node/test_busy_process.py
+++ b/tests/node/test_busy_process.py
@@ -6,7 +6,7 @@
 import pytest
 
 from yarrowloom.node.node_base import JOB_GROUPS
-from yarrowloom.replication import election as ballot
+from yarrowloom.replication import election as election_module
 from yarrowloom.replication.environment import Reducer, decode_state, encode_state
 from yarrowloom.replication.timing import BACKUP_TIMEOUT_S
 from yarrowloom.simulator.cluster import Sim
@@ -82,7 +82,7 @@
     sim.run(seconds=2.0)
     ip = sim.serving(group_id=1)[0]
     before = epochs(sim)[1]
-    monkeypatch.setattr(ballot, "encode_state", count)
+    monkeypatch.setattr(election_module, "encode_state", count)
     sent = tap(sim)
     for other in sim.core_ips:
         if other != ip:
--- a/tests/replication/test_handover.py
+++ b/tests/replication/test_handover.py
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("after", [0.1, 0.5, 1.0])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_primary_that_is_the_only_holder_leaves_a_copy(seed: int, after: float) -> None:
+def test_leaving_primary_without_backup_has_its_state_stored_elsewhere_first(seed: int, after: float) -> None:
     """Its backup is lost with its disk, the primary is told to end before the loss is mended, and its machine goes."""
     sim, oracle, caller, _ = cluster(seed=seed, cores=5)
     sim.run(seconds=SETTLE_S)
@@ -100,7 +100,7 @@
 
 @pytest.mark.parametrize("leavers", [2, 3])
 @pytest.mark.parametrize("seed", [12, 13])
-def test_several_leave_at_once(seed: int, leavers: int) -> None:
+def test_members_that_leave_at_once_end_within_the_grace_time_and_lose_nothing(seed: int, leavers: int) -> None:
     """They end within the grace time, the last of all only then, and with their disks back nothing is missing."""
     sim, _, _, _ = cluster(seed=seed, cores=3)
     sim.run(seconds=SETTLE_S)
@@ -126,7 +126,7 @@
     assert version(sim) == 4
 
 
-def test_lone_core_says_that_it_leaves_the_only_copy() -> None:
+def test_leaving_core_without_peers_reports_that_it_holds_the_only_copy() -> None:
     sim, _, _, _ = cluster(seed=9, cores=1, zones=1)
     node = sim.core(sim.core_ips[0])
     assert leave(sim, ip=sim.core_ips[0]) < 1.0
@@ -135,7 +135,7 @@
 
 @pytest.mark.parametrize("cores", [3, 5])
 @pytest.mark.parametrize("seed", [10, 11])
-def test_seeds_replaced_one_after_another(seed: int, cores: int) -> None:
+def test_seeds_replaced_one_after_another_leave_epochs_of_live_members(seed: int, cores: int) -> None:
     """Each leaves in order, an empty one starts at another address; every epoch names living members in the end,
     and one more loss right after the catch-up time leaves all that was acknowledged."""
     sim, _, _, _ = cluster(seed=seed, cores=cores)
--- a/tests/replication/test_install.py
+++ b/tests/replication/test_install.py
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("seed", [4, 5])
-def test_a_backup_without_the_checkpoint_does_not_confirm_the_epoch(seed: int) -> None:
+def test_backup_without_the_snapshot_does_not_confirm_the_epoch(seed: int) -> None:
     """It would be counted as a holder, with a lease, though it holds nothing."""
     sim, _, _, _ = cluster(seed=seed, cores=5)
     sim.run(seconds=6.0)
--- a/tests/replication/test_model.py
+++ b/tests/replication/test_model.py
@@ -2,8 +2,8 @@
 deeper.
 
 `CASES` has what each search met when it was written. `states` are the distinct ones among those that were compared (all
-within the window, later only those in which nothing but time could go on); the invariants of `record_model.py` were
-asked after each of `steps`."""
+within the window, later only those in which nothing but time could go on); the invariants of `replication_model.py`
+were asked after each of `steps`."""
 
 from dataclasses import dataclass
 
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_no_invariant_breaks_and_all_is_settled_in_the_end(name: str) -> None:
+def test_search_breaks_no_invariant_and_every_way_settles(name: str) -> None:
     case = CASES[name]
     found = Search(swaps=case.swaps, faults=case.faults, window=case.window, kinds=case.kinds).run(case.world())
     print(name, found.states, found.steps, found.ways, found.kinds)
@@ -85,14 +85,14 @@
     assert case.kinds == ALL or not case.faults or case.kinds & FAULTS <= found.kinds.keys()
 
 
-def test_the_same_search_meets_the_same_states() -> None:
+def test_same_search_meets_the_same_states() -> None:
     one, two = (Search(swaps=1, faults=0, window=40).run(Case().world()) for _ in range(2))
     assert one.seen == two.seen
     assert one.steps == two.steps
     assert one.states > 60
 
 
-def test_a_calm_cluster_answers_all_calls() -> None:
+def test_cluster_without_faults_answers_all_calls() -> None:
     w = Case().world()
     w.closing = True
     while w.unsettled():
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("name", WALKS)
-def test_no_invariant_breaks_on_random_ways(name: str) -> None:
+def test_random_ways_break_no_invariant(name: str) -> None:
     faults = 0
     for seed in range(60):
         faults += sum(c[0] in FAULTS for _, c in walk(WALKS[name].world(), seed=seed, steps=200, share=0.05))
--- a/tests/replication/test_model_found.py
+++ b/tests/replication/test_model_found.py
@@ -12,8 +12,8 @@
     Op(commit=True, last=True),
     Op(commit=False, last=True),
 )
-SAME_BALLOT: list[tuple[int, Choice]] = [(1, ("kill", 0)), (18, ("kill", 1)), (23, ("kill", 0))]
-SAME_BALLOT_STEPS = 43
+SAME_NUMBER: list[tuple[int, Choice]] = [(1, ("kill", 0)), (18, ("kill", 1)), (23, ("kill", 0))]
+SAME_NUMBER_STEPS = 43
 MANY_ELECTIONS: list[tuple[int, Choice]] = [
     (21, ("cut", 1, "both", True)),
     (50, ("power", 0, 0)),
@@ -30,9 +30,9 @@
     return ready(World(size=3, losses=1, script=SCRIPT, unasked=unasked))
 
 
-def test_a_ballot_is_not_used_again_after_a_restart() -> None:
-    """The candidate ends when one witness has its proposal, comes back, and proposes another in the same ballot."""
-    replay(world(), SAME_BALLOT)
+def test_proposal_number_is_not_used_again_after_a_restart() -> None:
+    """The candidate ends when one witness has its proposal, comes back, and proposes another by the same number."""
+    replay(world(), SAME_NUMBER)
 
 
 def head(w: World, *, src: int, dst: int, kind: str) -> Line | None:
@@ -46,9 +46,9 @@
 def test_one_value_is_decided_although_a_candidate_restarts() -> None:
     """As above, and on: the second value is decided, the candidate loses power before it learns so, and the next
     candidate hears first from the witness that has the first value."""
-    w = world(unasked=frozenset({"BALLOT"}))
-    steps = dict(SAME_BALLOT)
-    for step in range(SAME_BALLOT_STEPS):
+    w = world(unasked=frozenset({"PROPOSAL"}))
+    steps = dict(SAME_NUMBER)
+    for step in range(SAME_NUMBER_STEPS):
         do(w, steps.get(step) or calm(w))
     while 2 not in w.decided:
         late = head(w, src=0, dst=2, kind="ACCEPT")
@@ -63,7 +63,7 @@
         do(w, choice)
 
 
-def test_a_ballot_names_one_value_also_with_another_backup() -> None:
+def test_proposal_number_names_one_value_although_the_backup_changes() -> None:
     """The same copy, but the candidate comes back while the backup that it had proposed is down: of five witnesses only
     the last has the first proposal, and hears nothing of the second."""
     w = ready(World(size=5, losses=1, script=SCRIPT))
@@ -86,7 +86,7 @@
         do(w, calm(w))
 
 
-def test_copies_that_a_proposal_names_are_kept_through_many_elections() -> None:
+def test_snapshots_that_a_proposal_names_are_kept_through_many_elections() -> None:
     """Eight faults, one of them a lost disk. While each election had a copy of its own, the one that was voted for made
     room for later ones, and once it was decided no member had its state."""
     replay(world(), MANY_ELECTIONS)
--- a/tests/replication/test_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -12,7 +12,7 @@
 from tests.support.replication_model import Op, World
 from yarrowloom.common.effects import Effect, NoEffect
 from yarrowloom.common.records import Record
-from yarrowloom.replication import election as ballot
+from yarrowloom.replication import election as election_module
 from yarrowloom.replication import replica
 from yarrowloom.replication.acceptor import Acceptor
 from yarrowloom.replication.election import Election
@@ -107,7 +107,7 @@
 
 
 def a_majority_is_counted_of_the_wrong_set(p: Patch) -> None:
-    p.setattr(ballot, "majority", lambda votes, among: bool(votes & set(among[:2])))
+    p.setattr(election_module, "majority", lambda votes, among: bool(votes & set(among[:2])))
 
 
 def an_election_replaces_a_value_that_was_accepted(p: Patch) -> None:
@@ -235,7 +235,7 @@
 
 
 @pytest.mark.parametrize("out", MUTANTS, ids=lambda fn: fn.__name__)
-def test_without_a_guard_the_search_finds_what_breaks(out: Any, monkeypatch: Patch) -> None:
+def test_search_finds_what_breaks_without_a_guard(out: Any, monkeypatch: Patch) -> None:
     case = MUTANTS[out]
     start = case.start(script=case.script)
     out(monkeypatch)
--- a/tests/replication/test_quorum_contact.py
+++ b/tests/replication/test_quorum_contact.py
@@ -19,7 +19,7 @@
 
 
 def machine(node_id: str) -> str:
-    """The address of the machine that a uid names."""
+    """The address of the machine that a node id names."""
     return node_id.split(":")[0]
 
 
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("seed", [4, 5])
-def test_service_is_back_soon_after_the_cut_heals_without_an_election(seed: int) -> None:
+def test_service_is_back_without_election_after_the_partition_heals(seed: int) -> None:
     """All holders stood together, so none had a reason to campaign: contact alone brings the service back."""
     sim, _, _, _ = cluster(seed=seed, cores=7)
     sim.run(seconds=SETTLE_S)
@@ -90,8 +90,8 @@
 
 
 @pytest.mark.parametrize("seed", [8, 9])
-def test_a_wiped_witness_at_the_same_address_is_no_contact(seed: int) -> None:
-    """Its uid is new: it neither votes nor answers for the old one until an epoch admits it."""
+def test_witness_that_lost_its_disk_is_no_contact(seed: int) -> None:
+    """Its node id is new: it neither votes nor answers for the old one until an epoch admits it."""
     sim, _, _, _ = cluster(seed=seed, cores=5)
     sim.run(seconds=SETTLE_S)
     epoch = newest(sim, group_id=0)
@@ -109,7 +109,7 @@
     assert newest(sim, group_id=0).number == epoch.number
 
 
-def test_cost_of_contact(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_contact_costs_few_frames_a_second(monkeypatch: pytest.MonkeyPatch) -> None:
     """Frames of contact stay below 2.5 a second for each witness and group, both ways counted once."""
     from yarrowloom.transport.envelope import Kind
 
--- a/tests/replication/test_single_core.py
+++ b/tests/replication/test_single_core.py
@@ -9,7 +9,7 @@
 from yarrowloom.transport.envelope import Kind
 
 
-def test_hanging_disk_of_a_lone_core_sends_nothing_to_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_core_without_peers_and_with_a_hanging_disk_sends_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     sim, oracle, caller, _ = cluster(seed=1, cores=1, zones=1)
     whole = sim._send
 
--- a/tests/replication/test_snapshot.py
+++ b/tests/replication/test_snapshot.py
@@ -69,7 +69,7 @@
     assert replayed.rows == [1]
 
 
-def test_a_witness_record_after_a_snapshot_of_its_epoch_does_not_bring_old_state_back() -> None:
+def test_acceptor_record_after_a_snapshot_of_its_epoch_does_not_bring_old_state_back() -> None:
     """A member won an epoch and confirmed events in it; an older witness record and the spare copy of that epoch stand
     before the snapshot, its own witness record after it."""
     cell = Cell()
@@ -86,7 +86,7 @@
     assert replica.state_epoch == primary.replica.state_epoch
 
 
-def test_a_witness_record_that_waited_while_a_snapshot_was_taken_takes_nothing_back() -> None:
+def test_older_acceptor_record_after_a_snapshot_takes_no_promise_back() -> None:
     cell = Cell()
     member = cell.primary()
     waiting = member.replica.acceptor.stored_record(group_id=0).encoded()
@@ -113,7 +113,7 @@
         assert replica.role is Role.LAPSED
 
 
-def test_a_spare_copy_of_an_undecided_epoch_is_kept_by_a_snapshot_and_used_once_it_is_decided() -> None:
+def test_snapshot_for_an_undecided_epoch_survives_a_restart_and_is_used_once_it_is_decided() -> None:
     cell = Cell()
     primary, backup = cell.primary(), cell.backup()
     cell.commit(x=1)
@@ -132,7 +132,7 @@
 # -- numbers
 
 
-def test_a_gap_cannot_be_replayed() -> None:
+def test_journal_with_a_gap_is_refused() -> None:
     cell = Cell()
     primary = cell.primary()
     for x in (1, 2, 3):
@@ -154,7 +154,7 @@
         {"g": 0},
     ],
 )
-def test_records_of_another_format_are_refused_and_not_guessed_at(record: dict[str, object]) -> None:
+def test_record_of_another_format_is_refused(record: dict[str, object]) -> None:
     """Older journals numbered batches."""
     cell = Cell()
     primary = cell.primary()
@@ -194,7 +194,7 @@
 # -- what a restarted member takes for confirmed
 
 
-def test_a_restarted_primary_tells_nothing_before_the_backups_of_a_new_epoch_have_its_state() -> None:
+def test_restarted_primary_serves_only_after_the_backups_of_a_new_epoch_have_its_state() -> None:
     """Its snapshot holds events that no backup has; it is cut off, then not."""
     cell = Cell()
     primary = cell.primary()
@@ -249,7 +249,7 @@
 # -- reducers that raise
 
 
-def test_a_backup_whose_reducer_raises_goes_on_without_its_copy_and_is_sent_another() -> None:
+def test_backup_whose_reducer_raises_discards_its_state_and_is_sent_another() -> None:
     cell = Cell()
     cell.commit(x=1)
     backup = cell.backup()
@@ -265,7 +265,7 @@
     assert all(member.state.rows == [1, 2] for member in cell.members.values() if member.replica.role is not Role.IDLE)
 
 
-def test_a_backup_whose_reducer_raised_has_the_beginning_after_a_restart() -> None:
+def test_backup_whose_reducer_raised_has_the_events_before_it_after_a_restart() -> None:
     cell = Cell()
     cell.commit(x=1)
     cell.settle(seconds=0.3)
--- a/tests/replication/test_snapshot_any_order.py
+++ b/tests/replication/test_snapshot_any_order.py
@@ -134,7 +134,7 @@
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_each_copy_is_a_beginning_and_holds_what_was_confirmed_once(seed: int) -> None:
+def test_each_replica_holds_a_prefix_with_all_confirmed_events_once(seed: int) -> None:
     play = Play(seed=seed)
     play.run()
     assert play.restarts
@@ -177,7 +177,7 @@
         "a life does not serve in an epoch that an earlier one may have served in",
     ],
 )
-def test_without_a_guard_it_fails(guard: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_random_order_finds_what_breaks_without_a_guard(guard: str, monkeypatch: pytest.MonkeyPatch) -> None:
     with without(monkeypatch, guard):
         for seed in range(GUARD_SEEDS):
             try:
--- a/tests/replication/test_stalled_process.py
+++ b/tests/replication/test_stalled_process.py
@@ -148,7 +148,7 @@
 
 
 @pytest.mark.parametrize("seed", [13, 14, 15])
-def test_a_late_answer_to_a_ping_is_no_younger_lease(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_late_lease_grant_counts_from_its_request(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """The backup stands still between its look at its role and the socket: its answer carries the primary's time."""
     sim, primary, _, _ = scene(seed=seed)
     backup = holders(newest(sim, group_id=0))[1]
@@ -173,7 +173,7 @@
 
 
 @pytest.mark.parametrize("seed", [16, 17])
-def test_minions_of_a_chief_that_stood_still_stay(seed: int) -> None:
+def test_minions_stay_with_their_agents_after_the_controller_stood_still(seed: int) -> None:
     """Hearts that a primary did not count while it did not serve are no silence of their agents."""
     sim, _, _, _ = cluster(seed=seed, cores=7)
     sim.run(seconds=SETTLE_S)
--- a/tests/replication/test_successive_losses.py
+++ b/tests/replication/test_successive_losses.py
@@ -88,7 +88,7 @@
 @pytest.mark.parametrize("lost", ["primary", "backup"])
 @pytest.mark.parametrize(("cores", "losses"), [(3, 1), (5, 1), (9, 1), (5, 2), (9, 2)])
 @pytest.mark.parametrize(("slow", "copy_s"), [(False, 0.0), (True, 0.0), (False, 1.0)])
-def test_full_set_in_time_then_the_next_loss(
+def test_all_holders_are_there_again_in_time_for_the_next_loss(
     monkeypatch: pytest.MonkeyPatch, cores: int, losses: int, lost: str, slow: bool, copy_s: float
 ) -> None:
     """Three cores with one lost have nobody left for a second one to be made up from: there only the time counts."""
@@ -120,7 +120,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize(("cores", "losses"), [(3, 1), (4, 1), (5, 1), (5, 2)])
-def test_one_loss_after_another_at_the_pace_of_catching_up(
+def test_losses_at_the_pace_of_catching_up_lose_nothing(
     monkeypatch: pytest.MonkeyPatch, seed: int, cores: int, losses: int
 ) -> None:
     """Members are lost with their disks, as many at once as the budget names, and come back empty at the same
--- a/tests/replication/test_zones.py
+++ b/tests/replication/test_zones.py
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize("seed", [6, 7])
-def test_calm_brings_no_elections(seed: int) -> None:
+def test_cluster_without_faults_holds_no_elections(seed: int) -> None:
     """Once spread, nothing is wished for any more."""
     sim, _, _, _ = cluster(seed=seed, cores=8, losses=2)
     sim.run(seconds=SETTLE_S + 4.0)
@@ -103,7 +103,7 @@
         ({"x": 2, "y": 1, "z": 1}, 1, 3),
     ],
 )
-def test_witness_sets(shape: dict[str, int], losses: int, size: int) -> None:
+def test_witnesses_are_odd_stable_and_spread_over_zones(shape: dict[str, int], losses: int, size: int) -> None:
     """What is chosen is odd, stays the same when asked again, and is spread if members allow it."""
     sim = Sim(seed=1, cores=1, losses=losses)
     node = sim.core(sim.core_ips[0])
@@ -115,9 +115,9 @@
     node.roster.registry = RegistryUpdate(members=members)
     node.membership.on_listed_alive(node_ids=members)
     have = sorted(members)[:2]
-    found = node.witnesses(have=have)
+    found = node.next_witnesses(current=have)
     assert len(found) == size
-    assert node.witnesses(have=found) == found
+    assert node.next_witnesses(current=found) == found
     zones = {u: member.zone for u, member in members.items()}
     most = max(sum(zones[u] == z for u in found) for z in shape)
     possible = spread(order=sorted(zones), zones=zones, size=len(found), most=len(found) // 2)
--- a/tests/support/replica_cell.py
+++ b/tests/support/replica_cell.py
@@ -88,22 +88,22 @@
             case _:
                 assert effect == NoEffect(), effect
 
-    def partners(self, *, first: Sequence[str]) -> list[str]:
-        return sorted((u for u in self.cell.members if u != self.node_id), key=lambda u: (u not in first, u))
+    def backup_candidates(self, *, preferred: Sequence[str]) -> list[str]:
+        return sorted((u for u in self.cell.members if u != self.node_id), key=lambda u: (u not in preferred, u))
 
     def other_zones(self, *, holders: Sequence[str]) -> list[str]:
         return []
 
-    def up(self, *, node_id: str) -> bool:
+    def is_up(self, *, node_id: str) -> bool:
         return True
 
-    def losses(self) -> int:
+    def tolerated_losses(self) -> int:
         return self.cell.losses
 
-    def witnesses(self, *, have: Sequence[str]) -> list[str]:
-        return list(have)
+    def next_witnesses(self, *, current: Sequence[str]) -> list[str]:
+        return list(current)
 
-    def everyone(self) -> list[str]:
+    def core_members(self) -> list[str]:
         return sorted(self.cell.members)
 
     def jitter(self) -> float:
@@ -112,7 +112,7 @@
     def note(self, *, event: str, **fields: object) -> None:
         self.notes.append((event, fields))
 
-    def installed(self, *, group_id: int, epoch: Epoch) -> None:
+    def epoch_installed(self, *, group_id: int, epoch: Epoch) -> None:
         self.cell.decided[epoch.number] = epoch
 
     def elected(self, *, group_id: int) -> None:
--- a/tests/support/replication_adapter.py
+++ b/tests/support/replication_adapter.py
@@ -85,9 +85,9 @@
 
 @dataclass(kw_only=True)
 class Member:
-    """One process with its disk: what `Hub` asks of a node. `left` is the newest epoch that an election of this disk's
-    owner was to replace; one that asked for no votes is forgotten with its process. `synced` and `pending` are the
-    disk: what is to be done once they are synced waits with the records."""
+    """One process with its disk: what `ReplicaEnvironment` asks of a node. `left` is the newest epoch that an election
+    of this disk's owner was to replace; one that asked for no votes is forgotten with its process. `synced` and
+    `pending` are the disk: what is to be done once they are synced waits with the records."""
 
     w: "World"
     index: int
@@ -107,10 +107,10 @@
     synced: list[dict[str, Any]] = field(default_factory=list)
     pending: list[tuple[int, dict[str, Any], Effect]] = field(default_factory=list)
     last_heard: dict[str, float] = field(default_factory=dict)
-    view: list[str] = field(default_factory=list)  # the uids that it takes for members
+    view: list[str] = field(default_factory=list)  # the node ids that it takes for members
     replica: Replica = field(init=False)
 
-    # -- what the product asks (the Hub protocol)
+    # -- what the product asks (`ReplicaEnvironment`)
 
     @property
     def now(self) -> float:
@@ -141,26 +141,26 @@
             case _:
                 assert effect == NoEffect(), effect
 
-    def partners(self, *, first: Sequence[str]) -> list[str]:
-        rows = [(not self.up(node_id=u), u not in first, u) for u in self.view if u != self.node_id]
+    def backup_candidates(self, *, preferred: Sequence[str]) -> list[str]:
+        rows = [(not self.is_up(node_id=u), u not in preferred, u) for u in self.view if u != self.node_id]
         return [u for *_, u in sorted(rows)]
 
-    def up(self, *, node_id: str) -> bool:
+    def is_up(self, *, node_id: str) -> bool:
         return node_id == self.node_id or self.now - self.last_heard.get(node_id, -9.0) < ALIVE_S
 
     def other_zones(self, *, holders: Sequence[str]) -> list[str]:
         return []  # each member has a zone of its own
 
-    def losses(self) -> int:
+    def tolerated_losses(self) -> int:
         return self.w.losses
 
-    def witnesses(self, *, have: Sequence[str]) -> list[str]:
-        up = [u for u in have if u in self.view and self.up(node_id=u)]
-        up += [u for u in sorted(self.view) if u not in have and self.up(node_id=u)]
+    def next_witnesses(self, *, current: Sequence[str]) -> list[str]:
+        up = [u for u in current if u in self.view and self.is_up(node_id=u)]
+        up += [u for u in sorted(self.view) if u not in current and self.is_up(node_id=u)]
         size = min(len(up) - 1 + len(up) % 2, WITNESSES_MOST)
-        return sorted(up[:size]) if size >= max(len(have), 3) else list(have)
+        return sorted(up[:size]) if size >= max(len(current), 3) else list(current)
 
-    def everyone(self) -> list[str]:
+    def core_members(self) -> list[str]:
         return sorted({*self.view, self.node_id})
 
     def jitter(self) -> float:
@@ -171,7 +171,7 @@
         if event == "election-started":
             self.left = max(self.left, int(str(fields["epoch"])))
 
-    def installed(self, *, group_id: int, epoch: Epoch) -> None:
+    def epoch_installed(self, *, group_id: int, epoch: Epoch) -> None:
         self.w.learnt(member=self, epoch=epoch)
 
     def elected(self, *, group_id: int) -> None:
@@ -318,7 +318,7 @@
         return next((r for r in reversed(self.synced) if r["k"] == "w"), None)
 
     def vote_on_disk(self, *, n: int) -> tuple[Any, Epoch] | None:
-        """Ballot and value that this witness voted for as epoch `n`."""
+        """Proposal number and value that this witness voted for as epoch `n`."""
         last = self.witness_on_disk()
         if last is None or last["e"] is None or last["e"]["n"] + 1 != n or last["ab"] is None:
             return None
--- a/tests/support/replication_model.py
+++ b/tests/support/replication_model.py
@@ -1,5 +1,5 @@
 """A small closed world for model checking of replication: real replicas on disks, links and clocks that the explorer
-controls. All of it is data, so that a state is a pickle; `record_explore.py` says what may happen next."""
+controls. All of it is data, so that a state is a pickle; `replication_explorer.py` says what may happen next."""
 
 from dataclasses import dataclass
 from itertools import pairwise
@@ -76,8 +76,8 @@
         self.count = 0  # events handed in
         self.acked: dict[int, int] = {}  # event: the epoch in which it was acknowledged or read
         self.last_acks: set[int] = set()  # events of the last commits: these must be acknowledged
-        self.lost_disks: set[str] = set()  # uids whose disk is gone, until the cluster is whole again
-        self.votes: dict[tuple[int, str, str], set[str]] = {}  # number, ballot, value: who voted
+        self.lost_disks: set[str] = set()  # node ids whose disk is gone, until the cluster is whole again
+        self.votes: dict[tuple[int, str, str], set[str]] = {}  # epoch number, proposal number, value: who voted
         self.decided: dict[int, Epoch] = {}
         self.proposals: dict[tuple[int, str], Epoch] = {}
         self.lines: dict[Line, list[Message]] = {}
@@ -207,7 +207,7 @@
         return [m.node_id for m in self.members if not m.gone]
 
     def tick_member(self, member: Member) -> None:
-        """Time goes on for one process; hearts and the epochs that they carry are simplified."""
+        """Time goes on for one process; heartbeats and the epochs that they carry are simplified."""
         for other in self.members:
             if other is not member and other.awake and (other.address, member.address) not in self.cuts:
                 member.last_heard[other.node_id] = member.now
@@ -275,13 +275,19 @@
         if (kind is Kind.PROMISE and body["ok"]) or (kind is Kind.ACCEPTED and body["ok"]):
             before = self.decided[body["n"] - 1]
             need(member.node_id in before.witnesses, "ABSTAIN", member.node_id, "is no witness of", before)
-        if kind is Kind.ACCEPT and "BALLOT" not in self.unasked:
+        if kind is Kind.ACCEPT and "PROPOSAL" not in self.unasked:
             known = self.proposals.setdefault((body["n"], str(body["bal"])), decode(body["val"], into=Epoch))
-            need(known == decode(body["val"], into=Epoch), "BALLOT", "two values in one ballot", known, body["val"])
+            need(
+                known == decode(body["val"], into=Epoch),
+                "PROPOSAL",
+                "two values by one proposal number",
+                known,
+                body["val"],
+            )
         if kind is Kind.ACCEPTED and body["ok"]:
             vote = member.vote_on_disk(n=body["n"])
             if vote is not None and vote[0] == body["bal"]:
-                self.vote(node_id=member.node_id, n=body["n"], ballot=str(body["bal"]), value=vote[1])
+                self.vote(node_id=member.node_id, n=body["n"], proposal_number=str(body["bal"]), value=vote[1])
 
     def check_left(self, *, member: Member, n: int) -> None:
         """Asked when a lease is renewed, and when a batch is taken: one that was taken before the election is in the
@@ -289,9 +295,9 @@
         if member.node_id in self.decided[n].backups:
             need(n > member.left, "LEFT", member.node_id, "acknowledges epoch", n, "after its election to replace it")
 
-    def vote(self, *, node_id: str, n: int, ballot: str, value: Epoch) -> None:
-        """A vote is on disk: a majority of them for one value in one ballot decides."""
-        votes = self.votes.setdefault((n, ballot, dump(body=value).decode()), set())
+    def vote(self, *, node_id: str, n: int, proposal_number: str, value: Epoch) -> None:
+        """A vote is on disk: a majority of them for one value by one proposal number decides."""
+        votes = self.votes.setdefault((n, proposal_number, dump(body=value).decode()), set())
         votes.add(node_id)
         if majority(votes=votes, among=self.decided[n - 1].witnesses):
             need(self.decided.setdefault(n, value) == value, "EPOCH", n, "was", self.decided[n], "and is", value)
@@ -343,11 +349,11 @@
             return False
         epoch = server.epoch
         assert epoch is not None
-        by_uid = {m.node_id: m for m in self.members if not m.gone}
+        by_node_id = {m.node_id: m for m in self.members if not m.gone}
         return (
             len(epoch.backups) >= self.losses
-            and set(epoch.witnesses) <= set(by_uid)
-            and all(u in by_uid and by_uid[u].whole_backup(n=epoch.number) for u in epoch.backups)
+            and set(epoch.witnesses) <= set(by_node_id)
+            and all(u in by_node_id and by_node_id[u].whole_backup(n=epoch.number) for u in epoch.backups)
         )
 
     def settled(self) -> bool:
--- a/yarrowloom/node/core.py
+++ b/yarrowloom/node/core.py
@@ -11,7 +11,7 @@
 from ..common.records import decode
 from ..common.settings import NodeSettings
 from ..replication.effects import BatchSynced, SnapshotSynced
-from ..replication.handover import copied_elsewhere, may_end
+from ..replication.handover import is_held_elsewhere, may_end
 from ..replication.log_replay import ReplayError
 from ..replication.messages import GROUP_MESSAGE_KINDS
 from ..scheduling import OrderRuns, Scheduler, StopRuns
@@ -263,7 +263,7 @@
         return [
             group_id
             for group_id, replica in self.replicas.items()
-            if not copied_elsewhere(environment=self, epoch=replica.epoch)
+            if not is_held_elsewhere(environment=self, epoch=replica.epoch)
         ]
 
     # -- disk
--- a/yarrowloom/node/core_environment.py
+++ b/yarrowloom/node/core_environment.py
@@ -175,7 +175,7 @@
             if node_id != self.node_id:
                 self.send_message(node_id=node_id, message=ClusterUpdate(epochs=[(group_id, epoch)]))
 
-    def installed(self, *, group_id: int, epoch: Epoch) -> None:
+    def epoch_installed(self, *, group_id: int, epoch: Epoch) -> None:
         """A newer epoch is decided."""
         previous = self.primary(group_id=group_id)
         if previous is not None:
@@ -195,11 +195,11 @@
         self._jitter = (self._jitter * 997.0 + 0.123456789) % 1.0
         return self._jitter
 
-    def partners(self, *, first: Sequence[str]) -> list[str]:
+    def backup_candidates(self, *, preferred: Sequence[str]) -> list[str]:
         """Members that may be a backup, best first; of equals, those in `first`."""
-        return self.membership.backup_candidates(first=first)
+        return self.membership.backup_candidates(first=preferred)
 
-    def up(self, *, node_id: str) -> bool:
+    def is_up(self, *, node_id: str) -> bool:
         """Whether a node sent a heartbeat lately, here or to the controller."""
         return self.membership.is_up(node_id=node_id)
 
@@ -207,15 +207,15 @@
         """If all of `holders` stand in one zone: live members of other zones."""
         return self.membership.other_zones(holders=holders)
 
-    def losses(self) -> int:
+    def tolerated_losses(self) -> int:
         """How many disks may be lost at once."""
         return self.settings.losses
 
-    def witnesses(self, *, have: Sequence[str]) -> list[str]:
+    def next_witnesses(self, *, current: Sequence[str]) -> list[str]:
         """The set that should keep epochs, given the one that does."""
-        return self.membership.witnesses(current=have)
+        return self.membership.witnesses(current=current)
 
-    def everyone(self) -> list[str]:
+    def core_members(self) -> list[str]:
         """All core members known."""
         return sorted(self.membership.zones())
 
--- a/yarrowloom/replication/backup_selection.py
+++ b/yarrowloom/replication/backup_selection.py
@@ -103,7 +103,7 @@
         Args:
             epoch: The epoch that is to be replaced.
         """
-        now, most = self._environment.now, self._environment.losses()
+        now, most = self._environment.now, self._environment.tolerated_losses()
         members = self._members()
         known = len(members.stored) + len(members.slow) + len(members.live)
         if known < min(most, len(members.all)) and now - self._started_at < STARTUP_WAIT_S:
@@ -128,15 +128,17 @@
 
     def _members(self) -> _Members:
         environment = self._environment
-        members = [node_id for node_id in environment.partners(first=self._preferred) if node_id not in self.avoid]
+        members = [
+            node_id for node_id in environment.backup_candidates(preferred=self._preferred) if node_id not in self.avoid
+        ]
         missing = [node_id for node_id in members if node_id not in self.stored_by]
         untried = [node_id for node_id in missing if node_id not in self._tried]
         return _Members(
             all=members,
             stored=[node_id for node_id in members if node_id in self.stored_by],
-            slow=[node_id for node_id in missing if node_id in self._tried and environment.up(node_id=node_id)],
+            slow=[node_id for node_id in missing if node_id in self._tried and environment.is_up(node_id=node_id)],
             untried=untried,
-            live=[node_id for node_id in untried if environment.up(node_id=node_id)],
+            live=[node_id for node_id in untried if environment.is_up(node_id=node_id)],
         )
 
     def _choose(self, members: _Members, *, most: int) -> None:
@@ -153,5 +155,5 @@
     def _is_alone(self, members: _Members, *, epoch: Epoch) -> bool:
         """Whether no other member is known and none is needed to decide an epoch."""
         environment = self._environment
-        is_only_member = environment.everyone() in ([environment.node_id], [])
+        is_only_member = environment.core_members() in ([environment.node_id], [])
         return not members.all and is_only_member and len(epoch.witnesses) <= 1
--- a/yarrowloom/replication/election.py
+++ b/yarrowloom/replication/election.py
@@ -273,7 +273,7 @@
             number=epoch.number + 1,
             primary=self._environment.node_id,
             backups=tuple(usable[: self.backups.wanted]),
-            witnesses=tuple(self._environment.witnesses(have=epoch.witnesses)),
+            witnesses=tuple(self._environment.next_witnesses(current=epoch.witnesses)),
             snapshot_id=self.snapshot.snapshot_id,
         )
         self._prepare()
@@ -403,7 +403,7 @@
         assert epoch is not None
         self._install_sent_at = self._environment.now
         message = InstallEpoch(group_id=self._candidate.group_id, epoch=epoch, sent_at=self._install_sent_at)
-        members = {*epoch.witnesses, *epoch.backups, *self._environment.everyone()}
+        members = {*epoch.witnesses, *epoch.backups, *self._environment.core_members()}
         for node_id in sorted(members - {"", *self._responders}):
             self._environment.send_message(node_id=node_id, message=message)
 
--- a/yarrowloom/replication/environment.py
+++ b/yarrowloom/replication/environment.py
@@ -60,22 +60,22 @@
     def effect(self, *, effect: Effect) -> None:
         """Carry out an effect that is now durable."""
 
-    def partners(self, *, first: Sequence[str]) -> list[str]:
+    def backup_candidates(self, *, preferred: Sequence[str]) -> list[str]:
         """Members that may be a backup, best first; of equals, those in `first`."""
 
-    def up(self, *, node_id: str) -> bool:
+    def is_up(self, *, node_id: str) -> bool:
         """Whether a member was heard of lately."""
 
     def other_zones(self, *, holders: Sequence[str]) -> list[str]:
         """If all of `holders` stand in one zone: live members of other zones."""
 
-    def losses(self) -> int:
+    def tolerated_losses(self) -> int:
         """How many disks may be lost at once: the number of backups."""
 
-    def witnesses(self, *, have: Sequence[str]) -> list[str]:
+    def next_witnesses(self, *, current: Sequence[str]) -> list[str]:
         """The witnesses that a next epoch should have, given those of this one."""
 
-    def everyone(self) -> list[str]:
+    def core_members(self) -> list[str]:
         """All core members known."""
 
     def jitter(self) -> float:
@@ -84,7 +84,7 @@
     def note(self, *, event: str, **fields: object) -> None:
         """Log an event."""
 
-    def installed(self, *, group_id: int, epoch: Epoch) -> None:
+    def epoch_installed(self, *, group_id: int, epoch: Epoch) -> None:
         """A newer epoch is decided."""
 
     def elected(self, *, group_id: int) -> None:
--- a/yarrowloom/replication/handover.py
+++ b/yarrowloom/replication/handover.py
@@ -37,16 +37,16 @@
     """Live members that hold nothing of the epoch yet."""
     return [
         node_id
-        for node_id in environment.partners(first=[])
-        if node_id not in epoch.holders and environment.up(node_id=node_id)
+        for node_id in environment.backup_candidates(preferred=[])
+        if node_id not in epoch.holders and environment.is_up(node_id=node_id)
     ]
 
 
-def copied_elsewhere(*, environment: ReplicaEnvironment, epoch: Epoch | None) -> bool:
+def is_held_elsewhere(*, environment: ReplicaEnvironment, epoch: Epoch | None) -> bool:
     """Whether another live member holds all that was acknowledged, or this one holds nothing."""
     if epoch is None or environment.node_id not in epoch.holders:
         return True
-    return any(node_id != environment.node_id and environment.up(node_id=node_id) for node_id in epoch.holders)
+    return any(node_id != environment.node_id and environment.is_up(node_id=node_id) for node_id in epoch.holders)
 
 
 def may_end(*, environment: ReplicaEnvironment, epoch: Epoch | None, leaving_s: float) -> bool:
@@ -60,9 +60,9 @@
         epoch: The newest epoch that is known.
         leaving_s: Seconds for which the member has been leaving.
     """
-    if epoch is None or environment.node_id not in epoch.holders or not environment.partners(first=[]):
+    if epoch is None or environment.node_id not in epoch.holders or not environment.backup_candidates(preferred=[]):
         return True
-    if not copied_elsewhere(environment=environment, epoch=epoch):
+    if not is_held_elsewhere(environment=environment, epoch=epoch):
         return False
     return leaving_s >= LEAVE_WAIT_S or not substitutes(environment=environment, epoch=epoch)
 
@@ -101,7 +101,7 @@
         epoch = member.acceptor.decided
         if not self.is_leaving or epoch is None or member.environment.now - self._asked_at < LEAVE_RETRY_S:
             return
-        if self.leaving_s() >= LEAVE_WAIT_S and copied_elsewhere(environment=member.environment, epoch=epoch):
+        if self.leaving_s() >= LEAVE_WAIT_S and is_held_elsewhere(environment=member.environment, epoch=epoch):
             return  # several leave at once: they would only pass the copy back and forth
         self._asked_at = member.environment.now
         if member.role is Role.BACKUP:
--- a/yarrowloom/replication/reconfiguration.py
+++ b/yarrowloom/replication/reconfiguration.py
@@ -59,28 +59,30 @@
         """Why an election is due; empty: it is not."""
         if self._needs_other_witnesses(environment=environment, have=epoch.witnesses):
             return "witnesses"
-        if len(epoch.backups) < environment.losses() and self._has_more_backups(environment=environment, epoch=epoch):
+        if len(epoch.backups) < environment.tolerated_losses() and self._has_more_backups(
+            environment=environment, epoch=epoch
+        ):
             return "backups"
         if self._has_other_zones(environment=environment, epoch=epoch):
             return "zones"
         return ""
 
     def _needs_other_witnesses(self, *, environment: ReplicaEnvironment, have: Sequence[str]) -> bool:
-        wanted = frozenset(environment.witnesses(have=have))
+        wanted = frozenset(environment.next_witnesses(current=have))
         waited_s = self._witnesses.unchanged_s(members=wanted, now=environment.now)
         if wanted == frozenset(have):
             return False
-        if len(have) < 2 * environment.losses() + 1 and len(wanted) > len(have):
+        if len(have) < 2 * environment.tolerated_losses() + 1 and len(wanted) > len(have):
             return True
-        live: int = sum(int(environment.up(node_id=node_id)) for node_id in have)
-        is_at_risk: bool = 2 * (live - environment.losses()) <= len(have)
+        live: int = sum(int(environment.is_up(node_id=node_id)) for node_id in have)
+        is_at_risk: bool = 2 * (live - environment.tolerated_losses()) <= len(have)
         return waited_s >= (RISK_WISH_S if is_at_risk else STABLE_WISH_S)
 
     def _has_more_backups(self, *, environment: ReplicaEnvironment, epoch: Epoch) -> bool:
         candidates = frozenset(
             node_id
-            for node_id in environment.partners(first=epoch.backups)
-            if node_id not in epoch.holders and environment.up(node_id=node_id)
+            for node_id in environment.backup_candidates(preferred=epoch.backups)
+            if node_id not in epoch.holders and environment.is_up(node_id=node_id)
         )
         if not candidates:
             return False
--- a/yarrowloom/replication/replica.py
+++ b/yarrowloom/replication/replica.py
@@ -183,7 +183,7 @@
         if not self.acceptor.learn(epoch):
             return
         self._save_acceptor(done=NoEffect())
-        self.environment.installed(group_id=self.group_id, epoch=epoch)
+        self.environment.epoch_installed(group_id=self.group_id, epoch=epoch)
         # An earlier life may have served in an epoch whose snapshot it proposed: this one goes on to the next epoch.
         if self.election is not None and self.election.has_proposed(epoch):
             self.state_epoch = epoch.number
@@ -328,7 +328,7 @@
         """
         epoch = self._known_epoch()
         self.lease.revoke()
-        partners = [successor] if successor else self.environment.partners(first=epoch.backups)
+        partners = [successor] if successor else self.environment.backup_candidates(preferred=epoch.backups)
         candidates = [node_id for node_id in partners if node_id in epoch.backups] or list(epoch.backups)
         for node_id in candidates[:1]:
             request = YieldRequest(group_id=self.group_id, epoch_number=epoch.number)
