--- a/tests/replication/test_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -243,6 +243,6 @@
     found = search.run(start)
     print(out.__name__, found.states, found.steps, found.ways, found.broken)
     ((why, trail),) = found.broken
-    assert why.startswith(f"Broken {case.rule}")
+    assert why.startswith(f"InvariantBrokenError {case.rule}")
     monkeypatch.undo()
     replay(case.start(script=case.script), trail)  # with the guard, the same way ends well
--- a/tests/scheduling/test_binding_model.py
+++ b/tests/scheduling/test_binding_model.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.support.binding_explorer import Found, Search, attached, choices, do, replay
-from tests.support.binding_model import ONE, TWO, Rep
+from tests.support.binding_model import ONE, TWO, StubReplica
 from yarrowloom.agent.agent import Agent
 from yarrowloom.agent.messages import AttachMinion
 from yarrowloom.agent.minion import Minion
@@ -73,15 +73,15 @@
 
 
 def an_order_leaves_before_its_start_is_durable(p: pytest.MonkeyPatch) -> None:
-    real = Rep.commit
+    real = StubReplica.commit
 
-    def commit(self: Rep, *, event: dict[str, Any], then: Effect | None = None) -> Any:
+    def commit(self: StubReplica, *, event: dict[str, Any], then: Effect | None = None) -> Any:
         out = real(self, event=event)
         if then is not None:
-            self.w.effect(group_id=self.group_id, effect=then)
+            self.world.effect(group_id=self.group_id, effect=then)
         return out
 
-    p.setattr(Rep, "commit", commit)
+    p.setattr(StubReplica, "commit", commit)
 
 
 def a_gang_starts_with_what_was_granted(p: pytest.MonkeyPatch) -> None:
@@ -135,7 +135,7 @@
     out(monkeypatch)
     ((why, trail),) = search(jobs=jobs, swaps=swaps, faults=faults, window=20 if swaps and faults else 100).broken
     print(why, trail)
-    assert why.startswith(f"Broken {rule}")
+    assert why.startswith(f"InvariantBrokenError {rule}")
     monkeypatch.undo()
     replay(attached(jobs), trail)  # with the guard, the same way ends well
 
@@ -144,12 +144,12 @@
     """A run found at an attachment is called never started; one swap after the placing node died brings it out."""
 
     def after_death() -> Found:
-        w = attached(LONE)
+        world = attached(LONE)
         for _ in range(15):
-            do(w, choices(w)[0])
-        assert any(m.running for m in w.minis.values())
-        do(w, ("die", 1, False))
-        return Search(swaps=1, faults=0, window=30, stop_at=1000).run(w)
+            do(world, choices(world)[0])
+        assert any(m.running for m in world.minions.values())
+        do(world, ("die", 1, False))
+        return Search(swaps=1, faults=0, window=30, stop_at=1000).run(world)
 
     calm = after_death()
     assert calm.broken == []
@@ -164,4 +164,4 @@
     monkeypatch.setattr(TaskRuns, "attach", attach)
     found = after_death()
     print(calm.states, found.broken)
-    assert any(why.startswith("Broken TWICE") for why, _ in found.broken)
+    assert any(why.startswith("InvariantBrokenError TWICE") for why, _ in found.broken)
--- a/tests/scheduling/test_binding_model_found.py
+++ b/tests/scheduling/test_binding_model_found.py
@@ -11,11 +11,11 @@
     tells of an end, and nothing else takes the member out of `HeldLeases.by_task`: its entry stays as long
     as the node."""
     trail: dict[int, Choice] = {10: ("lose", "p2.1", "a2"), 17: ("end", "i1", f"{TWO}.0.0.0", "done")}
-    w = attached([(TWO, [GANG])])
+    world = attached([(TWO, [GANG])])
     for step in range(200):
-        c = trail.get(step, choices(w)[0])
-        assert c in choices(w)
-        do(w, c)
-    assert w.schedulers[2].context.jobs.jobs[TWO].state == "complete"
-    assert not any(m.leases for a in w.agents.values() for m in a.minions.values())
-    assert left(w) == []
+        c = trail.get(step, choices(world)[0])
+        assert c in choices(world)
+        do(world, c)
+    assert world.schedulers[2].context.jobs.jobs[TWO].state == "complete"
+    assert not any(m.leases for a in world.agents.values() for m in a.minions.values())
+    assert left(world) == []
--- a/tests/support/binding_explorer.py
+++ b/tests/support/binding_explorer.py
@@ -14,7 +14,7 @@
 import msgspec
 import orjson
 
-from tests.support.binding_model import CAP, DT, Broken, Choice, World, need
+from tests.support.binding_model import CAP, DT, Choice, InvariantBrokenError, World, require
 from yarrowloom.agent import Agent
 
 FAULTS = ("lose", "die")
@@ -22,152 +22,163 @@
 SETTLED_BY = 500  # steps; then the world counts as stuck
 
 
-def choices(w: World) -> list[Choice]:
+def choices(world: World) -> list[Choice]:
     """What may happen; the calm one first."""
-    lines = sorted(w.lines, key=lambda c: w.lines[c][0][0])
-    words = {line for line in lines if all(what == "CAPACITY_REPORT" for _, what, _ in w.lines[line])}
-    out: list[Choice] = [("deliver", *line) for line in lines if line not in words]
+    channels = sorted(world.channels, key=lambda c: world.channels[c][0][0])
+    words = {
+        channel for channel in channels if all(what == "CAPACITY_REPORT" for _, what, _ in world.channels[channel])
+    }
+    out: list[Choice] = [("deliver", *channel) for channel in channels if channel not in words]
     out[:0] = [("rooms",)] if words else []
-    out += [("write", group_id) for group_id in w.schedulers if w.replica(group_id=group_id).queue]
-    idle = [m for m in w.minis.values() if m.sent < 0]
-    out += [("beat", m.minion_id) for m in idle if w.now >= m.due]
+    out += [("write", group_id) for group_id in world.schedulers if world.replica(group_id=group_id).queue]
+    idle = [m for m in world.minions.values() if m.sent < 0]
+    out += [("beat", m.minion_id) for m in idle if world.now >= m.due]
     ends = [
-        (m.minion_id, t, "stopped" if row[2] else "done", row[2] or w.now - row[1] > WORK_S)
-        for m in w.minis.values()
+        (m.minion_id, t, "stopped" if row[2] else "done", row[2] or world.now - row[1] > WORK_S)
+        for m in world.minions.values()
         for t, row in m.running.items()
     ]
     out += [("end", minion_id, t, how) for minion_id, t, how, ripe in ends if ripe]
     out.append(("tick",))
-    out += [("beat", m.minion_id) for m in idle if w.now < m.due]
+    out += [("beat", m.minion_id) for m in idle if world.now < m.due]
     out += [("end", minion_id, t, how) for minion_id, t, how, ripe in ends if not ripe]
     out += [("end", minion_id, t, "failed") for minion_id, t, _, _ in ends]
-    out += [("lose", *line) for line in lines if w.lines[line][0][1] not in ("CLUSTER_UPDATE", "MARK")]
-    for group_id in w.schedulers:
+    out += [
+        ("lose", *channel) for channel in channels if world.channels[channel][0][1] not in ("CLUSTER_UPDATE", "MARK")
+    ]
+    for group_id in world.schedulers:
         out.append(("die", group_id, False))
-        if w.replica(group_id=group_id).queue:
+        if world.replica(group_id=group_id).queue:
             out.append(("die", group_id, True))
     return out
 
 
-def do(w: World, c: Choice) -> None:
+def do(world: World, choice: Choice) -> None:
     """Let it happen, and judge the state."""
-    what = c[0]
-    if what == "deliver":
-        w.deliver(line=c[1:])
-    elif what == "rooms":  # lines with nothing but words on room are read together: they only tell figures
-        for line in sorted(w.lines, key=lambda line: w.lines[line][0][0]):
-            if all(kind == "CAPACITY_REPORT" for _, kind, _ in w.lines[line]):
-                w.deliver(line=line)
-    elif what == "write":
-        for effect in w.replica(group_id=c[1]).write():
-            w.effect(group_id=c[1], effect=effect)
-    elif what == "beat":
-        w.minis[c[1]].beat()
-    elif what == "end":
-        w.minis[c[1]].end(task=c[2], how=c[3])
-    elif what == "tick":
-        tick(w)
-    elif what == "lose":
-        lose(w, line=c[1:])
-    else:
-        die(w, group_id=c[1], kept=c[2])
-    judge(w)
-
-
-def tick(w: World) -> None:
-    w.now += DT
-    for m in w.minis.values():
-        if m.sent >= 0 and w.now - m.sent > 1.0:
+    match choice:
+        case ("deliver", source, destination):
+            world.deliver(channel=(source, destination))
+        case ("rooms",):
+            deliver_reports(world)
+        case ("write", group_id):
+            for effect in world.replica(group_id=group_id).write():
+                world.effect(group_id=group_id, effect=effect)
+        case ("beat", minion_id):
+            world.minions[minion_id].beat()
+        case ("end", minion_id, task, outcome):
+            world.minions[minion_id].end(task=task, how=outcome)
+        case ("tick",):
+            tick(world)
+        case ("lose", source, destination):
+            lose(world, channel=(source, destination))
+        case ("die", group_id, kept):
+            die(world, group_id=group_id, kept=kept)
+        case _:
+            raise ValueError(choice)
+    judge(world)
+
+
+def deliver_reports(world: World) -> None:
+    """Channels with nothing but capacity reports are read together: these only tell figures."""
+    for channel in sorted(world.channels, key=lambda channel: world.channels[channel][0][0]):
+        if all(kind == "CAPACITY_REPORT" for _, kind, _ in world.channels[channel]):
+            world.deliver(channel=channel)
+
+
+def tick(world: World) -> None:
+    world.now += DT
+    for m in world.minions.values():
+        if m.sent >= 0 and world.now - m.sent > 1.0:
             m.sent = -1.0
-        if w.now > m.hold:
+        if world.now > m.hold:
             for task in list(m.running):
                 m.end(task=task, how="lapsed")
-    for a in w.agents.values():
+    for a in world.agents.values():
         a.tick()
-    for p in w.schedulers.values():
+    for p in world.schedulers.values():
         p.tick()
-    for src, dst in sorted(w.torn):
-        if (src, dst) not in w.lines:
-            w.push(src=src, dst=dst, what="MARK", body={})
+    for source, destination in sorted(world.lossy_channels):
+        if (source, destination) not in world.channels:
+            world.push(source=source, destination=destination, what="MARK", body={})
 
 
-def lose(w: World, *, line: tuple[str, str]) -> None:
+def lose(world: World, *, channel: tuple[str, str]) -> None:
     """A message is lost; a lost answer is a call that fails at once."""
-    w.lines[line].pop(0)
-    if not w.lines[line]:
-        del w.lines[line]
-    if line[1] in w.minis:
-        w.minis[line[1]].sent, w.minis[line[1]].due = -1.0, w.now + 0.1
+    world.channels[channel].pop(0)
+    if not world.channels[channel]:
+        del world.channels[channel]
+    if channel[1] in world.minions:
+        world.minions[channel[1]].sent, world.minions[channel[1]].due = -1.0, world.now + 0.1
     else:
-        w.torn.add(line)
+        world.lossy_channels.add(channel)
 
 
-def die(w: World, *, group_id: int, kept: bool) -> None:
+def die(world: World, *, group_id: int, kept: bool) -> None:
     """A placing node dies with what it was told; what it sent is still on its way. `kept`: what it wrote last is
     durable, but nothing came of it. The next one begins; agents hear of it by and by."""
-    old, n = w.node_id(group_id=group_id), w.replica(group_id=group_id).state_epoch + 1
+    old, n = world.node_id(group_id=group_id), world.replica(group_id=group_id).state_epoch + 1
     if kept:
-        w.replica(group_id=group_id).write()
-    w.lines = {line: rows for line, rows in w.lines.items() if line[1] != old}
-    w.torn = {line for line in w.torn if line[1] != old}
-    w.rise(group_id=group_id, n=n)
-    for node_id in w.agents:
-        w.push(
-            src="news",
-            dst=node_id,
+        world.replica(group_id=group_id).write()
+    world.channels = {channel: rows for channel, rows in world.channels.items() if channel[1] != old}
+    world.lossy_channels = {channel for channel in world.lossy_channels if channel[1] != old}
+    world.start_scheduler(group_id=group_id, n=n)
+    for node_id in world.agents:
+        world.push(
+            source="news",
+            destination=node_id,
             what="CLUSTER_UPDATE",
-            body={"g": group_id, "u": w.node_id(group_id=group_id), "n": n},
+            body={"g": group_id, "u": world.node_id(group_id=group_id), "n": n},
         )
 
 
-def judge(w: World) -> None:
+def judge(world: World) -> None:
     """The invariants of every state."""
-    for a in w.agents.values():
+    for a in world.agents.values():
         for m in a.minions.values():
             have = [sum(part) for part in zip((0, 0, 0), *(x.size for x in m.leases.values()), strict=True)]
-            need(have == list(m.leased), "LIMIT", m.minion_id, "used", m.leased, "leases", have)
-            need(all(h <= c for h, c in zip(have, CAP, strict=True)), "LIMIT", m.minion_id, "leases", have)
+            require(have == list(m.leased), "LIMIT", m.minion_id, "used", m.leased, "leases", have)
+            require(all(h <= c for h, c in zip(have, CAP, strict=True)), "LIMIT", m.minion_id, "leases", have)
             lids = [r.lease_id for r in m.runs.values() if r.lease_id]
-            need(len(set(lids)) == len(lids), "LEASE", m.minion_id, "serves two runs at a time", lids)
-    for mini in w.minis.values():
-        cpu = sum(w.size[t.split(".")[0]] for t in mini.running)
-        need(cpu <= CAP[0], "LIMIT", mini.minion_id, "runs", list(mini.running))
+            require(len(set(lids)) == len(lids), "LEASE", m.minion_id, "serves two runs at a time", lids)
+    for mini in world.minions.values():
+        cpu = sum(world.size[t.split(".")[0]] for t in mini.running)
+        require(cpu <= CAP[0], "LIMIT", mini.minion_id, "runs", list(mini.running))
 
 
-def left(w: World) -> list[str]:
+def left(world: World) -> list[str]:
     """What is not settled yet: jobs not done in the record, room not back at the agents or in a placing node's table,
     what a placing node still remembers of runs and requests that are no more."""
     out = []
-    for group_id, p in w.schedulers.items():
+    for group_id, p in world.schedulers.items():
         out += [f"job {job_id}" for job_id, job in p.context.jobs.jobs.items() if not job.has_ended]
-        out += [f"held {t} by {w.node_id(group_id=group_id)}" for t in p.context.leases.by_task] + [
-            f"ask {request_id} of {w.node_id(group_id=group_id)}" for request_id in p.binding.open_requests
+        out += [f"held {t} by {world.node_id(group_id=group_id)}" for t in p.context.leases.by_task] + [
+            f"ask {request_id} of {world.node_id(group_id=group_id)}" for request_id in p.binding.open_requests
         ]
-        out += [f"write {group_id}"] if w.replica(group_id=group_id).queue else []
+        out += [f"write {group_id}"] if world.replica(group_id=group_id).queue else []
         out += [
-            f"room of {minion_id} at {w.node_id(group_id=group_id)}"
-            for minion_id in w.minis
+            f"room of {minion_id} at {world.node_id(group_id=group_id)}"
+            for minion_id in world.minions
             if (s := p.context.capacity.minions.get(minion_id)) is None or not s.is_open or s.free != s.total
         ]
-    for a in w.agents.values():
+    for a in world.agents.values():
         out += [f"lease {lease_id} on {m.minion_id}" for m in a.minions.values() for lease_id in m.leases]
         out += [f"run {t} on {m.minion_id}" for m in a.minions.values() for t in (*m.runs, *m.unknown_runs)]
     out += [
-        f"{what} to {dst}"
-        for (_, dst), rows in w.lines.items()
+        f"{what} to {destination}"
+        for (_, destination), rows in world.channels.items()
         for _, what, _ in rows
-        if what != "CAPACITY_REPORT" and dst not in w.minis
+        if what != "CAPACITY_REPORT" and destination not in world.minions
     ]
-    out += [f"{src} to {dst} torn" for src, dst in w.torn]
-    return out + [f"runs or ends of {m.minion_id}" for m in w.minis.values() if m.running or m.ends]
+    out += [f"{source} to {destination} torn" for source, destination in world.lossy_channels]
+    return out + [f"runs or ends of {m.minion_id}" for m in world.minions.values() if m.running or m.ends]
 
 
-def settled(w: World) -> bool:
+def settled(world: World) -> bool:
     """Every accepted job is done in the record, and all room is back."""
-    return not any(m.running or m.ends for m in w.minis.values()) and not left(w)
+    return not any(m.running or m.ends for m in world.minions.values()) and not left(world)
 
 
-SKIP = frozenset({"w", "hub", "rep", "agent", "warm", "serial"})
+SKIP = frozenset({"world", "agent", "warm", "serial"})
 
 
 def plain(x: Any, seen: set[int]) -> Any:
@@ -195,14 +206,14 @@
     }
 
 
-def digest(w: World) -> bytes:
+def digest(world: World) -> bytes:
     """The same for the same state, whatever way led there. Of messages' numbers only the order counts."""
-    nums = {n: i for i, n in enumerate(sorted(n for rows in w.lines.values() for n, _, _ in rows))}
+    nums = {n: i for i, n in enumerate(sorted(n for rows in world.channels.values() for n, _, _ in rows))}
     document = {
-        "w": {k: plain(v, set()) for k, v in vars(w).items() if k not in ("lines", "serial")},
-        "q": {group_id: plain(w.replica(group_id=group_id).queue, set()) for group_id in w.schedulers},
-        "l": {f"{a}>{b}": [[nums[n], what, body] for n, what, body in rows] for (a, b), rows in w.lines.items()},
-        "p": {node_id: a.environment.prims for node_id, a in w.agents.items()},  # type: ignore[attr-defined]
+        "w": {k: plain(v, set()) for k, v in vars(world).items() if k not in ("channels", "serial")},
+        "q": {group_id: plain(world.replica(group_id=group_id).queue, set()) for group_id in world.schedulers},
+        "l": {f"{a}>{b}": [[nums[n], what, body] for n, what, body in rows] for (a, b), rows in world.channels.items()},
+        "p": {node_id: a.environment.primaries for node_id, a in world.agents.items()},  # type: ignore[attr-defined]
     }
     return blake2b(
         orjson.dumps(document, option=orjson.OPT_SORT_KEYS | orjson.OPT_NON_STR_KEYS), digest_size=16
@@ -232,9 +243,9 @@
     found: Found = field(default_factory=Found)
     best: dict[bytes, list[tuple[int, int, int]]] = field(default_factory=dict)
 
-    def run(self, w: World) -> Found:
+    def run(self, world: World) -> Found:
         stack: list[tuple[bytes, Choice | None, int, int, int, list[tuple[int, Choice]]]] = [
-            (pickle.dumps(w, protocol=5), None, self.swaps, self.faults, 0, [])
+            (pickle.dumps(world, protocol=5), None, self.swaps, self.faults, 0, [])
         ]
         while stack and len(self.found.broken) < self.stop_at:
             state, first, swaps, faults, step, trail = stack.pop()
@@ -245,7 +256,7 @@
                     self.act(here, first)
                     step += 1
                 while not self.known(here, (swaps, faults, max(0, self.window - step))) and not settled(here):
-                    need(step < SETTLED_BY, "STUCK", *left(here))
+                    require(step < SETTLED_BY, "STUCK", *left(here))
                     calm, *rest = choices(here)
                     if step < self.window and (swaps or faults):
                         snap = pickle.dumps(here, protocol=5)
@@ -255,20 +266,20 @@
                                 stack.append((snap, c, swaps - (not bad), faults - bad, step, [*trail, (step, c)]))
                     self.act(here, calm)
                     step += 1
-            except (Broken, AssertionError, KeyError, IndexError) as err:
+            except (InvariantBrokenError, AssertionError, KeyError, IndexError) as err:
                 self.found.broken.append((f"{type(err).__name__} {err}", trail))
         return self.found
 
-    def act(self, w: World, c: Choice) -> None:
+    def act(self, world: World, c: Choice) -> None:
         self.found.steps += 1
         self.found.kinds[c[0]] = self.found.kinds.get(c[0], 0) + 1
-        do(w, c)
+        do(world, c)
 
-    def known(self, w: World, left: tuple[int, int, int]) -> bool:
+    def known(self, world: World, left: tuple[int, int, int]) -> bool:
         """Beyond what is branched from, only states in which nothing but time can go on are compared."""
-        if not (left[2] and (left[0] or left[1])) and choices(w)[0][0] != "tick":
+        if not (left[2] and (left[0] or left[1])) and choices(world)[0][0] != "tick":
             return False
-        key = digest(w)
+        key = digest(world)
         self.found.seen.add(key)
         rows = self.best.setdefault(key, [])
         if any(all(a >= b for a, b in zip(row, left, strict=True)) for row in rows):
@@ -278,22 +289,22 @@
         return False
 
 
-def replay(w: World, trail: list[tuple[int, Choice]], *, most: int = SETTLED_BY) -> World:
+def replay(world: World, trail: list[tuple[int, Choice]], *, most: int = SETTLED_BY) -> World:
     """The calm way but for the choices named by their steps, until the world is settled."""
     other = dict(trail)
     for step in range(most):
-        if settled(w) and step > max(other, default=-1):
-            return w
+        if settled(world) and step > max(other, default=-1):
+            return world
         c = other.get(step)
-        do(w, c if c is not None else choices(w)[0])
-    raise Broken(f"STUCK {left(w)}")
+        do(world, c if c is not None else choices(world)[0])
+    raise InvariantBrokenError(f"STUCK {left(world)}")
 
 
 def attached(jobs: list[tuple[str, list[dict[str, Any]]]]) -> World:
     """A calm start: both minions are known and attached by both groups, then jobs are handed in."""
-    w = World()
-    while not settled(w):
-        do(w, choices(w)[0])
+    world = World()
+    while not settled(world):
+        do(world, choices(world)[0])
     for job_id, stages in jobs:
-        w.put(job_id=job_id, stages=stages)
-    return w
+        world.submit(job_id=job_id, stages=stages)
+    return world
--- a/tests/support/binding_model.py
+++ b/tests/support/binding_model.py
@@ -1,5 +1,8 @@
-"""A small closed world for model checking: real agents and real placing nodes, stub replicas, minions as the protocol
-says. All of it is data, so that a state is a pickle; `choices` are what may happen next, `do` lets it happen."""
+"""A small closed world for model checking: real agents and schedulers, stub replicas, minions by the protocol.
+
+All of it is data, so that a state is a pickle. `binding_explorer.choices` are what may happen next, and
+`binding_explorer.do` lets it happen.
+"""
 
 from dataclasses import dataclass, field
 from typing import Any, cast
@@ -45,20 +48,20 @@
 Choice = tuple[Any, ...]
 
 
-class Broken(AssertionError):
+class InvariantBrokenError(AssertionError):
     """An invariant does not hold."""
 
 
-def need(ok: bool, rule: str, *what: object) -> None:
+def require(ok: bool, rule: str, *what: object) -> None:
     if not ok:
-        raise Broken(f"{rule} {' '.join(map(str, what))}")
+        raise InvariantBrokenError(f"{rule} {' '.join(map(str, what))}")
 
 
 @dataclass
-class Rep:
+class StubReplica:
     """A replica as its users see it. Invariant: what `commit` applied and `write` did not reach dies with the node."""
 
-    w: "World"
+    world: "World"
     group_id: int
     state_epoch: int
     state: Jobs
@@ -70,19 +73,21 @@
     def commit(self, *, event: dict[str, Any], then: Effect | None = None) -> Any:
         if event["t"] == "start":
             step = self.state.jobs[event["id"]].step_of(unit_key=event["u"])
-            need(not step.is_gang or len(event["x"]) == step.task_count, "GANG", "below its criterion", event)
+            require(not step.is_gang or len(event["x"]) == step.task_count, "GANG", "below its criterion", event)
             if then is not None:
                 assert isinstance(then, OrderRuns)
                 leases = [run.lease for run in then.runs]
-                need(
+                require(
                     len({(lease.agent_id, lease.lease_id) for lease in leases}) == len(event["x"]),
                     "LEASE",
                     "shared",
                     event,
                 )
                 for lease in leases:
-                    self.w.holds(
-                        node_id=self.w.node_id(group_id=self.group_id), agent=lease.agent_id, lease_id=lease.lease_id
+                    self.world.holds(
+                        node_id=self.world.node_id(group_id=self.group_id),
+                        agent=lease.agent_id,
+                        lease_id=lease.lease_id,
                     )
         out = self.state.apply(event)
         self.queue.append((event, then))
@@ -92,16 +97,16 @@
         if self.queue:
             self.queue.append((None, then))
         else:
-            self.w.effect(group_id=self.group_id, effect=then)
+            self.world.effect(group_id=self.group_id, effect=then)
 
     def write(self) -> list[Effect]:
         """All that waits is durable: what follows from it."""
         rows, self.queue = self.queue, []
         for event, _ in rows:
             if event is not None:
-                self.w.log[self.group_id].append(orjson.loads(orjson.dumps(event)))
+                self.world.log[self.group_id].append(orjson.loads(orjson.dumps(event)))
                 if event["t"] == "start":
-                    self.w.begun.update(
+                    self.world.recorded_starts.update(
                         f"{task_name(job_id=event['id'], unit_key=event['u'], index=i)}/{run}"
                         for i, run, _ in event["x"]
                     )
@@ -110,37 +115,40 @@
 
 @dataclass
 class ReplicaEnvironment:
-    """A node's surroundings, for agents and placing nodes."""
+    """A node's surroundings, for agents and schedulers."""
 
-    w: "World"
+    world: "World"
     node_id: str
-    prims: dict[int, tuple[str, int]] = field(default_factory=dict)
+    primaries: dict[int, tuple[str, int]] = field(default_factory=dict)
 
     @property
     def now(self) -> float:
-        return self.w.now
+        return self.world.now
 
     @property
     def wall_now(self) -> float:
-        return self.w.now
+        return self.world.now
 
     def send(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
-        self.w.send(src=self.node_id, dst=node_id, kind=kind, body=body)
+        self.world.send(source=self.node_id, destination=node_id, kind=kind, body=body)
 
     def send_message(self, *, node_id: str, message: Message) -> None:
         self.send(node_id=node_id, kind=message.KIND, body=orjson.loads(message.encoded()))
 
     def respond(self, *, call: Any, response: Response) -> None:
         document = orjson.loads(response.body) if response.body else {}
-        self.w.push(
-            src=self.node_id, dst=call[0], what="ANSWER", body={"seq": call[1], "s": response.status, "d": document}
+        self.world.push(
+            source=self.node_id,
+            destination=call[0],
+            what="ANSWER",
+            body={"seq": call[1], "s": response.status, "d": document},
         )
 
     def trusted(self) -> bool:
         return True
 
     def primary(self, *, group_id: int) -> tuple[str, int] | None:
-        return self.prims[group_id]
+        return self.primaries[group_id]
 
     def evacuated(self, *, zone: str) -> bool:
         return False
@@ -158,13 +166,13 @@
         pass
 
     def remove_lost_minion(self, *, minion_id: str, fence: int) -> None:
-        need(False, "LOST", minion_id, "was called lost, but minions never fall silent here")
+        require(False, "LOST", minion_id, "was called lost, but minions never fall silent here")
 
     def route(self, *, name: str) -> Route | None:
         return ROUTE
 
     def reply(self, *, node_id: str, request_id: int, status: int, document: Any) -> None:
-        need(status == 200, "REFUSED", status, document)
+        require(status == 200, "REFUSED", status, document)
 
     def ranks(self) -> dict[str, int]:
         return {"q": 0}
@@ -174,10 +182,10 @@
 
 
 @dataclass
-class Mini:
+class ModelMinion:
     """A minion: one beat at a time; a start beyond every run number seen of its task only; ends kept until noted."""
 
-    w: "World"
+    world: "World"
     minion_id: str
     agent: str
     fence: int = 0
@@ -192,7 +200,7 @@
 
     def beat(self) -> None:
         self.seq += 1
-        self.sent = self.w.now
+        self.sent = self.world.now
         cpu, mem, gpu = CAP
         heartbeat = parse_heartbeat(
             document={
@@ -206,7 +214,7 @@
                 "finished": [[n, *end] for n, end in sorted(self.ends.items())],
             }
         )
-        self.w.agents[self.agent].on_heartbeat(
+        self.world.agents[self.agent].on_heartbeat(
             minion_id=self.minion_id, heartbeat=heartbeat, call=(self.minion_id, self.seq)
         )
 
@@ -214,7 +222,7 @@
         if b["seq"] != self.seq or self.sent < 0:
             return
         sent, self.sent, document = self.sent, -1.0, b["d"]
-        self.due = self.w.now + (document.get("retry-after-ms", 100) if b["s"] == 200 else 100) / 1000
+        self.due = self.world.now + (document.get("retry-after-ms", 100) if b["s"] == 200 else 100) / 1000
         if b["s"] != 200 or document["fence-no"] < self.fence:
             return
         self.fence = document["fence-no"]
@@ -223,8 +231,8 @@
         for n in [n for n in self.ends if n <= document.get("last-seen", 0)]:
             task, _, how, _ = self.ends.pop(n)
             if how == "done":
-                self.w.noted.add(task)
-                need(self.w.durable(task=task), "LOST", task, "was noted and is not in the record")
+                self.world.noted_tasks.add(task)
+                require(self.world.durable(task=task), "LOST", task, "was noted and is not in the record")
         for task, run in document.get("stopped", []):
             self.top[task] = max(self.top.get(task, 0), run)
             if task in self.running and self.running[task][0] == run:
@@ -232,13 +240,18 @@
         for task, run, spec, _ in document.get("started", []):
             if run > self.top.get(task, 0):
                 self.top[task] = run
-                need(spec == f"spec-{task.split('.')[0]}", "UNASKED", task)
-                need(f"{task}/{run}" in self.w.begun, "EARLY", task, run, "is not in the record")
-                need(task not in self.w.noted, "TWICE", task, run, "after its end was noted")
-                need(
-                    not any(task in m.running for m in self.w.minis.values()), "TWICE", task, run, "on", self.minion_id
+                require(spec == f"spec-{task.split('.')[0]}", "UNASKED", task)
+                require(f"{task}/{run}" in self.world.recorded_starts, "EARLY", task, run, "is not in the record")
+                require(task not in self.world.noted_tasks, "TWICE", task, run, "after its end was noted")
+                require(
+                    not any(task in m.running for m in self.world.minions.values()),
+                    "TWICE",
+                    task,
+                    run,
+                    "on",
+                    self.minion_id,
                 )
-                self.running[task] = [run, self.w.now, False]
+                self.running[task] = [run, self.world.now, False]
 
     def end(self, *, task: str, how: str) -> None:
         run = self.running.pop(task)[0]
@@ -247,31 +260,33 @@
 
 
 class World:
-    """Two placing nodes, two agents with one minion each. Invariant: a channel (sender, receiver) is a queue; what was
+    """Two schedulers, two agents with one minion each. Invariant: a channel (sender, receiver) is a queue; what was
     lost of it is told to the receiver with the next message."""
 
     def __init__(self) -> None:
         self.now = 100.0
         self.serial = 0
-        self.lines: dict[tuple[str, str], list[tuple[int, str, dict[str, Any]]]] = {}
-        self.torn: set[tuple[str, str]] = set()
+        self.channels: dict[tuple[str, str], list[tuple[int, str, dict[str, Any]]]] = {}
+        self.lossy_channels: set[tuple[str, str]] = set()
         self.log: dict[int, list[dict[str, Any]]] = {1: [], 2: []}
-        self.begun: set[str] = set()
-        self.noted: set[str] = set()
+        self.recorded_starts: set[str] = set()
+        self.noted_tasks: set[str] = set()
         self.grants: dict[str, str] = {}  # agent:lease, to whom it was granted
-        self.back: set[str] = set()  # those that were given back
+        self.returned_leases: set[str] = set()  # those that were given back
         self.size: dict[str, int] = {}
-        self.minis = {
-            minion_id: Mini(w=self, minion_id=minion_id, agent=node_id)
+        self.minions = {
+            minion_id: ModelMinion(world=self, minion_id=minion_id, agent=node_id)
             for node_id, minion_id in (("a1", "i1"), ("a2", "i2"))
         }
         self.agents: dict[str, Agent] = {}
         self.schedulers: dict[int, Scheduler] = {}
         for group_id in (1, 2):
-            self.rise(group_id=group_id, n=1)
-        for m in self.minis.values():
+            self.start_scheduler(group_id=group_id, n=1)
+        for m in self.minions.values():
             environment = ReplicaEnvironment(
-                w=self, node_id=m.agent, prims={group_id: (self.node_id(group_id=group_id), 1) for group_id in (1, 2)}
+                world=self,
+                node_id=m.agent,
+                primaries={group_id: (self.node_id(group_id=group_id), 1) for group_id in (1, 2)},
             )
             self.agents[m.agent] = Agent(
                 environment=cast(AgentEnvironment, environment),
@@ -279,33 +294,33 @@
             )
             self.agents[m.agent].add_minion(minion_id=m.minion_id, fence=5, service="", zone="", labels=[])
 
-    # -- placing nodes
+    # -- schedulers
 
     def node_id(self, *, group_id: int) -> str:
         return str(self.schedulers[group_id].context.environment.node_id)
 
-    def rise(self, *, group_id: int, n: int) -> None:
-        """A placing node begins with what is durable."""
+    def start_scheduler(self, *, group_id: int, n: int) -> None:
+        """A scheduler begins with what is durable."""
         jobs = Jobs()
         for event in self.log[group_id]:
             jobs.apply(orjson.loads(orjson.dumps(event)))
-        replica = Rep(w=self, group_id=group_id, state_epoch=n, state=jobs)
+        replica = StubReplica(world=self, group_id=group_id, state_epoch=n, state=jobs)
         self.schedulers[group_id] = Scheduler(
             defaults=SHIPPED,
             history=History(),
             group_id=group_id,
-            environment=cast(SchedulerEnvironment, ReplicaEnvironment(w=self, node_id=f"p{group_id}.{n}")),
+            environment=cast(SchedulerEnvironment, ReplicaEnvironment(world=self, node_id=f"p{group_id}.{n}")),
             replica=cast(Replica, replica),
             jobs=jobs,
             remote_factor=2.0,
             retention_s=120.0,
         )
 
-    def replica(self, *, group_id: int) -> Rep:
-        return cast(Rep, self.schedulers[group_id].context.replica)
+    def replica(self, *, group_id: int) -> StubReplica:
+        return cast(StubReplica, self.schedulers[group_id].context.replica)
 
-    def put(self, *, job_id: str, stages: list[dict[str, Any]]) -> None:
-        """A job is handed in."""
+    def submit(self, *, job_id: str, stages: list[dict[str, Any]]) -> None:
+        """A job is submitted."""
         group_id = 1 + int(job_id[:8], 16) % 2
         row = parse_submission(body=orjson.dumps({"task-spec": f"spec-{job_id}", "stages": stages}))
         self.size[job_id] = stages[0]["cpus"]
@@ -328,7 +343,7 @@
         elif isinstance(effect, SendMessage):
             scheduler.context.environment.send_message(node_id=effect.node_id, message=effect.message)
         else:
-            need(isinstance(effect, Reply), "EFFECT", effect)
+            require(isinstance(effect, Reply), "EFFECT", effect)
 
     def durable(self, *, task: str) -> bool:
         job_id, k, s, i = task.split(".")
@@ -340,83 +355,85 @@
 
     # -- channels
 
-    def push(self, *, src: str, dst: str, what: str, body: dict[str, Any]) -> None:
+    def push(self, *, source: str, destination: str, what: str, body: dict[str, Any]) -> None:
         self.serial += 1
-        self.lines.setdefault((src, dst), []).append((self.serial, what, orjson.loads(orjson.dumps(body))))
+        self.channels.setdefault((source, destination), []).append(
+            (self.serial, what, orjson.loads(orjson.dumps(body)))
+        )
 
-    def send(self, *, src: str, dst: str, kind: Kind, body: dict[str, Any]) -> None:
+    def send(self, *, source: str, destination: str, kind: Kind, body: dict[str, Any]) -> None:
         if kind is Kind.LEASE_GRANT:
             for lease_id, _, _ in body["x"]:
-                self.grants[f"{src}:{lease_id}"] = dst
+                self.grants[f"{source}:{lease_id}"] = destination
         elif kind is Kind.LEASE_RETURN:
             for _, lease_id in body["x"]:
-                self.holds(node_id=src, agent=dst, lease_id=lease_id)
-                self.back.add(f"{dst}:{lease_id}")
+                self.holds(node_id=source, agent=destination, lease_id=lease_id)
+                self.returned_leases.add(f"{destination}:{lease_id}")
         elif kind is Kind.TASK_ORDERS:
             for _, _, lease_id, task, run, _, _ in body["x"]:
-                need(f"{task}/{run}" in self.begun, "EARLY", task, run, "is ordered and not in the record")
-                self.holds(node_id=src, agent=dst, lease_id=lease_id)
-        if dst in self.agents or dst in (self.node_id(group_id=1), self.node_id(group_id=2)):
-            self.push(src=src, dst=dst, what=kind.name, body=body)
+                require(f"{task}/{run}" in self.recorded_starts, "EARLY", task, run, "is ordered and not in the record")
+                self.holds(node_id=source, agent=destination, lease_id=lease_id)
+        if destination in self.agents or destination in (self.node_id(group_id=1), self.node_id(group_id=2)):
+            self.push(source=source, destination=destination, what=kind.name, body=body)
 
     def holds(self, *, node_id: str, agent: str, lease_id: int) -> None:
-        need(
-            self.grants.get(f"{agent}:{lease_id}") == node_id and f"{agent}:{lease_id}" not in self.back,
+        require(
+            self.grants.get(f"{agent}:{lease_id}") == node_id and f"{agent}:{lease_id}" not in self.returned_leases,
             "LEASE",
             f"{agent}:{lease_id}",
             "is not held by",
             node_id,
         )
 
-    def deliver(self, *, line: tuple[str, str]) -> None:
+    def deliver(self, *, channel: tuple[str, str]) -> None:
         """The next message, with the words on room before it: these only tell figures."""
-        src, dst = line
-        while line in self.lines:
-            _, what, body = self.lines[line].pop(0)
-            if not self.lines[line]:
-                del self.lines[line]
-            if line in self.torn:
-                self.torn.discard(line)
-                self.gap(src=src, dst=dst)
-            self.take(src=src, dst=dst, what=what, b=body)
+        source, destination = channel
+        while channel in self.channels:
+            _, what, body = self.channels[channel].pop(0)
+            if not self.channels[channel]:
+                del self.channels[channel]
+            if channel in self.lossy_channels:
+                self.lossy_channels.discard(channel)
+                self.gap(source=source, destination=destination)
+            self.take(source=source, destination=destination, what=what, b=body)
             if what != "CAPACITY_REPORT":
                 break
 
-    def gap(self, *, src: str, dst: str) -> None:
-        if dst in self.agents:
-            self.agents[dst].on_lost_messages(node_id=src)
+    def gap(self, *, source: str, destination: str) -> None:
+        if destination in self.agents:
+            self.agents[destination].on_lost_messages(node_id=source)
         for scheduler in self.schedulers.values():
-            if scheduler.context.environment.node_id == dst:
-                scheduler.on_messages_lost(node_id=src)
+            if scheduler.context.environment.node_id == destination:
+                scheduler.on_messages_lost(node_id=source)
 
-    def take(self, *, src: str, dst: str, what: str, b: dict[str, Any]) -> None:
+    def take(self, *, source: str, destination: str, what: str, b: dict[str, Any]) -> None:
         """As in `node/core.py`."""
-        if dst in self.minis:
-            self.minis[dst].answer(b=b)
+        if destination in self.minions:
+            self.minions[destination].answer(b=b)
         elif what == "CLUSTER_UPDATE":
-            cast(ReplicaEnvironment, self.agents[dst].environment).prims[b["g"]] = (b["u"], b["n"])
+            cast(ReplicaEnvironment, self.agents[destination].environment).primaries[b["g"]] = (b["u"], b["n"])
         elif what == "MARK":
             pass
-        elif dst in self.agents:
-            self.agent(a=self.agents[dst], src=src, kind=Kind[what], b=b)
+        elif destination in self.agents:
+            self.agent(a=self.agents[destination], source=source, kind=Kind[what], b=b)
         else:
             scheduler = self.schedulers[b["g"]]
-            if scheduler.context.environment.node_id == dst:
-                scheduler.on_message(node_id=src, kind=Kind[what], body=b)
+            if scheduler.context.environment.node_id == destination:
+                scheduler.on_message(node_id=source, kind=Kind[what], body=b)
 
-    def agent(self, *, a: Agent, src: str, kind: Kind, b: dict[str, Any]) -> None:
+    def agent(self, *, a: Agent, source: str, kind: Kind, b: dict[str, Any]) -> None:
         if kind is Kind.TASK_ORDERS:
             was = {(m.minion_id, r.task, r.run) for m in a.minions.values() for r in m.runs.values()}
-            self.to_agent(a=a, src=src, kind=kind, b=b)
+            self.to_agent(a=a, source=source, kind=kind, b=b)
             for minion_id, _, lease_id, task, run, _, _ in b["x"]:
                 r = a.minions[minion_id].runs.get(task)
                 if r is not None and r.run == run and (minion_id, task, run) not in was:
-                    self.holds(node_id=src, agent=a.environment.node_id, lease_id=lease_id)
-                    need(src == a.environment.primary(group_id=b["g"])[0], "LEASE", src, "is no primary")  # type: ignore[index]
+                    self.holds(node_id=source, agent=a.environment.node_id, lease_id=lease_id)
+                    require(source == a.environment.primary(group_id=b["g"])[0], "LEASE", source, "is no primary")  # type: ignore[index]
         else:
-            need(kind in AGENT_MESSAGES, "KIND", kind.name)
-            self.to_agent(a=a, src=src, kind=kind, b=b)
+            require(kind in AGENT_MESSAGES, "KIND", kind.name)
+            self.to_agent(a=a, source=source, kind=kind, b=b)
 
     @staticmethod
-    def to_agent(*, a: Agent, src: str, kind: Kind, b: dict[str, Any]) -> None:
-        a.on_message(node_id=src, message=decode(b, into=AGENT_MESSAGES[kind]))
+    def to_agent(*, a: Agent, source: str, kind: Kind, b: dict[str, Any]) -> None:
+        a.on_message(node_id=source, message=decode(b, into=AGENT_MESSAGES[kind]))
--- a/tests/support/replication_adapter.py
+++ b/tests/support/replication_adapter.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from tests.support.binding_model import Broken
+from tests.support.binding_model import InvariantBrokenError
 from yarrowloom.cluster_state.registry import Registry
 from yarrowloom.common.effects import Effect, NoEffect
 from yarrowloom.common.records import Record, decode
@@ -232,7 +232,7 @@
                 if record["k"] != "none":
                     replica.restore(record)
         except ReplayError as err:
-            raise Broken(f"REPLAY {self.node_id} {err.text}") from err
+            raise InvariantBrokenError(f"REPLAY {self.node_id} {err.text}") from err
         if records:
             replica.finish_restore()
         return replica
--- a/tests/support/replication_explorer.py
+++ b/tests/support/replication_explorer.py
@@ -15,7 +15,7 @@
 import orjson
 
 from tests.support.binding_explorer import Found
-from tests.support.binding_model import Broken, Choice, need
+from tests.support.binding_model import Choice, InvariantBrokenError, require
 from tests.support.replication_model import Cut, Line, World
 from yarrowloom.common.records import Record
 
@@ -268,7 +268,7 @@
                     self.act(here, first)
                     step += 1
                 while not self.ended(here, (swaps, faults, max(0, self.window - step))):
-                    need(step < SETTLED_BY, "STUCK", *here.unsettled())
+                    require(step < SETTLED_BY, "STUCK", *here.unsettled())
                     usual = calm(here)
                     if step < self.window and (swaps or faults):
                         snap = pickle.dumps(here, protocol=5)
@@ -278,7 +278,7 @@
                                 stack.append((snap, c, swaps - (not bad), faults - bad, step, [*trail, (step, c)]))
                     self.act(here, usual)
                     step += 1
-            except (Broken, AssertionError, KeyError, IndexError) as err:
+            except (InvariantBrokenError, AssertionError, KeyError, IndexError) as err:
                 self.found.broken.append((f"{type(err).__name__} {err}", trail))
         return self.found
 
@@ -300,7 +300,7 @@
         self.found.seen.add(key)
         rows = self.best.setdefault(key, [])
         if any(all(a >= b for a, b in zip(row, left, strict=True)) for row in rows):
-            need(key not in self.here, "STUCK", "the same state again", *w.unsettled())
+            require(key not in self.here, "STUCK", "the same state again", *w.unsettled())
             return True
         if w.closing:
             self.here.add(key)
@@ -324,9 +324,9 @@
                 c = rand.choice([row for row in rows if row[0] == kind])
                 trail.append((step, c))
             do(w, c)
-        raise Broken(f"STUCK {w.unsettled()}")
-    except (Broken, AssertionError, KeyError, IndexError) as err:
-        raise Broken(f"{type(err).__name__} {err} after {step + 1} steps, {trail}") from err
+        raise InvariantBrokenError(f"STUCK {w.unsettled()}")
+    except (InvariantBrokenError, AssertionError, KeyError, IndexError) as err:
+        raise InvariantBrokenError(f"{type(err).__name__} {err} after {step + 1} steps, {trail}") from err
 
 
 def replay(w: World, trail: list[tuple[int, Choice]]) -> World:
@@ -337,7 +337,7 @@
         if w.closing and w.settled():
             return w
         do(w, other.get(step) or calm(w))
-    raise Broken(f"STUCK {w.unsettled()}")
+    raise InvariantBrokenError(f"STUCK {w.unsettled()}")
 
 
 def ready(w: World) -> World:
--- a/tests/support/replication_model.py
+++ b/tests/support/replication_model.py
@@ -5,7 +5,7 @@
 from itertools import pairwise
 from typing import Any
 
-from tests.support.binding_model import need
+from tests.support.binding_model import require
 from tests.support.replication_adapter import Member, copy_of
 from yarrowloom.common.records import decode
 from yarrowloom.replication.epoch import Epoch, majority
@@ -246,7 +246,7 @@
                 self.last_acks.add(self.count)
             member.commit(number=self.count)
         else:
-            need(
+            require(
                 set(self.acked) <= set(member.numbers()),
                 "STALE",
                 member.node_id,
@@ -267,17 +267,17 @@
     def check_send(self, *, member: Member, kind: Kind, body: dict[str, Any]) -> None:
         """What a member says must be on its disk, and must not belong to an epoch that it has begun to replace."""
         if kind in ANSWERS and body.get("ok", True):
-            need(member.on_disk(kind=kind, body=body), "UNSYNCED", member.node_id, kind.name, body)
+            require(member.on_disk(kind=kind, body=body), "UNSYNCED", member.node_id, kind.name, body)
         if kind is Kind.PREPARE:
             member.asked_votes = max(member.asked_votes, body["n"] - 1)
         if kind is Kind.LEADER_LEASE_GRANTED:
             self.check_left(member=member, n=body["n"])
         if (kind is Kind.PROMISE and body["ok"]) or (kind is Kind.ACCEPTED and body["ok"]):
             before = self.decided[body["n"] - 1]
-            need(member.node_id in before.witnesses, "ABSTAIN", member.node_id, "is no witness of", before)
+            require(member.node_id in before.witnesses, "ABSTAIN", member.node_id, "is no witness of", before)
         if kind is Kind.ACCEPT and "PROPOSAL" not in self.unasked:
             known = self.proposals.setdefault((body["n"], str(body["bal"])), decode(body["val"], into=Epoch))
-            need(
+            require(
                 known == decode(body["val"], into=Epoch),
                 "PROPOSAL",
                 "two values by one proposal number",
@@ -293,17 +293,19 @@
         """Asked when a lease is renewed, and when a batch is taken: one that was taken before the election is in the
         copy that the member proposes, so its acknowledgement may leave later."""
         if member.node_id in self.decided[n].backups:
-            need(n > member.left, "LEFT", member.node_id, "acknowledges epoch", n, "after its election to replace it")
+            require(
+                n > member.left, "LEFT", member.node_id, "acknowledges epoch", n, "after its election to replace it"
+            )
 
     def vote(self, *, node_id: str, n: int, proposal_number: str, value: Epoch) -> None:
         """A vote is on disk: a majority of them for one value by one proposal number decides."""
         votes = self.votes.setdefault((n, proposal_number, dump(body=value).decode()), set())
         votes.add(node_id)
         if majority(votes=votes, among=self.decided[n - 1].witnesses):
-            need(self.decided.setdefault(n, value) == value, "EPOCH", n, "was", self.decided[n], "and is", value)
+            require(self.decided.setdefault(n, value) == value, "EPOCH", n, "was", self.decided[n], "and is", value)
 
     def learnt(self, *, member: Member, epoch: Epoch) -> None:
-        need(
+        require(
             self.decided.get(epoch.number) == epoch,
             "EPOCH",
             member.node_id,
@@ -324,9 +326,9 @@
 
     def check_state(self, *, member: Member) -> None:
         numbers, n = member.numbers(), member.held_epoch()
-        need(all(a < b for a, b in pairwise(numbers)), "ORDER", member.node_id, "holds", numbers)
+        require(all(a < b for a, b in pairwise(numbers)), "ORDER", member.node_id, "holds", numbers)
         missing = [i for i, at in self.acked.items() if at <= n and i not in numbers]
-        need(not missing, "LOST", missing, "are acknowledged;", member.node_id, "in epoch", n, "holds", numbers)
+        require(not missing, "LOST", missing, "are acknowledged;", member.node_id, "in epoch", n, "holds", numbers)
 
     def judge(self) -> None:
         """The invariants of every state."""
@@ -334,11 +336,11 @@
             if member.running:
                 self.check_state(member=member)
         serving = [m.node_id for m in self.members if m.is_serving()]
-        need(len(serving) <= 1, "SERVING", *serving)
+        require(len(serving) <= 1, "SERVING", *serving)
         if serving:
             member = next(m for m in self.members if m.node_id == serving[0])
             missing = set(self.acked) - set(member.numbers())
-            need(not missing, "LOST", missing, "are acknowledged; serving is", serving[0], member.numbers())
+            require(not missing, "LOST", missing, "are acknowledged; serving is", serving[0], member.numbers())
         if self.lost_disks and self.whole():
             self.lost_disks.clear()
 
