--- a/yarrowloom/node/input_scheduler.py
+++ b/yarrowloom/node/input_scheduler.py
@@ -1,6 +1,5 @@
 """The order in which a process handles its inputs: messages, HTTP requests and periodic work."""
 
-import contextlib
 import enum
 import math
 from collections import deque
@@ -48,6 +47,7 @@
         Kind.ATTACHMENT_VERDICT,
     }
 )
+_REPEATED_KINDS = frozenset({Kind.TASK_ENDS, Kind.CLAIM_MINIONS, Kind.MINION_LOST})  # until acknowledged
 _MALFORMED_ERRORS = (KeyError, TypeError, IndexError)
 
 
@@ -99,12 +99,14 @@
         >>> duplicates.admit(node_id="a", kind=Kind.TASK_ENDS, message=one) is one
         True
         """
-        if self._is_capacity_summary(kind=kind, message=message):
+        if kind is Kind.CAPACITY_REPORT and isinstance(message, dict) and "v" in message:  # a summary
             is_waiting = node_id in self._summaries
             self._summaries[node_id] = message
             return None if is_waiting else message
+        if kind not in _REPEATED_KINDS:
+            return message
         try:
-            keys = self._row_keys(node_id=node_id, kind=kind, message=message)
+            keys = self._row_keys(node_id, kind, message)
             is_new = [key not in self._waiting for key in keys]
         except _MALFORMED_ERRORS:
             return message  # its handler reports what is wrong with it
@@ -117,26 +119,24 @@
 
     def release(self, *, node_id: str, kind: Kind, message: ParsedBody) -> ParsedBody:
         """Take note that a message leaves the queue; return what it says by now."""
-        if self._is_capacity_summary(kind=kind, message=message):
+        if kind is Kind.CAPACITY_REPORT and isinstance(message, dict) and "v" in message:  # a summary
             return self._summaries.pop(node_id, message)
-        with contextlib.suppress(*_MALFORMED_ERRORS):  # its handler reports what is wrong with it
-            self._waiting.difference_update(self._row_keys(node_id=node_id, kind=kind, message=message))
+        if kind not in _REPEATED_KINDS:
+            return message
+        try:
+            self._waiting.difference_update(self._row_keys(node_id, kind, message))
+        except _MALFORMED_ERRORS:
+            return message  # its handler reports what is wrong with it
         return message
 
     @staticmethod
-    def _is_capacity_summary(*, kind: Kind, message: ParsedBody) -> bool:
-        return kind is Kind.CAPACITY_REPORT and isinstance(message, dict) and "v" in message
-
-    @staticmethod
-    def _row_keys(*, node_id: str, kind: Kind, message: ParsedBody) -> list[tuple[Any, ...]]:
-        """What identifies each row of a report; empty for other kinds of messages."""
+    def _row_keys(node_id: str, kind: Kind, message: ParsedBody) -> list[tuple[Any, ...]]:
+        """What identifies each row of a report of one of the repeated kinds."""
         if kind is Kind.TASK_ENDS:
             return [(node_id, kind, message["g"], message["m"], message["f"], row[0]) for row in message["x"]]
         if kind is Kind.CLAIM_MINIONS:
             return [(node_id, kind, message["g"], row[0], row[1]) for row in message["x"]]
-        if kind is Kind.MINION_LOST:
-            return [(node_id, kind, message["g"], message["m"], message["f"])]
-        return []
+        return [(node_id, kind, message["g"], message["m"], message["f"])]
 
 
 class PeriodicInput:
@@ -170,15 +170,6 @@
     on_expired: Input | None = None
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class _RunningInput:
-    """The input that was taken last and has not ended."""
-
-    input_class: InputClass
-    periodic: PeriodicInput | None
-    started_at: float
-
-
 class InputScheduler:
     """Queues the inputs of a process and picks the next one.
 
@@ -202,7 +193,10 @@
         # the time that it did not ask for.
         self._weighted_s = dict.fromkeys(TIME_SHARES, 0.0)
         self._floor_s = 0.0
-        self._running: _RunningInput | None = None
+        # The input that was taken last: its class, None once it has ended; what it is if periodic; when it began.
+        self._running_class: InputClass | None = None
+        self._running_periodic: PeriodicInput | None = None
+        self._running_since = 0.0
         self.busy_time = BusyTime(class_names=[input_class.label for input_class in InputClass])
 
     def __len__(self) -> int:
@@ -243,22 +237,22 @@
         """
         self.record_end(now=now)
         if self._urgent:
-            self._running = _RunningInput(input_class=InputClass.URGENT, periodic=None, started_at=now)
+            self._begin(InputClass.URGENT, None, now)
             return self._urgent.popleft()
         if now >= self._tick.due_at:
-            self._running = _RunningInput(input_class=InputClass.URGENT, periodic=self._tick, started_at=now)
+            self._begin(InputClass.URGENT, self._tick, now)
             return self._tick.run
-        self._enqueue_due(now=now)
-        return self._take_queued(now=now)
+        self._enqueue_due(now)
+        return self._take_queued(now)
 
-    def _enqueue_due(self, *, now: float) -> None:
+    def _enqueue_due(self, now: float) -> None:
         """Put the periodic inputs that are due into the queues of their classes."""
         for input_class, periodic in self._periodic_inputs.items():
             if now >= periodic.due_at:
                 periodic.due_at = math.inf
                 self._enqueue(input_class, _QueuedInput(run=periodic.run, periodic=periodic))
 
-    def _take_queued(self, *, now: float) -> Input | None:
+    def _take_queued(self, now: float) -> Input | None:
         """The first input of the class that has had the least of its share of the time."""
         while waiting := [input_class for input_class, queue in self._queues.items() if queue]:
             input_class = min(waiting, key=self._weighted_s.__getitem__)
@@ -269,19 +263,22 @@
                 self.busy_time.expired += 1
             run = queued.on_expired if has_expired else queued.run
             if run is not None:
-                self._running = _RunningInput(input_class=input_class, periodic=queued.periodic, started_at=now)
+                self._begin(input_class, queued.periodic, now)
                 return run
         return None
 
+    def _begin(self, input_class: InputClass, periodic: PeriodicInput | None, now: float) -> None:
+        self._running_class, self._running_periodic, self._running_since = input_class, periodic, now
+
     def record_end(self, *, now: float) -> None:
         """Charge the time of the input that was taken last, which ended at `now`."""
-        running = self._running
-        if running is None:
+        input_class = self._running_class
+        if input_class is None:
             return
-        self._running = None
-        took_s = now - running.started_at
-        self.busy_time.record(class_name=running.input_class.label, seconds=took_s)
-        if running.input_class in self._weighted_s:
-            self._weighted_s[running.input_class] += took_s / TIME_SHARES[running.input_class]
-        if running.periodic is not None:
-            running.periodic.record_end(now=now, took_s=took_s)
+        self._running_class = None
+        took_s = now - self._running_since
+        self.busy_time.record(class_index=input_class, seconds=took_s)
+        if input_class is not InputClass.URGENT:
+            self._weighted_s[input_class] += took_s / TIME_SHARES[input_class]
+        if self._running_periodic is not None:
+            self._running_periodic.record_end(now=now, took_s=took_s)
