--- a/docs/experiments/growth.py
+++ b/docs/experiments/growth.py
@@ -235,7 +235,7 @@
     for ip in sim.core_ips:
         node = sim.core(ip)
         if node.placers:
-            size = sum(map(len, node.checkpoint()))
+            size = sum(map(len, node.snapshot_records()))
     print(
         f"\n== {mode} minions={minions} played={played:.2f} s (simulated) in {time.process_time() - cpu:.1f} s; "
         f"jobs={jobs} beats={beats} ends noted={len(_oracle.noted) - noted} waiting={wait0}->{wait1} "
--- a/docs/experiments/growth_collapse.py
+++ b/docs/experiments/growth_collapse.py
@@ -137,7 +137,7 @@
                 to = self.procs.get(dst)
                 if to is not None and to.up:
                     STATE["kind"] = kind
-                    self.step(dst, to, lambda: to.node.on(node_id=node_id, kind=kind, body=body))
+                    self.step(dst, to, lambda: to.node.on_message(node_id=node_id, kind=kind, body=body))
                     STATE.pop("kind", None)
 
             self.at(delay=due - self.now, fn=arrive)
--- a/tests/integration/test_large_clusters.py
+++ b/tests/integration/test_large_clusters.py
@@ -203,13 +203,13 @@
     call = {"rid": 7, "g": 1, "op": "count", "b": {"q": "fast"}}
     edge = "10.0.1.1:7001#ff"
     node.out.sends.clear()
-    node.on_call_expired(node_id=edge, m=call)
+    node.on_call_expired(node_id=edge, body=call)
     assert answers(node=node) == [(7, 503)]
-    node.on(node_id=edge, kind=Kind.CALL, m=call)  # a repeat that was on its way
+    node.on_message(node_id=edge, kind=Kind.CALL, body=call)  # a repeat that was on its way
     assert answers(node=node) == [(7, 503)]
     assert "error" in OVERLOADED
-    node.on(node_id=edge, kind=Kind.CALL, m={**call, "rid": 8})
-    node.on_call_expired(node_id=edge, m={**call, "rid": 8})
+    node.on_message(node_id=edge, kind=Kind.CALL, body={**call, "rid": 8})
+    node.on_call_expired(node_id=edge, body={**call, "rid": 8})
     assert answers(node=node) == []
 
 
@@ -221,6 +221,6 @@
     node = sim.core(sim.serving(group_id=1)[0])
     node.out.sends.clear()
     node.on_call_expired(
-        node_id="10.0.1.1:7001#ff", m={"rid": 9, "g": 1, "op": "put", "b": {"id": job_id, "q": "fast"}}
+        node_id="10.0.1.1:7001#ff", body={"rid": 9, "g": 1, "op": "put", "b": {"id": job_id, "q": "fast"}}
     )
     assert answers(node=node) == [(9, 200)]
--- a/tests/node/test_call_identity.py
+++ b/tests/node/test_call_identity.py
@@ -52,7 +52,7 @@
         real(node_id=node_id, message=message)
 
     primary.send_message = send  # type: ignore[method-assign]
-    primary.on(node_id=node_id, kind=Kind.CALL, m=m)
+    primary.on_message(node_id=node_id, kind=Kind.CALL, body=m)
     assert sim.until(cond=lambda: bool(got), limit=2.0)
     primary.send_message = real  # type: ignore[method-assign]
     return primary.node_id, got[0]
@@ -74,7 +74,7 @@
     by, late = answered(sim, node_id=old.node_id, m=ask(old))
     new = caller(sim=sim, incarnation=2_000_000)  # the numbers of both began alike: incarnation modulo a million
     ask(new)
-    new.on(node_id=by, kind=Kind.REPLY, m=late)
+    new.on_message(node_id=by, kind=Kind.REPLY, body=late)
     assert ends(new) == []
     assert len(new.calls.pending) == 1
 
@@ -85,7 +85,7 @@
     by, late = answered(sim, node_id=old.node_id, m=ask(old))
     new = caller(sim=sim, incarnation=1, node_id=ADDR + "#77")
     ask(new)
-    new.on(node_id=by, kind=Kind.REPLY, m=late)
+    new.on_message(node_id=by, kind=Kind.REPLY, body=late)
     assert ends(new) == []
     assert len(new.calls.pending) == 1
 
@@ -95,10 +95,10 @@
     node = caller(sim=sim, incarnation=1)
     by, right = answered(sim, node_id=node.node_id, m=ask(node))
     other = next(sim.core(ip).node_id for ip in sim.core_ips if sim.core(ip).node_id != by)
-    node.on(node_id=other, kind=Kind.REPLY, m=dict(right))
+    node.on_message(node_id=other, kind=Kind.REPLY, body=dict(right))
     assert ends(node) == []
     assert len(node.calls.pending) == 1
-    node.on(node_id=by, kind=Kind.REPLY, m=right)
+    node.on_message(node_id=by, kind=Kind.REPLY, body=right)
     assert ends(node) == [200]
     assert not node.calls.pending
 
@@ -111,6 +111,6 @@
     node.calls.tick()
     assert ends(node) == [503]
     ask(node)
-    node.on(node_id=by, kind=Kind.REPLY, m=late)
+    node.on_message(node_id=by, kind=Kind.REPLY, body=late)
     assert ends(node) == [503]
     assert len(node.calls.pending) == 1
--- a/tests/node/test_call_repeats.py
+++ b/tests/node/test_call_repeats.py
@@ -29,7 +29,7 @@
         real(node_id=node_id, message=message)
 
     node.send_message = send  # type: ignore[method-assign]
-    node.on(node_id=CALLER, kind=Kind.CALL, m=orjson.loads(orjson.dumps(m)))
+    node.on_message(node_id=CALLER, kind=Kind.CALL, body=orjson.loads(orjson.dumps(m)))
     sim.run(seconds=wait)
     node.send_message = real  # type: ignore[method-assign]
     return got
--- a/tests/node/test_call_server.py
+++ b/tests/node/test_call_server.py
@@ -24,10 +24,10 @@
     m = {"rid": 7, "g": 1, "op": "count", "b": {"q": "fast"}}
     node.replicas[1].commit(event={"t": "forget", "ids": []})  # an answer must wait for this event
     for _ in range(5):
-        node.on(node_id="10.0.1.1:7001#ff", kind=Kind.CALL, m=orjson.loads(orjson.dumps(m)))
+        node.on_message(node_id="10.0.1.1:7001#ff", kind=Kind.CALL, body=orjson.loads(orjson.dumps(m)))
     assert taken == [7]
     sim.run(seconds=1.0)
-    node.on(node_id="10.0.1.1:7001#ff", kind=Kind.CALL, m=m)
+    node.on_message(node_id="10.0.1.1:7001#ff", kind=Kind.CALL, body=m)
     assert taken == [7, 7]
 
 
@@ -36,7 +36,9 @@
     ip = sim.serving(group_id=1)[0]
     node = sim.core(ip)
     node.replicas[1].commit(event={"t": "forget", "ids": []})
-    node.on(node_id="10.0.1.1:7001#ff", kind=Kind.CALL, m={"rid": 7, "g": 1, "op": "count", "b": {"q": "fast"}})
+    node.on_message(
+        node_id="10.0.1.1:7001#ff", kind=Kind.CALL, body={"rid": 7, "g": 1, "op": "count", "b": {"q": "fast"}}
+    )
     node.out.sends.clear()
     node.leave()
     rows = [orjson.loads(body) for _, kind, body in node.out.sends if kind is Kind.REPLY]
--- a/tests/node/test_config_freshness.py
+++ b/tests/node/test_config_freshness.py
@@ -204,7 +204,7 @@
             node.out.sends.clear()
         due, way = [row for row in way if row[0] <= now], [row for row in way if row[0] > now]
         for _, node, node_id, kind, m in due:
-            node.on(node_id=node_id, kind=kind, m=m)
+            node.on_message(node_id=node_id, kind=kind, body=m)
         if now > sim.now + APPLY_S:
             assert not a.ready() and not b.ready(), (now - sim.now, delay)
 
--- a/tests/node/test_recovery.py
+++ b/tests/node/test_recovery.py
@@ -202,7 +202,7 @@
         return any(event is not None and event["t"] == "start" for event, _ in node.replicas[1].pipeline.pending_events)
 
     assert any(waits() for _ in range(4000))
-    journal = [*node.checkpoint(), SNAPSHOT_END]
+    journal = [*node.snapshot_records(), SNAPSHOT_END]
     begin = len(sim.disks[ip].synced)
     sim.run(seconds=1.0)
     quiet(sim)
@@ -312,7 +312,7 @@
     """It is a first member where the settings say so, else a new one; one that was cut off does not count."""
     sim = Sim(seed=1)
     ip = sim.core_ips[0]
-    head = sim.core(ip).checkpoint()
+    head = sim.core(ip).snapshot_records()
 
     def start(*, records: list[bytes], first: bool) -> str:
         return recover(
--- a/tests/simulator/test_faults.py
+++ b/tests/simulator/test_faults.py
@@ -159,13 +159,13 @@
         sim = run_of().sim
         a, b = sim.core_ips[:2]
         arrived: list[float] = []
-        real = sim.procs[b].node.on
+        real = sim.procs[b].node.on_message
 
         def on(
             *,
             node_id: str,
             kind: Any,
-            m: Any,
+            body: Any,
             real: Any = real,
             arrived: list[float] = arrived,
             sim: Any = sim,
@@ -173,9 +173,9 @@
         ) -> None:
             if node_id.startswith(a):
                 arrived.append(sim.now)
-            real(node_id=node_id, kind=kind, m=m)
+            real(node_id=node_id, kind=kind, body=body)
 
-        sim.procs[b].node.on = on  # type: ignore[method-assign]
+        sim.procs[b].node.on_message = on  # type: ignore[method-assign]
         release = sim.hold(cut=Cut(inside=frozenset([a]), others=frozenset([b]), inward=False), deliver=deliver)
         sim.run(seconds=0.01)
         arrived.clear()
--- a/tests/storage/stored_data.py
+++ b/tests/storage/stored_data.py
@@ -95,7 +95,7 @@
     return Opened(
         verdict=verdict.value,
         records=[orjson.loads(record) for record in records],
-        snapshot=[orjson.loads(record) for record in node.checkpoint()],
+        snapshot=[orjson.loads(record) for record in node.snapshot_records()],
     )
 
 
--- a/tests/storage/write_data.py
+++ b/tests/storage/write_data.py
@@ -43,7 +43,7 @@
 
     def move_on(self) -> None:
         """Begin the next file with a checkpoint."""
-        self.ring.begin_file(snapshot=[*self.node.checkpoint(), SNAPSHOT_END])
+        self.ring.begin_file(snapshot=[*self.node.snapshot_records(), SNAPSHOT_END])
 
     def write(self) -> None:
         """Write what the node wants on its disk."""
@@ -303,7 +303,7 @@
     memories of orders, jobs without a history."""
     disk = write_events(folder=folder / "whole")
     disk.ring.close()
-    records = [orjson.loads(raw) for raw in disk.node.checkpoint()]
+    records = [orjson.loads(raw) for raw in disk.node.snapshot_records()]
     for record in records:
         if record["k"] == "id":
             del record["inc"]
@@ -367,7 +367,7 @@
     shutil.copytree(files, read)
     document = open_folder(folder=read, ip=ip, learn=learn).document()
     if live is not None:  # what is recovered is what the node that wrote it held
-        assert document["snapshot"][1:] == [orjson.loads(raw) for raw in live.node.checkpoint()][1:]
+        assert document["snapshot"][1:] == [orjson.loads(raw) for raw in live.node.snapshot_records()][1:]
     rows = {part: ",\n".join(orjson.dumps(row).decode() for row in document[part]) for part in ("records", "snapshot")}
     head = f'"ip":"{ip}","learn":{str(learn).lower()},"verdict":"{document["verdict"]}"'
     text = f'{{{head},\n"records":[\n{rows["records"]}\n],\n"snapshot":[\n'
--- a/tests/support/ring_cluster.py
+++ b/tests/support/ring_cluster.py
@@ -63,7 +63,7 @@
         has_queued_events = any(replica.pipeline.pending_events for replica in node.replicas.values())
         rotation_chance = ROTATION_CHANCE_QUEUED if has_queued_events else ROTATION_CHANCE
         full = ring.is_full(extra_bytes=ring.encoded_bytes(bodies=bodies)) or self.rng.random() < rotation_chance
-        head = node.checkpoint() if full else []
+        head = node.snapshot_records() if full else []
         self.under_way[ip] = (head, bodies)
 
         def synced() -> None:
@@ -72,7 +72,7 @@
             del self.under_way[ip]
             self._put(ip=ip, head=head, bodies=bodies)
             proc.disk_busy = False
-            self.post(ip, proc, lambda: node.done(effects=[effect for _, effect in batch]), rank=InputClass.URGENT)
+            self.post(ip, proc, lambda: node.on_synced(effects=[effect for _, effect in batch]), rank=InputClass.URGENT)
             self._sync(ip, proc)
 
         self.at(delay=self.sync_s * (0.5 + self.rng.random()), fn=synced)
--- a/yarrowloom/node/core.py
+++ b/yarrowloom/node/core.py
@@ -120,7 +120,7 @@
         dispatch(node=self, call=call, request=req)
         self._flush()
 
-    def done(self, *, effects: list[Effect]) -> None:
+    def on_synced(self, *, effects: list[Effect]) -> None:
         """Records are synced."""
         for effect in effects:
             self.effect(effect=effect)
@@ -130,67 +130,67 @@
         for replica in self.replicas.values():
             replica.flush()
 
-    def on(self, *, node_id: str, kind: Kind, m: Any) -> None:
-        """Take one message of a node; `m` is its parsed body, and the node's from now on.
+    def on_message(self, *, node_id: str, kind: Kind, body: Any) -> None:
+        """Take one message of a node; `body` is parsed, and the node's from now on.
 
         Raises:
             MalformedRecordError: The body is not one of this kind.
         """
-        self._handlers.get(kind, partial(self._jobs, kind=kind))(node_id=node_id, m=m)
+        self._handlers.get(kind, partial(self._jobs, kind=kind))(node_id=node_id, body=body)
         self._flush()
 
-    def _on_capacity_report(self, *, node_id: str, m: Any) -> None:
-        if "v" in m:
-            self.agent.on_capacity_summary(decode(m, into=CapacitySummary))
-        elif m["g"] in self.schedulers:
-            self.schedulers[m["g"]].on_message(node_id=m["u"], kind=Kind.CAPACITY_REPORT, body=m)
+    def _on_capacity_report(self, *, node_id: str, body: Any) -> None:
+        if "v" in body:
+            self.agent.on_capacity_summary(decode(body, into=CapacitySummary))
+        elif body["g"] in self.schedulers:
+            self.schedulers[body["g"]].on_message(node_id=body["u"], kind=Kind.CAPACITY_REPORT, body=body)
 
-    def _on_call(self, *, node_id: str, m: Any) -> None:
-        self.call_server.on_call(node_id=node_id, call=decode(m, into=GroupCall))
+    def _on_call(self, *, node_id: str, body: Any) -> None:
+        self.call_server.on_call(node_id=node_id, call=decode(body, into=GroupCall))
 
-    def on_call_expired(self, *, node_id: str, m: Any) -> None:
+    def on_call_expired(self, *, node_id: str, body: Any) -> None:
         """A call about jobs waited here until its caller is about to give up.
 
         Raises:
             MalformedRecordError: The body is not one of a call.
         """
-        self.call_server.on_call_expired(node_id=node_id, call=decode(m, into=GroupCall))
+        self.call_server.on_call_expired(node_id=node_id, call=decode(body, into=GroupCall))
 
-    def _jobs(self, *, node_id: str, kind: Kind, m: dict[str, Any]) -> None:
+    def _jobs(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
         if kind in AGENT_MESSAGES:
-            self.agent.on_message(node_id=node_id, message=decode(m, into=AGENT_MESSAGES[kind]))
-        elif m["g"] in self.schedulers and self.replicas[m["g"]].is_serving():
-            self.schedulers[m["g"]].on_message(node_id=node_id, kind=kind, body=m)
+            self.agent.on_message(node_id=node_id, message=decode(body, into=AGENT_MESSAGES[kind]))
+        elif body["g"] in self.schedulers and self.replicas[body["g"]].is_serving():
+            self.schedulers[body["g"]].on_message(node_id=node_id, kind=kind, body=body)
 
-    def _on_heartbeat(self, *, node_id: str, m: Any) -> None:
-        heartbeat = decode(m, into=Heartbeat)
+    def _on_heartbeat(self, *, node_id: str, body: Any) -> None:
+        heartbeat = decode(body, into=Heartbeat)
         self.on_heartbeat(heartbeat=heartbeat)
         self.core_heartbeats.acknowledge(heartbeat=heartbeat)
 
-    def _on_heartbeat_ack(self, *, node_id: str, m: Any) -> None:
-        self.core_heartbeats.on_ack(node_id=node_id, ack=decode(m, into=HeartbeatAck))
+    def _on_heartbeat_ack(self, *, node_id: str, body: Any) -> None:
+        self.core_heartbeats.on_ack(node_id=node_id, ack=decode(body, into=HeartbeatAck))
 
-    def _on_cluster_update(self, *, node_id: str, m: Any) -> None:
-        self.apply_update(update=decode(m, into=ClusterUpdate))
+    def _on_cluster_update(self, *, node_id: str, body: Any) -> None:
+        self.apply_update(update=decode(body, into=ClusterUpdate))
 
-    def _on_reply(self, *, node_id: str, m: Any) -> None:
-        self.calls.on_reply(node_id=node_id, reply=decode(m, into=GroupReply))
+    def _on_reply(self, *, node_id: str, body: Any) -> None:
+        self.calls.on_reply(node_id=node_id, reply=decode(body, into=GroupReply))
 
-    def _on_replication(self, *, node_id: str, m: Any, kind: Kind) -> None:
-        self.replicas[m["g"]].on(node_id=node_id, kind=kind, body=m)
+    def _on_replication(self, *, node_id: str, body: Any, kind: Kind) -> None:
+        self.replicas[body["g"]].on(node_id=node_id, kind=kind, body=body)
 
-    def gap(self, *, node_id: str) -> None:
+    def on_frames_lost(self, *, node_id: str) -> None:
         """Frames from a node were lost."""
-        self.gap_agent(node_id=node_id)
-        self.gap_place(node_id=node_id)
+        self.on_agent_frames_lost(node_id=node_id)
+        self.on_scheduler_frames_lost(node_id=node_id)
 
-    def gap_agent(self, *, node_id: str) -> None:
+    def on_agent_frames_lost(self, *, node_id: str) -> None:
         """Perhaps what a scheduler wanted of the agent, or answers."""
         self.calls.on_frames_lost(node_id=node_id)
-        self.on_urgent_gap(node_id=node_id)
+        self.on_urgent_frames_lost(node_id=node_id)
         self.agent.on_lost_messages(node_id=node_id)
 
-    def gap_place(self, *, node_id: str) -> None:
+    def on_scheduler_frames_lost(self, *, node_id: str) -> None:
         """Perhaps what an agent told a scheduler."""
         for scheduler in self._serving_schedulers():
             scheduler.on_messages_lost(node_id=node_id)
@@ -201,19 +201,19 @@
     def tick(self) -> None:
         """About twenty times a second: all that goes by time."""
         self.pulse()
-        self.agent_chores()
-        self.place_chores()
+        self.tick_agent()
+        self.tick_schedulers()
 
-    def chores(self) -> dict[InputClass, Input]:
+    def periodic_inputs(self) -> dict[InputClass, Input]:
         """What goes by time besides the pulse, by class."""
-        return {InputClass.AGENT: self.agent_chores, InputClass.SCHEDULING: self.place_chores}
+        return {InputClass.AGENT: self.tick_agent, InputClass.SCHEDULING: self.tick_schedulers}
 
-    def agent_chores(self) -> None:
+    def tick_agent(self) -> None:
         """Beats that are held, what is to be told again, minions that fell silent."""
         self.agent.tick()
         self._flush()
 
-    def place_chores(self) -> None:
+    def tick_schedulers(self) -> None:
         """Placing: may take long, so a busy process does it less often."""
         for scheduler in self._serving_schedulers():
             scheduler.tick()
@@ -284,7 +284,7 @@
         if record["k"] not in NODE_RECORDS:
             self.replicas[record["g"]].restore(record)
 
-    def checkpoint(self) -> list[bytes]:
+    def snapshot_records(self) -> list[bytes]:
         """Records that stand for all that this node keeps."""
         out = [dump(body={"k": "id", "uid": self.node_id, "inc": self.incarnation})]
         for replica in self.replicas.values():
--- a/yarrowloom/node/edge.py
+++ b/yarrowloom/node/edge.py
@@ -209,20 +209,20 @@
 
     # -- messages of other nodes
 
-    def on(self, *, node_id: str, kind: Kind, m: object) -> None:
-        """Take one message of a node; `m` is its parsed body.
+    def on_message(self, *, node_id: str, kind: Kind, body: object) -> None:
+        """Take one message of a node; `body` is parsed.
 
         Raises:
             MalformedRecordError: The body is not one of this kind.
         """
         if kind is Kind.HEARTBEAT_ACK:
-            self._on_heartbeat_ack(node_id=node_id, ack=decode(m, into=HeartbeatAck))
+            self._on_heartbeat_ack(node_id=node_id, ack=decode(body, into=HeartbeatAck))
         elif kind is Kind.HEARTBEAT:
-            self._feed(heartbeat=decode(m, into=Heartbeat))
+            self._feed(heartbeat=decode(body, into=Heartbeat))
         elif kind is Kind.CLUSTER_UPDATE:
-            self.apply_update(update=decode(m, into=ClusterUpdate))
+            self.apply_update(update=decode(body, into=ClusterUpdate))
         elif kind is Kind.REPLY:
-            self._on_reply(node_id=node_id, reply=decode(m, into=GroupReply))
+            self._on_reply(node_id=node_id, reply=decode(body, into=GroupReply))
 
     def _on_reply(self, *, node_id: str, reply: GroupReply) -> None:
         """A reply to a call; it may also prove how new the configuration here is."""
@@ -282,10 +282,10 @@
             return self.relays.node_ids + self.heartbeats.probes(known=self.relays.node_ids)
         return self.heartbeats.targets()
 
-    def gap(self, *, node_id: str) -> None:
+    def on_frames_lost(self, *, node_id: str) -> None:
         """Frames of a node were lost, perhaps replies and updates: ask again at once."""
         self.calls.on_frames_lost(node_id=node_id)
-        self.on_urgent_gap(node_id=node_id)
+        self.on_urgent_frames_lost(node_id=node_id)
 
     # -- time
 
--- a/yarrowloom/node/node_base.py
+++ b/yarrowloom/node/node_base.py
@@ -212,6 +212,6 @@
             update=UNSET if update.is_empty else update,
         )
 
-    def on_urgent_gap(self, *, node_id: str) -> None:
+    def on_urgent_frames_lost(self, *, node_id: str) -> None:
         """Urgent frames of another node got lost, perhaps updates."""
         self.heartbeats.on_sequence_gap(node_id=node_id)
--- a/yarrowloom/node/runtime.py
+++ b/yarrowloom/node/runtime.py
@@ -69,9 +69,11 @@
         )
         self.disk_writer: DiskWriter | None = None
         if isinstance(node, CoreNode):
-            self.inputs = InputScheduler(tick=self.tick, interval_s=TICK_CORE_S, periodic_inputs=node.chores())
+            self.inputs = InputScheduler(tick=self.tick, interval_s=TICK_CORE_S, periodic_inputs=node.periodic_inputs())
             if ring is not None:
-                self.disk_writer = DiskWriter(ring=ring, snapshot=node.checkpoint, on_written=self._on_written, log=log)
+                self.disk_writer = DiskWriter(
+                    ring=ring, snapshot=node.snapshot_records, on_written=self._on_written, log=log
+                )
         else:
             self.inputs = InputScheduler(tick=self.tick, interval_s=TICK_EDGE_S)
         self.duplicates = DuplicateFilter()
@@ -165,12 +167,12 @@
         """Tell the node of lost frames, in each class before what came after them."""
         node = self.node
         if lane is Lane.URGENT:
-            self.post(run=partial(node.on_urgent_gap, node_id=node_id), input_class=InputClass.URGENT)
+            self.post(run=partial(node.on_urgent_frames_lost, node_id=node_id), input_class=InputClass.URGENT)
         elif lane is Lane.WORK and isinstance(node, CoreNode):
-            self.post(run=partial(node.gap_agent, node_id=node_id), input_class=InputClass.AGENT)
-            self.post(run=partial(node.gap_place, node_id=node_id), input_class=InputClass.SCHEDULING)
+            self.post(run=partial(node.on_agent_frames_lost, node_id=node_id), input_class=InputClass.AGENT)
+            self.post(run=partial(node.on_scheduler_frames_lost, node_id=node_id), input_class=InputClass.SCHEDULING)
         elif lane is Lane.WORK:
-            self.post(run=partial(node.gap, node_id=node_id), input_class=InputClass.AGENT)
+            self.post(run=partial(node.on_frames_lost, node_id=node_id), input_class=InputClass.AGENT)
 
     def _post_message(self, *, node_id: str, kind: Kind, message: ParsedBody) -> None:
         node = self.node
@@ -180,14 +182,14 @@
             wait_s = admission_deadline_s(ttl_s=message.get("ttl"), default_s=EXCHANGE_MOST_S)
             expires_at = time.monotonic() + wait_s
             on_expired = partial(
-                self._run_guarded, node_id, kind, partial(node.on_call_expired, node_id=node_id, m=message)
+                self._run_guarded, node_id, kind, partial(node.on_call_expired, node_id=node_id, body=message)
             )
         run = partial(self._handle_message, node_id, kind, message)
         self.post(run=run, input_class=input_class, expires_at=expires_at, on_expired=on_expired)
 
     def _handle_message(self, node_id: str, kind: Kind, message: ParsedBody) -> None:
         message = self.duplicates.release(node_id=node_id, kind=kind, message=message)
-        self._run_guarded(node_id, kind, partial(self.node.on, node_id=node_id, kind=kind, m=message))
+        self._run_guarded(node_id, kind, partial(self.node.on_message, node_id=node_id, kind=kind, body=message))
 
     def _run_guarded(self, node_id: str, kind: Kind, run: Input) -> None:
         """Handle a message that may be malformed: that ends no process."""
@@ -218,7 +220,7 @@
         assert isinstance(self.node, CoreNode)
         self.counters.count_written(snapshot=snapshot, records=[record for record, _ in batch])
         effects = [effect for _, effect in batch]
-        self.post(run=partial(self.node.done, effects=effects), input_class=InputClass.URGENT)
+        self.post(run=partial(self.node.on_synced, effects=effects), input_class=InputClass.URGENT)
 
     # -- HTTP
 
--- a/yarrowloom/node/startup.py
+++ b/yarrowloom/node/startup.py
@@ -46,7 +46,7 @@
         token=secrets.token_hex(TOKEN_BYTES),
         defaults=load_defaults(),
     )
-    snapshot = [*node.checkpoint(), SNAPSHOT_END]
+    snapshot = [*node.snapshot_records(), SNAPSHOT_END]
     retry_disk_call(call=partial(ring.begin_file, snapshot=snapshot), journal=ring, log=log)
     return Runtime(node=node, log=log, ring=ring, port=settings.ports[0])
 
--- a/yarrowloom/simulator/cluster.py
+++ b/yarrowloom/simulator/cluster.py
@@ -54,11 +54,11 @@
                 if not fresh:
                     return
                 if lost and lane is Lane.WORK and ip != dst:
-                    to.node.gap(node_id=node_id)
+                    to.node.on_frames_lost(node_id=node_id)
                 elif lost and lane is Lane.URGENT and ip != dst:
-                    to.node.on_urgent_gap(node_id=node_id)
+                    to.node.on_urgent_frames_lost(node_id=node_id)
                 if kind is not None:
-                    to.node.on(node_id=node_id, kind=kind, m=orjson.loads(body))
+                    to.node.on_message(node_id=node_id, kind=kind, body=orjson.loads(body))
 
             if to.input_scheduler is None:
                 self.step(dst, to, take)
@@ -73,8 +73,8 @@
         fresh, lost = head.taken(seen=to.seen)
         if lost and lane is Lane.WORK and ip != dst:
             node = self.core(dst)
-            self.post(dst, to, lambda: node.gap_agent(node_id=node_id), rank=InputClass.AGENT)
-            self.post(dst, to, lambda: node.gap_place(node_id=node_id), rank=InputClass.SCHEDULING)
+            self.post(dst, to, lambda: node.on_agent_frames_lost(node_id=node_id), rank=InputClass.AGENT)
+            self.post(dst, to, lambda: node.on_scheduler_frames_lost(node_id=node_id), rank=InputClass.SCHEDULING)
         if not fresh or kind is None:
             return
         m = to.duplicates.admit(node_id=node_id, kind=kind, message=orjson.loads(body))
@@ -85,8 +85,8 @@
         self.post(
             dst,
             to,
-            lambda: to.node.on(
-                node_id=node_id, kind=kind, m=to.duplicates.release(node_id=node_id, kind=kind, message=m)
+            lambda: to.node.on_message(
+                node_id=node_id, kind=kind, body=to.duplicates.release(node_id=node_id, kind=kind, message=m)
             ),
             rank=rank,
             mark=(1, len(body), 0),
--- a/yarrowloom/simulator/faulty_cluster.py
+++ b/yarrowloom/simulator/faulty_cluster.py
@@ -150,7 +150,7 @@
         written = self.journal.get((ip, proc.life), 0) + len(proc.disk)
         if written > JOURNAL_RECORDS:
             written = 0
-            head = [*self.core(ip).checkpoint(), SNAPSHOT_END]
+            head = [*self.core(ip).snapshot_records(), SNAPSHOT_END]
             self._digest_records(ip=ip, bodies=head)
             proc.disk = [(body, NoEffect()) for body in head] + proc.disk
             self.disks[ip].pending[:0] = head
--- a/yarrowloom/simulator/machines/machine_set.py
+++ b/yarrowloom/simulator/machines/machine_set.py
@@ -151,7 +151,7 @@
                 token=f"{self.lives:x}x",
             )
             node_id = node.node_id
-            disk.synced = [*node.checkpoint(), SNAPSHOT_END]
+            disk.synced = [*node.snapshot_records(), SNAPSHOT_END]
             self._digest_records(ip=ip, bodies=disk.synced)
         else:
             node_id = f"{ip}:7001#{self.lives:x}"
@@ -162,7 +162,7 @@
         if core and self.speed:
             pulse = self.core(ip).pulse
             chores: dict[InputClass, Input] = {
-                rank: partial(self._step, ip, proc, fn) for rank, fn in self.core(ip).chores().items()
+                rank: partial(self._step, ip, proc, fn) for rank, fn in self.core(ip).periodic_inputs().items()
             }
             proc.input_scheduler = InputScheduler(
                 tick=lambda: self._step(ip, proc, pulse), interval_s=TICK_CORE_S, periodic_inputs=chores
@@ -325,7 +325,7 @@
             del disk.pending[: len(batch)]
             proc.disk_busy = False
             node = self.core(ip)
-            self.post(ip, proc, lambda: node.done(effects=[e for _, e in batch]), rank=InputClass.URGENT)
+            self.post(ip, proc, lambda: node.on_synced(effects=[e for _, e in batch]), rank=InputClass.URGENT)
             self._sync(ip, proc)
 
         self.at(delay=wait, fn=synced)
--- a/yarrowloom/testbed/slopes.py
+++ b/yarrowloom/testbed/slopes.py
@@ -294,12 +294,12 @@
     """A core's checkpoint and its agent's state, by minion."""
     bed = made(cores=3, edges=1, minions=minions, seed=seed)
     core = bed.core(ip=bed.core_ips[0])
-    us = clock_us(lambda: core.checkpoint(), times=5)
+    us = clock_us(lambda: core.snapshot_records(), times=5)
     size = len(dump(body=core.registry.dump()))
     return {
         "checkpoint-us-a-minion": us / minions,
         "registry-bytes-a-minion": size / minions,
-        "checkpoint-bytes": sum(map(len, core.checkpoint())),
+        "checkpoint-bytes": sum(map(len, core.snapshot_records())),
     }
 
 
--- a/yarrowloom/testbed/virtual_testbed.py
+++ b/yarrowloom/testbed/virtual_testbed.py
@@ -4,7 +4,6 @@
 """
 
 import heapq
-import inspect
 import itertools
 import random
 import secrets
@@ -32,16 +31,12 @@
 PORTS = (7000, 7015)
 LAG_S = 0.0005
 SYNC_S = 0.002
-PARSED = "m" in inspect.signature(CoreNode.on).parameters
 TICK_S = {"core": 0.05, "edge": 0.1}
 
 
 def take(node: Any, *, node_id: str, kind: Kind, body: bytes) -> None:
-    """One message, which a node takes as bytes or parsed."""
-    if PARSED:
-        node.on(node_id=node_id, kind=kind, m=orjson.loads(body))
-    else:
-        node.on(node_id=node_id, kind=kind, body=body)
+    """Give a node one message."""
+    node.on_message(node_id=node_id, kind=kind, body=orjson.loads(body))
 
 
 @dataclass(kw_only=True)
@@ -210,7 +205,7 @@
                 seat=seat,
                 kind="disk",
                 size=sum(len(b) for b, _ in batch),
-                fn=partial(node.done, effects=[e for _, e in batch]),
+                fn=partial(node.on_synced, effects=[e for _, e in batch]),
             )
             self._sync(seat)
 
