--- a/tests/replication/test_handover.py
+++ b/tests/replication/test_handover.py
@@ -3,7 +3,7 @@
 import pytest
 
 from tests.replication.test_quorum_contact import holders, newest
-from yarrowloom.node.draining import CORE_DRAIN_LEAST_S, GRACE_RESERVE_S
+from yarrowloom.node.draining import CORE_DRAIN_MINIMUM_S, GRACE_RESERVE_S
 from yarrowloom.node.node_base import JOB_GROUPS
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.minions import HOST, cluster, config
@@ -18,7 +18,7 @@
     proc, begun = sim.procs[ip], sim.now
     node = sim.core(ip)
     sim.step(ip, proc, node.leave)
-    sim.run(seconds=CORE_DRAIN_LEAST_S)
+    sim.run(seconds=CORE_DRAIN_MINIMUM_S)
     while not node.may_end() and sim.now - begun < GRACE_S - GRACE_RESERVE_S:
         sim.run(seconds=0.05)
     sim.kill(ip=ip)
@@ -109,7 +109,7 @@
     left = list(sim.core_ips)[:leavers]
     for ip in left:
         sim.step(ip, sim.procs[ip], sim.core(ip).leave)
-    sim.run(seconds=CORE_DRAIN_LEAST_S)
+    sim.run(seconds=CORE_DRAIN_MINIMUM_S)
     while len(left) > (leavers == 3) and sim.now - begun < GRACE_S - GRACE_RESERVE_S:
         for ip in [ip for ip in left if sim.core(ip).may_end()]:
             sim.kill(ip=ip)
--- a/yarrowloom/node/draining.py
+++ b/yarrowloom/node/draining.py
@@ -11,10 +11,10 @@
 from .edge import EdgeNode
 
 GRACE_RESERVE_S = 1.0  # of `grace-s`: left for the exit itself
-CORE_DRAIN_LEAST_S = 0.6  # what a core node has to send leaves within this time
+CORE_DRAIN_MINIMUM_S = 0.6  # what a core node has to send leaves within this time
 CORE_POLL_S = 0.05
-EDGE_DRAIN_MOST_LEAST_S = 0.5  # an edge has this long to finish calls, however short `grace-s` is
-EDGE_DRAIN_LEAST_S = 2.5  # clients and load balancers need this long to see that it is not ready any more
+EDGE_DRAIN_MINIMUM_S = 0.5  # an edge has this long to finish calls, however short `grace-s` is
+EDGE_NOT_READY_S = 2.5  # clients and load balancers need this long to see that it is not ready any more
 EDGE_IDLE_S = 1.0  # it ends once no call has been in progress for this long
 EDGE_POLL_S = 0.1
 
@@ -26,11 +26,11 @@
         server.closing = True
     grace_s = node.settings.grace_s
     started_at = last_busy = time.monotonic()
-    deadline = started_at + max(grace_s - GRACE_RESERVE_S, EDGE_DRAIN_MOST_LEAST_S)
+    deadline = started_at + max(grace_s - GRACE_RESERVE_S, EDGE_DRAIN_MINIMUM_S)
     while (now := time.monotonic()) < deadline:
         if any(server.busy for server in servers):
             last_busy = now
-        if now - started_at > EDGE_DRAIN_LEAST_S and now - last_busy > EDGE_IDLE_S:
+        if now - started_at > EDGE_NOT_READY_S and now - last_busy > EDGE_IDLE_S:
             return
         await trio.sleep(EDGE_POLL_S)
 
@@ -45,10 +45,10 @@
     """
     started_at = time.monotonic()
     grace_s = node.settings.grace_s
-    most_s = max(grace_s - GRACE_RESERVE_S, CORE_DRAIN_LEAST_S)
+    most_s = max(grace_s - GRACE_RESERVE_S, CORE_DRAIN_MINIMUM_S)
     step(node.leave)
     spent_s = 0.0
-    while spent_s < most_s and not (spent_s >= CORE_DRAIN_LEAST_S and node.may_end()):
+    while spent_s < most_s and not (spent_s >= CORE_DRAIN_MINIMUM_S and node.may_end()):
         await trio.sleep(CORE_POLL_S)
         spent_s = time.monotonic() - started_at
     only_copies = node.only_copies()
