--- a/tests/common/test_settings.py
+++ b/tests/common/test_settings.py
@@ -32,8 +32,8 @@
     try:
         check(document=noise(rng=rng, document=document))
     except SettingsError as err:
-        assert err.findings
-        assert err.exit_code == 78
+        if not err.findings or err.exit_code != 78:
+            pytest.fail(f"refused without findings or with another exit code: {err.findings}, {err.exit_code}")
     except YarrowError as err:
         raise AssertionError("another code") from err
 
--- a/tests/mutants/test_operator_request_mutants.py
+++ b/tests/mutants/test_operator_request_mutants.py
@@ -1,4 +1,4 @@
-"""Each guard of operators' orders taken out: the checkers find it in what two operators saw."""
+"""Each guard of operator requests taken out: the checkers find it in what two operators saw."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -39,7 +39,7 @@
 
 
 def forgets_at_once(patch: pytest.MonkeyPatch) -> None:
-    """As it was: only the last orders are known, and what isn't known is refused."""
+    """As it was: only the last requests are known, and what isn't known is refused."""
     patch.setattr("yarrowloom.cluster_state.operator_requests.MAX_ACCEPTED_CHANGES", 8)
     patch.setattr(AcceptedChanges, "may_be_forgotten", lambda self, version: False)
 
