--- a/docs/experiments/growth.py
+++ b/docs/experiments/growth.py
@@ -93,7 +93,9 @@
     """Put the meter round the nodes' inputs; names in brackets are parts of others."""
     core: Any = CoreNode
     core.on = meter.wrap(lambda *, node_id, kind, body: "frame " + kind.name, core.on)
-    core.http = meter.wrap(lambda *, call, req: "beat" if req.path.startswith("/minions/") else "control", core.http)
+    core.on_http_request = meter.wrap(
+        lambda *, call, request: "beat" if request.path.startswith("/minions/") else "control", core.on_http_request
+    )
     core.done = meter.wrap(lambda *, effects: "disk done", core.done)
     core.tick = meter.wrap(lambda: "tick", core.tick)
     core.checkpoint = meter.wrap(lambda: "(checkpoint)", core.checkpoint, who=False)
--- a/tests/transport/test_http_exchange.py
+++ b/tests/transport/test_http_exchange.py
@@ -30,15 +30,15 @@
         self.asked: dict[str, int] = {}  # the node's key of each call, by path
         self._arrivals: dict[str, trio.Event] = {}
         self.clients = contextlib.ExitStack()  # closed with the test
-        self.runtime.node.http = self._http  # type: ignore[method-assign]
+        self.runtime.node.on_http_request = self._on_request  # type: ignore[method-assign]
         self.runtime.node.tick = lambda: None  # type: ignore[method-assign]
         self.runtime.inputs._tick.run = lambda: None
         self.server = Server(handler=self.runtime.handle_request)
         self.port = 0
 
-    def _http(self, *, call: Any, req: Request) -> None:
-        self.asked[req.path] = call
-        self._arrival(req.path).set()
+    def _on_request(self, *, call: Any, request: Request) -> None:
+        self.asked[request.path] = call
+        self._arrival(request.path).set()
 
     def _arrival(self, path: str) -> trio.Event:
         return self._arrivals.setdefault(path, trio.Event())
--- a/yarrowloom/node/core.py
+++ b/yarrowloom/node/core.py
@@ -115,9 +115,9 @@
 
     # -- inputs
 
-    def http(self, *, call: Any, req: Request) -> None:
+    def on_http_request(self, *, call: int, request: Request) -> None:
         """A call of a minion or the operator."""
-        dispatch(node=self, call=call, request=req)
+        dispatch(node=self, call=call, request=request)
         self._flush()
 
     def on_synced(self, *, effects: list[Effect]) -> None:
--- a/yarrowloom/node/edge.py
+++ b/yarrowloom/node/edge.py
@@ -123,9 +123,9 @@
 
     # -- clients' requests
 
-    def http(self, *, call: int, req: Request) -> None:
+    def on_http_request(self, *, call: int, request: Request) -> None:
         """A client's request."""
-        context = RequestContext(call=call, request=req)
+        context = RequestContext(call=call, request=request)
         response = first_response(self, context)
         if response is not None:
             self.respond(call=call, response=response)
--- a/yarrowloom/node/runtime.py
+++ b/yarrowloom/node/runtime.py
@@ -231,7 +231,7 @@
             return self.counters_response()
         key = self.exchanges.begin(now=time.monotonic())
         try:
-            self.post(run=partial(self.node.http, call=key, req=request), input_class=InputClass.AGENT)
+            self.post(run=partial(self.node.on_http_request, call=key, request=request), input_class=InputClass.AGENT)
             return await self.exchanges.response(key=key)
         finally:
             self.exchanges.discard(key=key)
--- a/yarrowloom/simulator/cluster.py
+++ b/yarrowloom/simulator/cluster.py
@@ -131,7 +131,13 @@
                 return
             self.calls[key] = answered
             self.callers[key] = src
-            self.post(ip, proc, lambda: proc.node.http(call=key, req=req), rank=InputClass.AGENT, mark=(0, len(raw), 1))
+            self.post(
+                ip,
+                proc,
+                lambda: proc.node.on_http_request(call=key, request=req),
+                rank=InputClass.AGENT,
+                mark=(0, len(raw), 1),
+            )
 
         self.at(delay=0.002, fn=arrive)
 
--- a/yarrowloom/testbed/virtual_testbed.py
+++ b/yarrowloom/testbed/virtual_testbed.py
@@ -230,7 +230,13 @@
         kind = f"{method} {path.split('/')[1] if seat.ip in self.core_ips else 'job'}"
         self.at(
             delay=LAG_S,
-            fn=partial(self.step, seat=seat, kind=kind, size=len(body), fn=partial(seat.node.http, call=key, req=req)),
+            fn=partial(
+                self.step,
+                seat=seat,
+                kind=kind,
+                size=len(body),
+                fn=partial(seat.node.on_http_request, call=key, request=req),
+            ),
         )
 
     def ask(
