--- a/tests/replication/test_model_found.py
+++ b/tests/replication/test_model_found.py
@@ -1,17 +1,10 @@
 """Faults that the model of replication found: each with the steps that bring it about."""
 
+from tests.replication.test_model import SCRIPT
 from tests.support.binding_model import Choice
 from tests.support.replication_explorer import calm, do, ready, replay
-from tests.support.replication_model import Line, Op, World
+from tests.support.replication_model import Line, World
 
-SCRIPT = (
-    Op(commit=True),
-    Op(commit=True),
-    Op(commit=False),
-    Op(commit=True, at=0.5),
-    Op(commit=True, last=True),
-    Op(commit=False, last=True),
-)
 SAME_NUMBER: list[tuple[int, Choice]] = [(1, ("kill", 0)), (18, ("kill", 1)), (23, ("kill", 0))]
 SAME_NUMBER_STEPS = 43
 MANY_ELECTIONS: list[tuple[int, Choice]] = [
--- a/yarrowloom/replication/acceptor.py
+++ b/yarrowloom/replication/acceptor.py
@@ -4,10 +4,16 @@
 Simple", 2001). The acceptors of a number are the witnesses of the epoch before it.
 """
 
+from typing import TypeVar
+
+from msgspec import UNSET
+
 from .epoch import Epoch, ProposalNumber
 from .messages import AcceptRequest, AcceptResponse, PrepareRequest, PrepareResponse
 from .stored_records import AcceptorRecord
 
+ResponseType = TypeVar("ResponseType", PrepareResponse, AcceptResponse)
+
 
 class Acceptor:
     """The acceptor of one group at one node.
@@ -56,31 +62,16 @@
 
     def prepare(self, request: PrepareRequest) -> PrepareResponse | None:
         """Answer phase 1 of a proposal; None: this acceptor has no say in it."""
-        group_id, epoch_number, number = request.group_id, request.epoch_number, request.proposal_number
-        if self._is_decided(epoch_number=epoch_number):
-            return PrepareResponse(
-                group_id=group_id,
-                epoch_number=epoch_number,
-                proposal_number=number,
-                is_granted=False,
-                decided=self.decided,
-            )
-        if not self._is_open(epoch_number=epoch_number):
+        if not self._has_say(epoch_number=request.epoch_number):
             return None
-        if self.promised is not None and number < self.promised:
-            return PrepareResponse(
-                group_id=group_id,
-                epoch_number=epoch_number,
-                proposal_number=number,
-                is_granted=False,
-                decided=None,
-                promised=self.promised,
-            )
-        self.promised = number
+        refusal = self._refusal(request, response_class=PrepareResponse)
+        if refusal is not None:
+            return refusal
+        self.promised = request.proposal_number
         return PrepareResponse(
-            group_id=group_id,
-            epoch_number=epoch_number,
-            proposal_number=number,
+            group_id=request.group_id,
+            epoch_number=request.epoch_number,
+            proposal_number=request.proposal_number,
             is_granted=True,
             accepted_number=self.accepted_number,
             accepted_value=self.accepted_value,
@@ -88,29 +79,38 @@
 
     def accept(self, request: AcceptRequest) -> AcceptResponse | None:
         """Answer phase 2 of a proposal; None: this acceptor has no say in it."""
-        group_id, epoch_number, number = request.group_id, request.epoch_number, request.proposal_number
-        if self._is_decided(epoch_number=epoch_number):
-            return AcceptResponse(
-                group_id=group_id,
-                epoch_number=epoch_number,
-                proposal_number=number,
-                is_granted=False,
-                decided=self.decided,
-            )
-        if not self._is_open(epoch_number=epoch_number):
+        if not self._has_say(epoch_number=request.epoch_number):
             return None
-        if self.promised is not None and number < self.promised:
-            return AcceptResponse(
-                group_id=group_id,
-                epoch_number=epoch_number,
-                proposal_number=number,
-                is_granted=False,
-                decided=None,
-                promised=self.promised,
-            )
-        self.promised = self.accepted_number = number
+        refusal = self._refusal(request, response_class=AcceptResponse)
+        if refusal is not None:
+            return refusal
+        self.promised = self.accepted_number = request.proposal_number
         self.accepted_value = request.value
-        return AcceptResponse(group_id=group_id, epoch_number=epoch_number, proposal_number=number, is_granted=True)
+        return AcceptResponse(
+            group_id=request.group_id,
+            epoch_number=request.epoch_number,
+            proposal_number=request.proposal_number,
+            is_granted=True,
+        )
+
+    def _refusal(
+        self, request: PrepareRequest | AcceptRequest, *, response_class: type[ResponseType]
+    ) -> ResponseType | None:
+        """Why a proposal is refused: its number is decided, or a higher proposal number is promised; None: it isn't."""
+        is_decided = self._is_decided(epoch_number=request.epoch_number)
+        if not is_decided and (self.promised is None or request.proposal_number >= self.promised):
+            return None
+        return response_class(
+            group_id=request.group_id,
+            epoch_number=request.epoch_number,
+            proposal_number=request.proposal_number,
+            is_granted=False,
+            decided=self.decided if is_decided else None,
+            promised=UNSET if is_decided or self.promised is None else self.promised,
+        )
+
+    def _has_say(self, *, epoch_number: int) -> bool:
+        return self._is_decided(epoch_number=epoch_number) or self._is_open(epoch_number=epoch_number)
 
     def _is_decided(self, *, epoch_number: int) -> bool:
         return self.decided is not None and epoch_number <= self.decided.number
