--- a/tests/node/test_disk_writer.py
+++ b/tests/node/test_disk_writer.py
@@ -2,7 +2,6 @@
 
 import errno
 import threading
-from dataclasses import dataclass
 
 import pytest
 import trio
@@ -17,8 +16,7 @@
 HANG_MOST_S = 20.0
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class EntryWritten(Effect):
+class EntryWritten(Effect, frozen=True, kw_only=True):
     """The effect of an entry."""
 
     number: int
--- a/tests/support/replica_cell.py
+++ b/tests/support/replica_cell.py
@@ -2,7 +2,6 @@
 
 import random
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass
 from typing import Any
 
 import orjson
@@ -23,8 +22,7 @@
 STEP_S = 0.05
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class EventConfirmed(Effect):
+class EventConfirmed(Effect, frozen=True, kw_only=True):
     """The event of this number is durable."""
 
     number: int
--- a/tests/support/replication_adapter.py
+++ b/tests/support/replication_adapter.py
@@ -33,15 +33,13 @@
 ROLES_WITH_STATE = frozenset({Role.PRIMARY, Role.BACKUP, Role.LAPSED, Role.CANDIDATE})
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class EventAcknowledged(Effect):
+class EventAcknowledged(Effect, frozen=True, kw_only=True):
     """The event of this number is durable."""
 
     number: int
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class StateRead(Effect):
+class StateRead(Effect, frozen=True, kw_only=True):
     """A read of the state is durable: it saw events of these numbers."""
 
     numbers: list[int]
--- a/tests/support/replication_environment.py
+++ b/tests/support/replication_environment.py
@@ -1,7 +1,6 @@
 """The surroundings of one part of a replica: a clock that a test sets, and lists of what was sent, written and done."""
 
 from collections.abc import Sequence
-from dataclasses import dataclass
 
 from yarrowloom.common.effects import Effect
 from yarrowloom.common.records import Record
@@ -9,8 +8,7 @@
 from yarrowloom.transport.message import Message
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class Done(Effect):
+class Done(Effect, frozen=True, kw_only=True):
     """Something that waits for an event; `number` tells it from others."""
 
     number: int
--- a/yarrowloom/common/effects.py
+++ b/yarrowloom/common/effects.py
@@ -1,13 +1,11 @@
 """Effects: what a state machine wants done once an event is durable, as data."""
 
-from dataclasses import dataclass
+import msgspec
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class Effect:
+class Effect(msgspec.Struct, frozen=True, kw_only=True):
     """Base of all effects. Each class names one action with its arguments; the node carries it out."""
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class NoEffect(Effect):
+class NoEffect(Effect, frozen=True, kw_only=True):
     """Nothing is to be done."""
--- a/yarrowloom/jobs/effects.py
+++ b/yarrowloom/jobs/effects.py
@@ -1,20 +1,16 @@
 """What follows from the events of a job group, for the scheduler of the group."""
 
-from dataclasses import dataclass
-
 from ..common.effects import Effect
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class UnitReady(Effect):
+class UnitReady(Effect, frozen=True, kw_only=True):
     """A unit has a task that may start now."""
 
     job_id: str
     unit_key: str
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class StopTask(Effect):
+class StopTask(Effect, frozen=True, kw_only=True):
     """A run is to be stopped.
 
     Attributes:
@@ -29,15 +25,13 @@
     run_id: int
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class JobEnded(Effect):
+class JobEnded(Effect, frozen=True, kw_only=True):
     """A job is complete, failed or cancelled."""
 
     job_id: str
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class JobTimed(Effect):
+class JobTimed(Effect, frozen=True, kw_only=True):
     """A job was accepted that runs at times of its own: its first run is to be scheduled."""
 
     job_id: str
--- a/yarrowloom/node/effects.py
+++ b/yarrowloom/node/effects.py
@@ -1,20 +1,16 @@
 """Effects of a core node itself; those of replicas, schedulers and calls are defined with them."""
 
-from dataclasses import dataclass
-
 from ..common.effects import Effect
 from .messages import ClusterUpdate, HeartbeatAck
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class ApplyUpdate(Effect):
+class ApplyUpdate(Effect, frozen=True, kw_only=True):
     """Take a cluster update, and pass it on to other nodes."""
 
     update: ClusterUpdate
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class NotifyOwners(Effect):
+class NotifyOwners(Effect, frozen=True, kw_only=True):
     """The controller tells agents of minions that they own from now on.
 
     Attributes:
@@ -24,8 +20,7 @@
     minion_ids: list[str]
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class AcknowledgeOwnAgent(Effect):
+class AcknowledgeOwnAgent(Effect, frozen=True, kw_only=True):
     """The controller's acknowledgement to the agent of its own node.
 
     Attributes:
--- a/yarrowloom/replication/effects.py
+++ b/yarrowloom/replication/effects.py
@@ -1,12 +1,9 @@
 """What a replica wants done once a record is on its disk."""
 
-from dataclasses import dataclass
-
 from ..common.effects import Effect
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class BatchSynced(Effect):
+class BatchSynced(Effect, frozen=True, kw_only=True):
     """A primary's own disk has a batch; the node tells `Replica.batch_synced`.
 
     Attributes:
@@ -20,8 +17,7 @@
     last_event: int
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class SnapshotSynced(Effect):
+class SnapshotSynced(Effect, frozen=True, kw_only=True):
     """A candidate's own disk has the snapshot that it proposes; the node tells `Replica.snapshot_synced`.
 
     Attributes:
--- a/yarrowloom/scheduling/effects.py
+++ b/yarrowloom/scheduling/effects.py
@@ -18,16 +18,14 @@
     lease: HeldLease
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class OrderRuns(Effect):
+class OrderRuns(Effect, frozen=True, kw_only=True):
     """Order runs of a job group whose starts are durable."""
 
     group_id: int
     runs: list[StartedRun]
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class StopRuns(Effect):
+class StopRuns(Effect, frozen=True, kw_only=True):
     """Tell agents to stop runs of a job group."""
 
     group_id: int
--- a/yarrowloom/transport/effects.py
+++ b/yarrowloom/transport/effects.py
@@ -1,21 +1,17 @@
 """Effects that any replicated group may have: a message to a node, and the response to a node's call."""
 
-from dataclasses import dataclass
-
 from ..common.effects import Effect
 from .message import Message
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class SendMessage(Effect):
+class SendMessage(Effect, frozen=True, kw_only=True):
     """Send a message to a node."""
 
     node_id: str
     message: Message
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class Reply(Effect):
+class Reply(Effect, frozen=True, kw_only=True):
     """Respond to the call of a node.
 
     Attributes:
