--- a/yarrowloom/node/core.py
+++ b/yarrowloom/node/core.py
@@ -1,4 +1,4 @@
-"""The core node: witness, records, chief, agent and placing node in one process; all state machines, no sockets."""
+"""The core node: replicas, controller, agent and schedulers in one process; state machines without sockets or disk."""
 
 from collections.abc import Callable
 from functools import partial
@@ -16,21 +16,25 @@
 from ..replication.messages import GROUP_MESSAGE_KINDS
 from ..scheduling import OrderRuns, Scheduler, StopRuns
 from ..transport.effects import Reply, SendMessage
-from ..transport.envelope import Kind, dump
+from ..transport.envelope import Kind
 from ..transport.http_server import Request
 from .call_messages import GroupCall, GroupReply
 from .core_environment import CoreEnvironment
 from .effects import AcknowledgeOwnAgent, ApplyUpdate, NotifyOwners
 from .http_routes import dispatch
+from .identity import IDENTITY_KIND, IdentityRecord
 from .input_scheduler import Input, InputClass
 from .messages import ClusterUpdate, Heartbeat, HeartbeatAck
 
-NODE_RECORDS = frozenset({"id", "none"})  # the kinds of records that are of no group
+NODE_RECORDS = frozenset({IDENTITY_KIND, "none"})  # the kinds of records that are of no group
 STALL_S = 0.3  # between two pulses: the process stood still
 
 
 class CoreNode(CoreEnvironment):
-    """Inputs and effects. Invariant: effects leave in the order of their events."""
+    """The inputs of a core node, and the effects that it carries out.
+
+    Invariant: effects are carried out in the order of their events.
+    """
 
     def __init__(
         self,
@@ -73,7 +77,7 @@
             Kind.CALL: self._on_call,
             Kind.REPLY: self._on_reply,
             Kind.CAPACITY_REPORT: self._on_capacity_report,
-            **{kind: partial(self._on_replication, kind=kind) for kind in GROUP_MESSAGE_KINDS},
+            **{kind: partial(self._on_group_message, kind=kind) for kind in GROUP_MESSAGE_KINDS},
         }
 
     # -- effects
@@ -116,12 +120,12 @@
     # -- inputs
 
     def on_http_request(self, *, call: int, request: Request) -> None:
-        """A call of a minion or the operator."""
+        """A minion or the operator calls over HTTP."""
         dispatch(node=self, call=call, request=request)
         self._flush()
 
     def on_synced(self, *, effects: list[Effect]) -> None:
-        """Records are synced."""
+        """Records are synced: their effects are due."""
         for effect in effects:
             self.effect(effect=effect)
         self._flush()
@@ -130,25 +134,25 @@
         for replica in self.replicas.values():
             replica.flush()
 
-    def on_message(self, *, node_id: str, kind: Kind, body: Any) -> None:
+    def on_message(self, *, node_id: str, kind: Kind, body: object) -> None:
         """Take one message of a node; `body` is parsed, and the node's from now on.
 
         Raises:
             MalformedRecordError: The body is not one of this kind.
         """
-        self._handlers.get(kind, partial(self._jobs, kind=kind))(node_id=node_id, body=body)
+        self._handlers.get(kind, partial(self._on_job_message, kind=kind))(node_id=node_id, body=body)
         self._flush()
 
-    def _on_capacity_report(self, *, node_id: str, body: Any) -> None:
+    def _on_capacity_report(self, *, node_id: str, body: dict[str, Any]) -> None:
         if "v" in body:
             self.agent.on_capacity_summary(decode(body, into=CapacitySummary))
         elif body["g"] in self.schedulers:
             self.schedulers[body["g"]].on_message(node_id=body["u"], kind=Kind.CAPACITY_REPORT, body=body)
 
-    def _on_call(self, *, node_id: str, body: Any) -> None:
+    def _on_call(self, *, node_id: str, body: object) -> None:
         self.call_server.on_call(node_id=node_id, call=decode(body, into=GroupCall))
 
-    def on_call_expired(self, *, node_id: str, body: Any) -> None:
+    def on_call_expired(self, *, node_id: str, body: object) -> None:
         """A call about jobs waited here until its caller is about to give up.
 
         Raises:
@@ -156,31 +160,31 @@
         """
         self.call_server.on_call_expired(node_id=node_id, call=decode(body, into=GroupCall))
 
-    def _jobs(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
+    def _on_job_message(self, *, node_id: str, kind: Kind, body: dict[str, Any]) -> None:
         if kind in AGENT_MESSAGES:
             self.agent.on_message(node_id=node_id, message=decode(body, into=AGENT_MESSAGES[kind]))
         elif body["g"] in self.schedulers and self.replicas[body["g"]].is_serving():
             self.schedulers[body["g"]].on_message(node_id=node_id, kind=kind, body=body)
 
-    def _on_heartbeat(self, *, node_id: str, body: Any) -> None:
+    def _on_heartbeat(self, *, node_id: str, body: object) -> None:
         heartbeat = decode(body, into=Heartbeat)
         self.on_heartbeat(heartbeat=heartbeat)
         self.core_heartbeats.acknowledge(heartbeat=heartbeat)
 
-    def _on_heartbeat_ack(self, *, node_id: str, body: Any) -> None:
+    def _on_heartbeat_ack(self, *, node_id: str, body: object) -> None:
         self.core_heartbeats.on_ack(node_id=node_id, ack=decode(body, into=HeartbeatAck))
 
-    def _on_cluster_update(self, *, node_id: str, body: Any) -> None:
+    def _on_cluster_update(self, *, node_id: str, body: object) -> None:
         self.apply_update(update=decode(body, into=ClusterUpdate))
 
-    def _on_reply(self, *, node_id: str, body: Any) -> None:
+    def _on_reply(self, *, node_id: str, body: object) -> None:
         self.calls.on_reply(node_id=node_id, reply=decode(body, into=GroupReply))
 
-    def _on_replication(self, *, node_id: str, body: Any, kind: Kind) -> None:
+    def _on_group_message(self, *, node_id: str, body: dict[str, Any], kind: Kind) -> None:
         self.replicas[body["g"]].on(node_id=node_id, kind=kind, body=body)
 
     def on_frames_lost(self, *, node_id: str) -> None:
-        """Frames from a node were lost."""
+        """Frames of another node were lost."""
         self.on_agent_frames_lost(node_id=node_id)
         self.on_scheduler_frames_lost(node_id=node_id)
 
@@ -209,12 +213,12 @@
         return {InputClass.AGENT: self.tick_agent, InputClass.SCHEDULING: self.tick_schedulers}
 
     def tick_agent(self) -> None:
-        """Beats that are held, what is to be told again, minions that fell silent."""
+        """The agent: heartbeats that are held, messages that are due again, minions that are silent."""
         self.agent.tick()
         self._flush()
 
     def tick_schedulers(self) -> None:
-        """Placing: may take long, so a busy process does it less often."""
+        """The schedulers: a pass may take long, so a busy process runs them less often."""
         for scheduler in self._serving_schedulers():
             scheduler.tick()
         self._flush()
@@ -236,7 +240,7 @@
         self._flush()
 
     def _resume(self, *, stalled_s: float) -> None:
-        """The process stood still: what others may have said meanwhile is not silence of theirs."""
+        """The process stood still: messages of others that waited meanwhile are no silence of theirs."""
         for replica in self.replicas.values():
             replica.process_resumed()
         last_seen = [self.roster.last_heartbeat, self.membership.last_listed_alive]
@@ -269,12 +273,16 @@
     # -- disk
 
     def restore(self, *, records: list[bytes]) -> None:
-        """Replay the journal from a whole snapshot on. Where that raises, the node is of no use any more."""
+        """Replay the journal from a whole snapshot on.
+
+        Raises:
+            ReplayError: A record can't be replayed; the node is of no use any more.
+        """
         for number, raw in enumerate(records):
             try:
                 self._replay(record=self.load(body=raw))
-            except Exception as err:  # a reducer may raise anything
-                raise ReplayError(text=f"{type(err).__name__}: {err}", number=number) from err
+            except Exception as error:  # a reducer may raise anything
+                raise ReplayError(text=f"{type(error).__name__}: {error}", number=number) from error
         for group_id, replica in self.replicas.items():
             replica.finish_restore()
             if replica.epoch is not None:
@@ -286,7 +294,8 @@
 
     def snapshot_records(self) -> list[bytes]:
         """Records that stand for all that this node keeps."""
-        out = [dump(body={"k": "id", "uid": self.node_id, "inc": self.incarnation})]
+        identity = IdentityRecord(kind=IDENTITY_KIND, node_id=self.node_id, incarnation=self.incarnation)
+        records = [identity.encoded()]
         for replica in self.replicas.values():
-            out += [record.encoded() for record in replica.snapshot_records()]
-        return out
+            records += [record.encoded() for record in replica.snapshot_records()]
+        return records
--- a/yarrowloom/node/core_environment.py
+++ b/yarrowloom/node/core_environment.py
@@ -325,7 +325,7 @@
         )
         self.send_message(node_id=node_id, message=message)
 
-    def respond(self, *, call: Any, response: Response) -> None:
+    def respond(self, *, call: object, response: Response) -> None:
         """Answer a call: over HTTP, or to the node that forwarded it."""
         if not isinstance(call, ForwardedCall):
             super().respond(call=call, response=response)
--- a/yarrowloom/node/heartbeat_routing.py
+++ b/yarrowloom/node/heartbeat_routing.py
@@ -62,10 +62,10 @@
     def trusted(self) -> bool:
         """Whether the agent of this node may act."""
 
-    def respond(self, *, call: Any, response: Response) -> None:
+    def respond(self, *, call: object, response: Response) -> None:
         """Answer an HTTP call, or one that was forwarded here."""
 
-    def reply(self, *, node_id: str, request_id: int, status: int, document: Any) -> None:
+    def reply(self, *, node_id: str, request_id: int, status: int, document: object) -> None:
         """Answer a call of another node."""
 
 
@@ -86,7 +86,7 @@
 
     # -- from minions
 
-    def on_heartbeat(self, *, minion_id: str, document: dict[str, Any], call: Any) -> None:
+    def on_heartbeat(self, *, minion_id: str, document: dict[str, Any], call: object) -> None:
         """A minion's heartbeat came over HTTP: it goes to the minion's agent, here or elsewhere."""
         heartbeat = self._parsed(minion_id=minion_id, document=document, call=call)
         if heartbeat is None:
@@ -112,7 +112,7 @@
             ttl_s=HEARTBEAT_TTL_S,
         )
 
-    def on_departure(self, *, minion_id: str, call: Any) -> None:
+    def on_departure(self, *, minion_id: str, call: object) -> None:
         """A minion says over HTTP that it ends."""
         node = self.environment
         if self.is_owned_here(minion_id=minion_id):
@@ -131,13 +131,13 @@
             ttl_s=HEARTBEAT_TTL_S,
         )
 
-    def _to_agent(self, *, minion_id: str, document: dict[str, Any], call: Any) -> None:
+    def _to_agent(self, *, minion_id: str, document: dict[str, Any], call: object) -> None:
         """A heartbeat of an owned minion, which another node took or which waited for its owner to be found."""
         heartbeat = self._parsed(minion_id=minion_id, document=document, call=call)
         if heartbeat is not None:
             self.environment.agent.on_heartbeat(minion_id=minion_id, heartbeat=heartbeat, call=call)
 
-    def _parsed(self, *, minion_id: str, document: dict[str, Any], call: Any) -> MinionHeartbeat | None:
+    def _parsed(self, *, minion_id: str, document: dict[str, Any], call: object) -> MinionHeartbeat | None:
         """The heartbeat; None: it is malformed, which is answered here."""
         node = self.environment
         try:
@@ -147,7 +147,7 @@
             node.respond(call=call, response=Response.of(BAD_REQUEST, {"error": "not a beat", "text": error.text}))
             return None
 
-    def _forward(self, *, owner: str, minion_id: str, document: dict[str, Any], call: Any) -> None:
+    def _forward(self, *, owner: str, minion_id: str, document: dict[str, Any], call: object) -> None:
         self.environment.calls.start(
             group_id=AGENT_CALL_GROUP,
             node_id=owner,
@@ -159,7 +159,7 @@
 
     # -- answers of other nodes
 
-    def _on_owner_found(self, result: CallResult, *, call: Any, minion_id: str, heartbeat: dict[str, Any]) -> None:
+    def _on_owner_found(self, result: CallResult, *, call: object, minion_id: str, heartbeat: dict[str, Any]) -> None:
         """Group 0 told which agent owns a minion whose heartbeat waits here."""
         node = self.environment
         if result.status != OK:
@@ -177,7 +177,7 @@
             self.owners.clear()
         self._forward(owner=owner, minion_id=minion_id, document=heartbeat, call=call)
 
-    def _on_forwarded_response(self, result: CallResult, *, call: Any, minion_id: str, owner: str) -> None:
+    def _on_forwarded_response(self, result: CallResult, *, call: object, minion_id: str, owner: str) -> None:
         """The agent elsewhere responded to a heartbeat; the minion is told to go there from now on."""
         if result.status != OK:
             self.owners.pop(minion_id, None)
@@ -187,7 +187,7 @@
         document = {**result.document, "beat-target": address} if address else result.document
         self.environment.respond(call=call, response=Response.of(OK, document))
 
-    def _on_departing_owner_found(self, result: CallResult, *, call: Any, minion_id: str, deadline: float) -> None:
+    def _on_departing_owner_found(self, result: CallResult, *, call: object, minion_id: str, deadline: float) -> None:
         """Group 0 told which agent owns a minion that ends: none (it has left before), this one or another."""
         node = self.environment
         owner = result.document.get("o") if result.status == OK else ""
@@ -207,7 +207,7 @@
         else:
             node.respond(call=call, response=Response(status=UNAVAILABLE))
 
-    def _on_departed(self, result: CallResult, *, call: Any) -> None:
+    def _on_departed(self, result: CallResult, *, call: object) -> None:
         """The agent elsewhere responded to a departure."""
         if result.status == GIVEN_UP:
             response = Response.of(UNAVAILABLE, {"error": "no primary in reach"})
@@ -217,7 +217,7 @@
 
     # -- calls of other nodes
 
-    def serve(self, *, node_id: str, request_id: int, operation: CallOperation, body: Any) -> None:
+    def serve(self, *, node_id: str, request_id: int, operation: CallOperation, body: object) -> None:
         """A node hands over a heartbeat or a departure of a minion that should be owned here.
 
         Raises:
--- a/yarrowloom/node/messages.py
+++ b/yarrowloom/node/messages.py
@@ -2,6 +2,7 @@
 
 from typing import Any, ClassVar
 
+import msgspec
 from msgspec import UNSET, UnsetType
 
 from ..cluster_state.config_delta import ConfigDelta
@@ -22,8 +23,8 @@
     """
 
     version: int = -1
-    evacuated_zones: list[str] = []
-    members: dict[str, CoreMember] = {}
+    evacuated_zones: list[str] = msgspec.field(default_factory=list)
+    members: dict[str, CoreMember] = msgspec.field(default_factory=dict)
 
 
 class ClusterUpdate(
--- a/yarrowloom/node/node_base.py
+++ b/yarrowloom/node/node_base.py
@@ -72,7 +72,7 @@
         """Send a message to another node, or to this one."""
         self.out.sends.append((addr_of(node_id=node_id), message.KIND, message.encoded()))
 
-    def respond(self, *, call: Any, response: Response) -> None:
+    def respond(self, *, call: object, response: Response) -> None:
         """Answer an HTTP call."""
         self.out.answers.append((call, response))
 
--- a/yarrowloom/node/registry_calls.py
+++ b/yarrowloom/node/registry_calls.py
@@ -52,7 +52,7 @@
             CallOperation.MINION_LEAVES: self._find_owner_of_departing,
         }
 
-    def serve(self, *, node_id: str, request_id: int, operation: CallOperation, body: Any) -> None:
+    def serve(self, *, node_id: str, request_id: int, operation: CallOperation, body: object) -> None:
         """Answer a call of a node.
 
         Raises:
@@ -62,7 +62,7 @@
             raise MalformedRecordError(text=f"op: {operation.value!r} is no operation of group 0")
         self._operations[operation](node_id, request_id, body)
 
-    def _reply_when_durable(self, *, node_id: str, request_id: int, status: int, document: Any) -> None:
+    def _reply_when_durable(self, *, node_id: str, request_id: int, status: int, document: object) -> None:
         self.environment.replicas[0].barrier(
             then=Reply(node_id=node_id, request_id=request_id, status=status, document=document)
         )
@@ -71,7 +71,7 @@
         status, document = error_answer(error=error)
         self._reply_when_durable(node_id=node_id, request_id=request_id, status=status, document=document)
 
-    def _change_config(self, node_id: str, request_id: int, body: Any) -> None:
+    def _change_config(self, node_id: str, request_id: int, body: object) -> None:
         change = decode(body, into=ConfigChange)
         node, registry = self.environment, self.environment.registry
         try:
@@ -88,12 +88,12 @@
             node.note(event="config-accepted", config_version=registry.config_version)
         self._reply_when_durable(node_id=node_id, request_id=request_id, status=OK, document={})
 
-    def _read_config(self, node_id: str, request_id: int, _body: Any) -> None:
+    def _read_config(self, node_id: str, request_id: int, _body: object) -> None:
         config = self.environment.registry.config
         status = OK if config else NOT_FOUND
         self._reply_when_durable(node_id=node_id, request_id=request_id, status=status, document=config or {})
 
-    def _change_evacuation(self, node_id: str, request_id: int, body: Any) -> None:
+    def _change_evacuation(self, node_id: str, request_id: int, body: object) -> None:
         change = decode(body, into=EvacuationChange)
         node = self.environment
         try:
@@ -106,19 +106,19 @@
         node.commit_registry(event=event, publish=True)
         self._reply_when_durable(node_id=node_id, request_id=request_id, status=OK, document={})
 
-    def _find_owner(self, node_id: str, request_id: int, body: Any) -> None:
+    def _find_owner(self, node_id: str, request_id: int, body: object) -> None:
         query = decode(body, into=OwnerQuery)
         assert self.environment.controller is not None
         self.environment.controller.find_owner(node_id=node_id, request_id=request_id, query=query)
 
-    def _remove_minion(self, node_id: str, request_id: int, body: Any) -> None:
+    def _remove_minion(self, node_id: str, request_id: int, body: object) -> None:
         removal = decode(body, into=MinionRemoval)
         self.environment.commit_registry(
             event=MinionRemoved(minion_id=removal.minion_id, fence=removal.fence),
             then=Reply(node_id=node_id, request_id=request_id, status=OK, document={}),
         )
 
-    def _find_owner_of_departing(self, node_id: str, request_id: int, body: Any) -> None:
+    def _find_owner_of_departing(self, node_id: str, request_id: int, body: object) -> None:
         departure = decode(body, into=MinionDeparture)
         row = self.environment.registry.minions.get(departure.minion_id)
         document = {} if row is None else {"o": row.owner}
