--- a/tests/prediction/test_history.py
+++ b/tests/prediction/test_history.py
@@ -1,11 +1,13 @@
 """The history as a whole: queues and kinds, changes, clock steps, floods, reloads."""
 
 import random
+from typing import Any
 
 import orjson
 import pytest
 
 from tests.support.job_stream import START_MS, JobStream, steps
+from yarrowloom.common.records import MalformedRecordError
 from yarrowloom.prediction import Basis, History, call_times, history, queue_key, successor_jobs
 from yarrowloom.prediction.forecast import MAX_PREDICTIONS
 
@@ -164,3 +166,21 @@
             twin.load(orjson.loads(orjson.dumps(was)))
             assert twin.dump() == was
     assert twin.dump() == stream.history.dump()
+
+
+@pytest.mark.parametrize(
+    ("change", "text"),
+    [
+        ({"kinds": [["q/*", ["q"]]]}, "not enough values"),
+        ({"follow": {"r": [["k", "birth", 0]], "p": []}}, "'birth' is not a valid TriggerEvent"),
+        ({"runs": {"r": [], "s": []}}, "KeyError\\('m'\\)"),
+    ],
+)
+def test_a_malformed_snapshot_is_refused_and_changes_nothing(change: dict[str, Any], text: str) -> None:
+    stream = JobStream()
+    for i in range(5):
+        stream.submit(at_ms=START_MS + 1_000 * i)
+    before = stream.history.dump()
+    with pytest.raises(MalformedRecordError, match=text):
+        stream.history.load({**before, **change})
+    assert stream.history.dump() == before
--- a/yarrowloom/jobs/state_machine.py
+++ b/yarrowloom/jobs/state_machine.py
@@ -57,14 +57,15 @@
         """Replace all of it by what `dump` gave. A snapshot from before there was a history is the jobs alone.
 
         Raises:
-            MalformedRecordError: A field of a job is missing or of another type; the state is then as it was.
+            MalformedRecordError: A field is missing or of another type; the state is then as it was.
         """
         history: dict[str, Any] = {}
         if "jobs" in document and "past" in document:
             document, history = document["jobs"], document["past"]
-        self.jobs = decode(document, into=dict[str, Job])
+        jobs = decode(document, into=dict[str, Job])
         if self.history is not None:
             self.history.load(history)
+        self.jobs = jobs
         self._rebuild_indexes()
 
     def _rebuild_indexes(self) -> None:
--- a/yarrowloom/prediction/history.py
+++ b/yarrowloom/prediction/history.py
@@ -3,6 +3,7 @@
 from collections.abc import Sequence
 from typing import Any
 
+from ..common.records import MalformedRecordError
 from ..jobs.submission import Step
 from .call_times import CallTimes, JobShape
 from .forecast import Forecast
@@ -243,10 +244,20 @@
         }
 
     def load(self, document: dict[str, Any]) -> None:
-        """Replace all of it by what `dump` gave; empty: a snapshot from before there was a history."""
-        self.__init__()  # type: ignore[misc]
-        if not document:
-            return
+        """Replace all of it by what `dump` gave; empty: a snapshot from before there was a history.
+
+        Raises:
+            MalformedRecordError: The document has another form; the state is then as it was.
+        """
+        loaded = History()
+        if document:
+            try:
+                loaded._load(document)
+            except (KeyError, IndexError, TypeError, ValueError) as error:
+                raise MalformedRecordError(text=f"history of jobs: {error!r}") from error
+        vars(self).update(vars(loaded))
+
+    def _load(self, document: dict[str, Any]) -> None:
         self.run_times.load(document["runs"])
         self.successors.load(document["follow"])
         self.newest_ms, self.clock_shift_ms = document["clock"], document["shift"]
