--- a/yarrowloom/scheduling/attachment.py
+++ b/yarrowloom/scheduling/attachment.py
@@ -49,7 +49,7 @@
 
     def _is_repeat(self, *, node_id: str, claimed: ClaimedMinion, known: MinionCapacity) -> bool:
         is_same_owner = known.fence == claimed.fence and known.agent_id == node_id
-        return is_same_owner and self.context.now - known.attached_at < REPEATED_CLAIM_S
+        return is_same_owner and self.context.environment.now - known.attached_at < REPEATED_CLAIM_S
 
     def _new_minion(self, *, node_id: str, claimed: ClaimedMinion) -> MinionCapacity:
         return MinionCapacity(
@@ -61,7 +61,7 @@
             zone=claimed.zone,
             labels=tuple(claimed.labels),
             total=claimed.capacity,
-            attached_at=self.context.now,
+            attached_at=self.context.environment.now,
         )
 
     def _next_attachment(self) -> int:
@@ -111,7 +111,9 @@
         capacity = self.context.capacity
         for minion_id in sorted(capacity.minion_ids_by_agent.get(node_id, ())):
             attachment = self._next_attachment()
-            self._attach(minion=capacity.minions[minion_id].reattached(attachment=attachment, now=self.context.now))
+            self._attach(
+                minion=capacity.minions[minion_id].reattached(attachment=attachment, now=self.context.environment.now)
+            )
         self.request_report(node_id=node_id)
 
     def request_report(self, *, node_id: str) -> None:
--- a/yarrowloom/scheduling/binding.py
+++ b/yarrowloom/scheduling/binding.py
@@ -191,7 +191,7 @@
         self.open_requests[self.last_request_id] = OpenLeaseRequest(
             request_id=self.last_request_id,
             agent_id=agent_id,
-            sent_at=self.context.now,
+            sent_at=self.context.environment.now,
             size=group.size,
             attempt=attempt,
             minions=minions,
@@ -241,7 +241,9 @@
         if request is not None:
             self._close(request)
         if grant.free:
-            self.context.capacity.apply_report(node_id=node_id, rows=grant.free, closed=[], now=self.context.now)
+            self.context.capacity.apply_report(
+                node_id=node_id, rows=grant.free, closed=[], now=self.context.environment.now
+            )
         leases = self._granted_leases(
             node_id=node_id, grant=grant, size=request.size if request is not None else grant.size
         )
@@ -268,7 +270,7 @@
                 minion_id=granted.minion_id,
                 lease_id=granted.lease_id,
                 attachment=granted.attachment,
-                idle_since=self.context.now,
+                idle_since=self.context.environment.now,
                 size=size,
             )
             for granted in grant.leases
@@ -299,7 +301,7 @@
         """
         late: list[OpenLeaseRequest] = []
         for request in self.open_requests.values():
-            if self.context.now - request.sent_at <= REQUEST_TIMEOUT_S:
+            if self.context.environment.now - request.sent_at <= REQUEST_TIMEOUT_S:
                 break
             late.append(request)
         last_report = self.context.capacity.last_report
@@ -363,7 +365,7 @@
         queue.activate(group=group)
         if group.is_gang and was_bound:
             group.transition(Phase.SCHEDULING)
-            queue.mark_unschedulable(group=group, now=self.context.now)
+            queue.mark_unschedulable(group=group, now=self.context.environment.now)
 
     def _start(self, *, group: PodGroup, leased: list[tuple[int, HeldLease]]) -> None:
         """Record starts; the orders follow once they are durable."""
@@ -383,7 +385,7 @@
         if not starts:
             return
         self._trace_start(group=group, count=len(starts))
-        self.context.nominator.drop(unit_id=group.unit_id, now=self.context.now)
+        self.context.nominator.drop(unit_id=group.unit_id, now=self.context.environment.now)
         self.job_queue.commit(
             TasksStarted(
                 job_id=job_id,
@@ -406,7 +408,7 @@
             self.warm.job_started(
                 queue=job.queue,
                 kind=kind_key(queue=job.queue, steps=job.steps),
-                now=self.context.now,
+                now=self.context.environment.now,
                 wait_ms=self.context.environment.wall_now * 1000 - job.accepted_at_ms,
             )
 
@@ -420,7 +422,7 @@
             n=count,
             of=len(job.units[group.unit_key].task_states),
             est=group.estimate_ms,
-            wait=round(self.context.now - group.waiting_since, 2),
+            wait=round(self.context.environment.now - group.waiting_since, 2),
             near=group.preferred_label,
             cycles=group.failed_cycles,
         )
--- a/yarrowloom/scheduling/context.py
+++ b/yarrowloom/scheduling/context.py
@@ -77,11 +77,6 @@
             ),
         )
 
-    @property
-    def now(self) -> float:
-        """Monotonic seconds."""
-        return self.environment.now
-
     @property
     def wall_now_ms(self) -> int:
         """Wall milliseconds."""
--- a/yarrowloom/scheduling/job_queue.py
+++ b/yarrowloom/scheduling/job_queue.py
@@ -39,7 +39,7 @@
     def _adopt(self, *, job_id: str, job: Job) -> None:
         """Take over a job from the scheduler before this one."""
         if job.has_ended:
-            self.ended.add(job_id=job_id, now=self.context.now)
+            self.ended.add(job_id=job_id, now=self.context.environment.now)
         else:
             self.live_jobs += 1
             if job.repeat_count and job.next_run < job.repeat_count:
@@ -62,12 +62,12 @@
             group = self._new_group(job_id=job_id, job=job, unit_key=unit_key)
             queue.add(group=group)
         elif group.phase is Phase.BOUND:
-            group.waiting_since, group.failed_cycles = self.context.now, 0
+            group.waiting_since, group.failed_cycles = self.context.environment.now, 0
             queue.activate(group=group)
         self.count_waiting(group=group)
 
     def _new_group(self, *, job_id: str, job: Job, unit_key: str) -> PodGroup:
-        policy, now = self.context.policy, self.context.now
+        policy, now = self.context.policy, self.context.environment.now
         step = job.step_of(unit_key=unit_key)
         priority, worthless_after = policy.priority(job=job, job_id=job_id, unit_key=unit_key, first_seen=now)
         if job.queue not in self.priority_fields:
@@ -108,7 +108,7 @@
         """A job's groups are gone."""
         queue = self.context.queue
         for unit_key in list(queue.unit_keys_by_job.get(job_id, ())):
-            self.context.nominator.drop(unit_id=(job_id, unit_key), now=self.context.now)
+            self.context.nominator.drop(unit_id=(job_id, unit_key), now=self.context.environment.now)
             queue.remove(job_id=job_id, unit_key=unit_key)
 
     def on_config_change(self) -> None:
@@ -160,7 +160,7 @@
     def _job_ended(self, *, job_id: str) -> None:
         job = self.context.jobs.jobs[job_id]
         self.live_jobs -= 1
-        self.ended.add(job_id=job_id, now=self.context.now)
+        self.ended.add(job_id=job_id, now=self.context.environment.now)
         self.context.environment.trace(
             event="job-ended",
             id=job_id,
@@ -179,7 +179,7 @@
 
     def forget_ended(self) -> None:
         """Forget jobs that ended long enough ago."""
-        job_ids = self.ended.take_expired(now=self.context.now)
+        job_ids = self.ended.take_expired(now=self.context.environment.now)
         if job_ids:
             self.commit(JobsForgotten(job_ids=job_ids))
 
--- a/yarrowloom/scheduling/scheduler.py
+++ b/yarrowloom/scheduling/scheduler.py
@@ -148,7 +148,7 @@
             node_id=message.node_id,
             rows=message.open_minions,
             closed=message.closed_minions,
-            now=self.context.now,
+            now=self.context.environment.now,
         )
         self.passes.run_slice()
 
@@ -182,12 +182,12 @@
         context = self.context
         self._tick_warm()
         self.binding.give_up_late_requests()
-        for node_id in context.capacity.silent_agents(now=context.now, after_s=SILENT_AFTER_S):
+        for node_id in context.capacity.silent_agents(now=context.environment.now, after_s=SILENT_AFTER_S):
             self.attachments.ignore_silent_agent(node_id=node_id)
         context.leases.give_back_expired()
         self.job_queue.begin_due_runs()
-        if context.now - self.swept_at > SWEEP_PERIOD_S:
-            self.swept_at = context.now
+        if context.environment.now - self.swept_at > SWEEP_PERIOD_S:
+            self.swept_at = context.environment.now
             self._sweep()
         self.passes.run_slice()
 
@@ -229,7 +229,7 @@
                 "before": self._groups_before(group),
                 "cycles-failed": group.failed_cycles,
                 "last": group.last_failure,
-                "waited-s": round(self.context.now - group.waiting_since, 2),
+                "waited-s": round(self.context.environment.now - group.waiting_since, 2),
             }
             for group in groups
         ]
--- a/yarrowloom/scheduling/scheduling_pass.py
+++ b/yarrowloom/scheduling/scheduling_pass.py
@@ -72,7 +72,7 @@
 
     def run_slice(self) -> None:
         """One slice of a pass, if one is due."""
-        context, now = self.context, self.context.now
+        context, now = self.context, self.context.environment.now
         if now < self.next_slice_at or not context.replica.is_serving():
             return
         cycles, visited = self.cycles, context.capacity.visited
@@ -121,7 +121,12 @@
             while units and label not in ranks:
                 unit_id, until = next(iter(units.items()))
                 group = self.context.queue.groups.get(unit_id)
-                if group is None or group.phase is Phase.BOUND or self.context.now > until or group.rank != rank:
+                if (
+                    group is None
+                    or group.phase is Phase.BOUND
+                    or self.context.environment.now > until
+                    or group.rank != rank
+                ):
                     del units[unit_id]
                 else:
                     ranks[label] = rank
@@ -164,7 +169,7 @@
         if not group.preferred_label:
             return False
         patience_s = min(group.estimate_ms, LOCALITY_MAX_ESTIMATE_MS) / LOCALITY_DIVISOR * (self.remote_factor - 1)
-        if self.context.now - group.waiting_since >= patience_s:
+        if self.context.environment.now - group.waiting_since >= patience_s:
             return False
         return bool(self.context.capacity.with_label(service=group.service, label=group.preferred_label))
 
@@ -190,12 +195,12 @@
     def _may_span_racks(self, *, group: PodGroup) -> bool:
         """Whether a gang has waited for one rack about as long as being apart would cost."""
         patience_s = min(group.estimate_ms, SAME_RACK_MAX_ESTIMATE_MS) / 1000 * (self.remote_factor - 1)
-        return self.context.now - group.waiting_since > patience_s
+        return self.context.environment.now - group.waiting_since > patience_s
 
     def _request(
         self, *, group: PodGroup, members: list[int], scan: UnschedulableScan, only_preferred: bool
     ) -> PlacementRequest:
-        now = self.context.now
+        now = self.context.environment.now
         reserved_labels = (label for label, rank in scan.blocking_ranks.items() if label and rank < group.rank)
         failed_minion_ids = frozenset(group.failed_minion_ids)
         return PlacementRequest(
@@ -233,7 +238,7 @@
     ) -> None:
         """Nothing binds: preemption for the whole group, then backoff."""
         self.failed_cycles += 1
-        waited_s = self.context.now - group.waiting_since
+        waited_s = self.context.environment.now - group.waiting_since
         self._note_failure(group=group, decision=decision, count=count, waited_s=waited_s)
         could_hold = self.context.capacity.could_ever_hold(
             service=group.service,
@@ -253,7 +258,7 @@
                 self._preempt_for(group=group, count=count, waited_s=waited_s, only_preferred=waits_for_data)
                 if not waits_for_data and could_hold and BLOCK_AFTER_S <= waited_s < BLOCK_MAX_S:
                     self._block_later_ranks(group=group, scan=scan)
-        self.context.queue.mark_unschedulable(group=group, now=self.context.now)
+        self.context.queue.mark_unschedulable(group=group, now=self.context.environment.now)
 
     def _note_failure(self, *, group: PodGroup, decision: Decision, count: int, waited_s: float) -> None:
         rejections = " ".join(f"{name}:{minions}" for name, minions in sorted(decision.rejections.items()))
@@ -274,7 +279,7 @@
         if waited_s <= PREEMPT_AFTER_S:
             return
         victims = self.context.preemptor.select_victims(
-            group=group, count=count, only_preferred=only_preferred, now=self.context.now
+            group=group, count=count, only_preferred=only_preferred, now=self.context.environment.now
         )
         self._preempt(victims=victims, service=group.service, awaited_by=group.service)
 
@@ -282,7 +287,7 @@
         """Nominate minions for a gang that has waited long, and preempt what may be preempted there."""
         if waited_s <= NOMINATE_AFTER_S:
             return
-        nomination = self.context.nominator.nominate(group=group, count=count, now=self.context.now)
+        nomination = self.context.nominator.nominate(group=group, count=count, now=self.context.environment.now)
         if nomination is None:
             return
         victims = self.context.preemptor.victims_on(
@@ -303,7 +308,7 @@
             self.context.environment.note(event="runs-preempted", runs=len(victims), service=service)
 
     def _stop(self, *, victims: list[Victim], awaited_by: str) -> None:
-        self.context.preemptor.note_stopping(victims=victims, service=awaited_by, now=self.context.now)
+        self.context.preemptor.note_stopping(victims=victims, service=awaited_by, now=self.context.environment.now)
         self.context.cancellation.send_stops(
             [StoppedRun(minion_id=victim.minion_id, task=victim.task, run=victim.run) for victim in victims]
         )
@@ -317,7 +322,7 @@
 
     def stop_overdue_runs(self) -> None:
         """Runs far beyond their expected time go on elsewhere from their checkpoint."""
-        for service, victim in self.context.preemptor.overdue_runs(now=self.context.now):
+        for service, victim in self.context.preemptor.overdue_runs(now=self.context.environment.now):
             name = parse_task_name(victim.task)
             group = self.context.queue.groups.get(name[:2]) if name is not None else None
             if group is not None:
--- a/yarrowloom/scheduling/task_ends.py
+++ b/yarrowloom/scheduling/task_ends.py
@@ -54,7 +54,7 @@
                 )
             )
         if lease is not None:
-            self.context.leases.cache.put(lease=lease, now=self.context.now)
+            self.context.leases.cache.put(lease=lease, now=self.context.environment.now)
 
     def _learn(self, *, minion_id: str, job: Job, name: tuple[str, str, int], end: TaskEnd) -> None:
         """What an end tells of its minion."""
@@ -72,7 +72,9 @@
             if group is not None:
                 group.failed_minion_ids.add(minion_id)
             is_first_failure = not any(unit.failures)
-            if is_first_failure and capacity.record_failure(minion_id=minion_id, job_id=job_id, now=self.context.now):
+            if is_first_failure and capacity.record_failure(
+                minion_id=minion_id, job_id=job_id, now=self.context.environment.now
+            ):
                 streak = capacity.minions[minion_id].failure_streak
                 environment.note(event="minion-avoided", minion=minion_id, streak=streak)
 
