--- a/tests/scheduling/test_binding_model.py
+++ b/tests/scheduling/test_binding_model.py
@@ -15,6 +15,7 @@
 from yarrowloom.agent.minion import Minion
 from yarrowloom.agent.task_runs import TaskRuns
 from yarrowloom.common.effects import Effect
+from yarrowloom.common.records import Record
 from yarrowloom.scheduling.binding import Binding
 from yarrowloom.scheduling.lease_cache import LeaseCache
 from yarrowloom.scheduling.task_ends import TaskEnds
@@ -75,7 +76,7 @@
 def an_order_leaves_before_its_start_is_durable(p: pytest.MonkeyPatch) -> None:
     real = StubReplica.commit
 
-    def commit(self: StubReplica, *, event: dict[str, Any], then: Effect | None = None) -> Any:
+    def commit(self: StubReplica, *, event: Record, then: Effect | None = None) -> Any:
         out = real(self, event=event)
         if then is not None:
             self.world.effect(group_id=self.group_id, effect=then)
--- a/tests/support/binding_model.py
+++ b/tests/support/binding_model.py
@@ -15,7 +15,7 @@
 from yarrowloom.cluster_state.routing_table import Route
 from yarrowloom.common.defaults import SHIPPED
 from yarrowloom.common.effects import Effect
-from yarrowloom.common.records import decode
+from yarrowloom.common.records import Record, decode
 from yarrowloom.jobs.model import TaskState
 from yarrowloom.jobs.state_machine import Jobs
 from yarrowloom.jobs.submission import parse_submission
@@ -70,7 +70,14 @@
     def is_serving(self) -> bool:
         return True
 
-    def commit(self, *, event: dict[str, Any], then: Effect | None = None) -> Any:
+    def commit(self, *, event: Record, then: Effect | None = None) -> Any:
+        document = event.document()
+        self.check_start(event=document, then=then)
+        out = self.state.apply(document)
+        self.queue.append((document, then))
+        return out
+
+    def check_start(self, *, event: dict[str, Any], then: Effect | None) -> None:
         if event["t"] == "start":
             step = self.state.jobs[event["id"]].step_of(unit_key=event["u"])
             require(not step.is_gang or len(event["x"]) == step.task_count, "GANG", "below its criterion", event)
@@ -89,9 +96,6 @@
                         agent=lease.agent_id,
                         lease_id=lease.lease_id,
                     )
-        out = self.state.apply(event)
-        self.queue.append((event, then))
-        return out
 
     def barrier(self, *, then: Effect) -> None:
         if self.queue:
--- a/yarrowloom/cluster_state/registry.py
+++ b/yarrowloom/cluster_state/registry.py
@@ -139,13 +139,13 @@
 
     # -- events
 
-    def apply(self, event: dict[str, Any]) -> None:
-        """Apply an event as the log holds it.
+    def apply(self, event: RegistryEvent | dict[str, Any]) -> None:
+        """Apply an event: a record, or a document as the log holds it.
 
         Raises:
             MalformedRecordError: It isn't an event of the registry; the state is then as it was.
         """
-        self.apply_event(decode_registry_event(event))
+        self.apply_event(decode_registry_event(event) if isinstance(event, dict) else event)
 
     def apply_event(self, event: RegistryEvent) -> None:
         """Apply one event."""
--- a/yarrowloom/jobs/state_machine.py
+++ b/yarrowloom/jobs/state_machine.py
@@ -80,13 +80,13 @@
 
     # -- events
 
-    def apply(self, event: dict[str, Any]) -> list[JobEffect]:
-        """Apply an event as the log holds it.
+    def apply(self, event: JobEvent | dict[str, Any]) -> list[JobEffect]:
+        """Apply an event: a record, or a document as the log holds it.
 
         Raises:
             MalformedRecordError: It isn't an event of a job group; the state is then as it was.
         """
-        return self.apply_event(decode_job_event(event))
+        return self.apply_event(decode_job_event(event) if isinstance(event, dict) else event)
 
     def apply_event(self, event: JobEvent) -> list[JobEffect]:
         """Apply one event, and tell what follows from it."""
--- a/yarrowloom/node/core_environment.py
+++ b/yarrowloom/node/core_environment.py
@@ -285,7 +285,7 @@
             then: The effect that is due once it is durable.
             publish: Whether other nodes are to be told of the registry then.
         """
-        self.replicas[0].commit(event=event.document(), then=then)
+        self.replicas[0].commit(event=event, then=then)
         if publish:
             update = ClusterUpdate(registry=self._registry_update())
             self.replicas[0].barrier(then=ApplyUpdate(update=update))
--- a/yarrowloom/replication/environment.py
+++ b/yarrowloom/replication/environment.py
@@ -15,8 +15,11 @@
 class Reducer(Protocol):
     """The state of a group. It changes only by events, and equal events in equal order give equal states."""
 
-    def apply(self, event: dict[str, Any]) -> Sequence[Effect] | None:
-        """Take one event; the effects are handed to the caller of `Replica.commit`, and of no use at a backup."""
+    def apply(self, event: Any) -> Sequence[Effect] | None:
+        """Take one event, as the log holds it or as a record of the reducer's own.
+
+        The effects are handed to the caller of `Replica.commit`, and of no use at a backup.
+        """
 
     def dump(self) -> object:
         """All of it as plain data."""
--- a/yarrowloom/replication/replica.py
+++ b/yarrowloom/replication/replica.py
@@ -4,6 +4,7 @@
 from typing import Any
 
 from ..common.effects import Effect, NoEffect
+from ..common.records import Record
 from ..transport.effects import SendMessage
 from ..transport.message_kinds import Kind
 from .batch import Batch
@@ -106,25 +107,27 @@
         """Whether the member may act as the primary right now."""
         return self.role is Role.PRIMARY and self.lease.is_valid()
 
-    def commit(self, *, event: dict[str, Any], then: Effect | None = None) -> Sequence[Effect]:
+    def commit(self, *, event: Record | dict[str, Any], then: Effect | None = None) -> Sequence[Effect]:
         """Apply an event; only while serving.
 
         Args:
-            event: The event.
+            event: The event: typed, or as the log holds it.
             then: Carried out once the event is durable.
 
         Returns:
             The effects that the reducer asks for, if any.
         """
+        # Before the event is applied: its lists belong to the state from then on.
+        document = event.document() if isinstance(event, Record) else event
         effects = self._apply(event=event)
-        self.pipeline.append(event=event, then=then)
+        self.pipeline.append(event=document, then=then)
         return effects
 
     def barrier(self, *, then: Effect) -> None:
         """Carry out an effect once all that was applied so far is durable."""
         self.pipeline.barrier(then=then)
 
-    def _apply(self, *, event: dict[str, Any]) -> Sequence[Effect]:
+    def _apply(self, *, event: Record | dict[str, Any]) -> Sequence[Effect]:
         """Apply the next event.
 
         A reducer that raises may have changed a part of the state, which is then of no use: this member neither leads
--- a/yarrowloom/scheduling/job_queue.py
+++ b/yarrowloom/scheduling/job_queue.py
@@ -138,7 +138,7 @@
             then: Carried out once the event is durable.
         """
         stops: list[StoppedRun] = []
-        for effect in self.context.replica.commit(event=event.document(), then=then):
+        for effect in self.context.replica.commit(event=event, then=then):
             match effect:
                 case UnitReady():
                     self.enter(job_id=effect.job_id, unit_key=effect.unit_key)
