--- a/docs/experiments/growth.py
+++ b/docs/experiments/growth.py
@@ -26,7 +26,7 @@
 from yarrowloom.scheduling.scheduler import Placer
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.minions import SimCaller, cluster, config
-from yarrowloom.transport.envelope import Kind
+from yarrowloom.transport.message_kinds import Kind
 
 WORK_S = 2.0
 CAP = (4000, 8000, 8)
--- a/docs/experiments/growth_collapse.py
+++ b/docs/experiments/growth_collapse.py
@@ -39,7 +39,7 @@
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.machines.process import Proc
 from yarrowloom.simulator.minions import cluster
-from yarrowloom.transport.envelope import Kind
+from yarrowloom.transport.message_kinds import Kind
 
 STATE: dict[str, Any] = {"on": False, "share": 0.62}
 WAIT: dict[int, deque[Callable[[], None]]] = {}
--- a/docs/experiments/growth_state.py
+++ b/docs/experiments/growth_state.py
@@ -17,7 +17,8 @@
 
 from yarrowloom.jobs.state_machine import Jobs
 from yarrowloom.storage import RingJournal
-from yarrowloom.transport.envelope import Frame, FrameDecoder, Kind, dump, pack_frame
+from yarrowloom.transport.envelope import Frame, FrameDecoder, dump, pack_frame
+from yarrowloom.transport.message_kinds import Kind
 
 
 def fill(*, live: int, ended: int, tasks: int) -> Jobs:
--- a/tests/agent/test_messages.py
+++ b/tests/agent/test_messages.py
@@ -7,8 +7,8 @@
 
 from yarrowloom.agent import messages
 from yarrowloom.common.records import MalformedRecordError, decode
-from yarrowloom.transport.envelope import Kind
 from yarrowloom.transport.message import Message
+from yarrowloom.transport.message_kinds import Kind
 
 LEASE: dict[str, Any] = {
     "g": 1,
--- a/tests/integration/test_large_clusters.py
+++ b/tests/integration/test_large_clusters.py
@@ -18,7 +18,7 @@
 from yarrowloom.scheduling.scheduling_cycle import PlacementRequest, run_cycle
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.minions import cluster, config
-from yarrowloom.transport.envelope import Kind
+from yarrowloom.transport.message_kinds import Kind
 
 RACK = 20
 MEMBER = Resources(10_000, 31_000, 1)
--- a/tests/node/test_busy_process.py
+++ b/tests/node/test_busy_process.py
@@ -11,7 +11,7 @@
 from yarrowloom.replication.timing import BACKUP_TIMEOUT_S
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.minions import cluster
-from yarrowloom.transport.envelope import Kind
+from yarrowloom.transport.message_kinds import Kind
 
 
 def epochs(sim: Sim) -> list[int]:
--- a/tests/node/test_call_server.py
+++ b/tests/node/test_call_server.py
@@ -5,7 +5,7 @@
 import orjson
 
 from yarrowloom.simulator.minions import cluster
-from yarrowloom.transport.envelope import Kind
+from yarrowloom.transport.message_kinds import Kind
 
 
 def test_a_repeat_is_skipped_while_its_call_is_in_progress_and_taken_after_its_reply() -> None:
--- a/tests/node/test_config_dissemination_tree.py
+++ b/tests/node/test_config_dissemination_tree.py
@@ -6,7 +6,7 @@
 
 from yarrowloom.node.edge_relays import FANOUT
 from yarrowloom.simulator.link_cluster import LinkSim, large, patched, put
-from yarrowloom.transport.envelope import Kind
+from yarrowloom.transport.message_kinds import Kind
 
 
 def ready(*, seed: int, cores: int = 5, edges: int = 33, **kw: Any) -> LinkSim:
--- a/tests/node/test_config_freshness.py
+++ b/tests/node/test_config_freshness.py
@@ -9,7 +9,7 @@
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.link_cluster import LinkSim, put
 from yarrowloom.simulator.minions import HOST, cluster, config
-from yarrowloom.transport.envelope import Kind
+from yarrowloom.transport.message_kinds import Kind
 
 APPLY_S = 2.0  # `config-apply-ms` where the settings name none
 CUT_S = 20.0
--- a/tests/node/test_config_freshness_core.py
+++ b/tests/node/test_config_freshness_core.py
@@ -15,7 +15,7 @@
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.link_cluster import LinkSim, put
 from yarrowloom.simulator.minions import HOST, SimMinion, cluster, config
-from yarrowloom.transport.envelope import Kind
+from yarrowloom.transport.message_kinds import Kind
 
 
 @pytest.mark.parametrize("seed", range(310, 318))
--- a/tests/node/test_input_scheduler.py
+++ b/tests/node/test_input_scheduler.py
@@ -7,7 +7,7 @@
 import pytest
 
 from yarrowloom.node.input_scheduler import TIME_SHARES, DuplicateFilter, InputClass, InputScheduler, classify_message
-from yarrowloom.transport.envelope import Kind
+from yarrowloom.transport.message_kinds import Kind
 
 
 def test_client_calls_get_their_share_of_the_time_however_long_scheduling_takes() -> None:
--- a/tests/node/test_updates_between_nodes.py
+++ b/tests/node/test_updates_between_nodes.py
@@ -14,7 +14,7 @@
 from yarrowloom.replication.epoch import Epoch
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.minions import config
-from yarrowloom.transport.envelope import Kind
+from yarrowloom.transport.message_kinds import Kind
 
 OTHER = "10.0.1.9:7001#x"
 WATCHERS = ["10.0.0.1:7000#0", "10.0.0.2:7000#0"]
--- a/tests/replication/test_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -23,7 +23,7 @@
 from yarrowloom.replication.roles import Role
 from yarrowloom.replication.stored_records import AcceptorRecord, StateRecord, StoredRecord
 from yarrowloom.transport.effects import SendMessage
-from yarrowloom.transport.envelope import Kind
+from yarrowloom.transport.message_kinds import Kind
 
 TWO_COMMITS = (Op(commit=True), Op(commit=True), Op(commit=True, last=True), Op(commit=False, last=True))
 READ_EARLY = (Op(commit=True), Op(commit=False), Op(commit=True, last=True), Op(commit=False, last=True))
--- a/tests/replication/test_quorum_contact.py
+++ b/tests/replication/test_quorum_contact.py
@@ -111,7 +111,7 @@
 
 def test_contact_costs_few_frames_a_second(monkeypatch: pytest.MonkeyPatch) -> None:
     """Frames of contact stay below 2.5 a second for each witness and group, both ways counted once."""
-    from yarrowloom.transport.envelope import Kind
+    from yarrowloom.transport.message_kinds import Kind
 
     sim, _, _, _ = cluster(seed=10, cores=9)
     sim.run(seconds=SETTLE_S)
--- a/tests/replication/test_single_core.py
+++ b/tests/replication/test_single_core.py
@@ -6,7 +6,7 @@
 
 from yarrowloom.simulator.machines.process import Proc
 from yarrowloom.simulator.minions import cluster
-from yarrowloom.transport.envelope import Kind
+from yarrowloom.transport.message_kinds import Kind
 
 
 def test_core_without_peers_and_with_a_hanging_disk_sends_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/replication/test_snapshot.py
+++ b/tests/replication/test_snapshot.py
@@ -8,7 +8,7 @@
 from yarrowloom.replication.epoch import ProposalNumber
 from yarrowloom.replication.log_replay import ReplayError
 from yarrowloom.replication.messages import PrepareRequest
-from yarrowloom.transport.envelope import Kind
+from yarrowloom.transport.message_kinds import Kind
 
 
 def holders(cell: Cell) -> list[Member]:
--- a/tests/replication/test_successive_losses.py
+++ b/tests/replication/test_successive_losses.py
@@ -12,7 +12,7 @@
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.machines.process import Proc
 from yarrowloom.simulator.minions import cluster
-from yarrowloom.transport.envelope import Kind
+from yarrowloom.transport.message_kinds import Kind
 
 SETTLE_S = 6.0
 TICK_S = 0.06
--- a/tests/scheduling/test_binding.py
+++ b/tests/scheduling/test_binding.py
@@ -9,7 +9,7 @@
 from yarrowloom.simulator.cluster import Sim
 from yarrowloom.simulator.machines.process import Proc
 from yarrowloom.simulator.minions import Oracle, SimCaller, cluster
-from yarrowloom.transport.envelope import Kind
+from yarrowloom.transport.message_kinds import Kind
 
 TASK: dict[str, Any] = {"task-count": 3, "cpus": 1000, "mem-mb": 100, "estimate-ms": 500}
 STEPS = [
--- a/tests/simulator/test_digest.py
+++ b/tests/simulator/test_digest.py
@@ -11,7 +11,7 @@
 
 from yarrowloom.simulator.digest import NO_KIND, RunDigest
 from yarrowloom.simulator.run import RunSettings, play
-from yarrowloom.transport.envelope import Kind
+from yarrowloom.transport.message_kinds import Kind
 
 ROOT = Path(__file__).resolve().parents[2]
 BODY = b'{"g":1,"n":[2.5,"a"],"ttl":30.0}'
--- a/tests/storage/write_data.py
+++ b/tests/storage/write_data.py
@@ -24,7 +24,7 @@
 from yarrowloom.node.messages import RegistryUpdate
 from yarrowloom.simulator import minions
 from yarrowloom.storage import SNAPSHOT_END, RingJournal
-from yarrowloom.transport.envelope import Kind
+from yarrowloom.transport.message_kinds import Kind
 
 START_MS = 1_700_000_000_000
 UIDS = tuple(f"{ip}:7000#0" for ip in SEEDS)
--- a/tests/support/binding_model.py
+++ b/tests/support/binding_model.py
@@ -25,9 +25,9 @@
 from yarrowloom.scheduling import OrderRuns, SchedulerEnvironment, StopRuns
 from yarrowloom.scheduling.scheduler import Scheduler
 from yarrowloom.transport.effects import Reply, SendMessage
-from yarrowloom.transport.envelope import Kind
 from yarrowloom.transport.http_server import Response
 from yarrowloom.transport.message import Message
+from yarrowloom.transport.message_kinds import Kind
 
 DT = 0.4  # one tick; every timer of the protocol is a few of them
 HOLD_MS, STOP_MS, LAG_MS, DRAIN_MS = 4000, 400, 1400, 2000
--- a/tests/support/replica_cell.py
+++ b/tests/support/replica_cell.py
@@ -15,8 +15,8 @@
 from yarrowloom.replication.roles import Role
 from yarrowloom.storage import SNAPSHOT_END
 from yarrowloom.transport.effects import SendMessage
-from yarrowloom.transport.envelope import Kind
 from yarrowloom.transport.message import Message
+from yarrowloom.transport.message_kinds import Kind
 
 Built = Callable[..., Replica]
 STEP_S = 0.05
--- a/tests/support/replication_adapter.py
+++ b/tests/support/replication_adapter.py
@@ -21,8 +21,8 @@
 from yarrowloom.replication.roles import Role
 from yarrowloom.replication.timing import BACKUP_TIMEOUT_S, DISK_TIMEOUT_S, LEADER_TIMEOUT_S
 from yarrowloom.transport.effects import SendMessage
-from yarrowloom.transport.envelope import LANES, Kind, Lane
 from yarrowloom.transport.message import Message
+from yarrowloom.transport.message_kinds import LANES, Kind, Lane
 
 if TYPE_CHECKING:
     from tests.support.replication_model import World
--- a/tests/support/replication_model.py
+++ b/tests/support/replication_model.py
@@ -9,7 +9,8 @@
 from tests.support.replication_adapter import Member, copy_of
 from yarrowloom.common.records import decode
 from yarrowloom.replication.epoch import Epoch, majority
-from yarrowloom.transport.envelope import Kind, dump
+from yarrowloom.transport.envelope import dump
+from yarrowloom.transport.message_kinds import Kind
 
 START_S = 1000.0
 ANSWERS = (Kind.PROMISE, Kind.ACCEPTED, Kind.SNAPSHOT_STORED, Kind.BATCH_APPENDED)
--- a/tests/transport/test_codec.py
+++ b/tests/transport/test_codec.py
@@ -8,7 +8,8 @@
 from tests.support.json_noise import noise
 from yarrowloom.common.errors import InvalidInputError
 from yarrowloom.jobs.submission import parse_submission
-from yarrowloom.transport.envelope import Frame, FrameDecoder, FrameEncoder, Lane, pack_frame
+from yarrowloom.transport.envelope import Frame, FrameDecoder, FrameEncoder, pack_frame
+from yarrowloom.transport.message_kinds import Lane
 
 JOB = {
     "task-spec": "x",
--- a/tests/transport/test_incarnations_wire.py
+++ b/tests/transport/test_incarnations_wire.py
@@ -16,7 +16,8 @@
 from yarrowloom.node.identity import last_identity
 from yarrowloom.node.startup import open_core, open_edge
 from yarrowloom.storage import RingJournal
-from yarrowloom.transport.envelope import Frame, Kind, Lane, join_messages, pack_frame
+from yarrowloom.transport.envelope import Frame, join_messages, pack_frame
+from yarrowloom.transport.message_kinds import Kind, Lane
 from yarrowloom.transport.peer_connections import CHALLENGE_BYTES, PeerConnections
 from yarrowloom.transport.sequence_tracker import MAX_RETIRED, SequenceTracker
 
--- a/tests/transport/test_lanes.py
+++ b/tests/transport/test_lanes.py
@@ -9,7 +9,8 @@
 
 from tests.support.loopback import HOST, reserved_ports
 from yarrowloom.common.log import Log
-from yarrowloom.transport.envelope import Frame, Kind, Lane, join_messages, pack_frame, split_messages
+from yarrowloom.transport.envelope import Frame, join_messages, pack_frame, split_messages
+from yarrowloom.transport.message_kinds import Kind, Lane
 from yarrowloom.transport.peer_connections import PeerConnections
 from yarrowloom.transport.send_queue import (
     FRAME_BYTES,
--- a/yarrowloom/agent/messages.py
+++ b/yarrowloom/agent/messages.py
@@ -11,8 +11,8 @@
 
 from ..common.records import Record
 from ..common.resources import Resources
-from ..transport.envelope import Kind
 from ..transport.message import Message
+from ..transport.message_kinds import Kind
 
 LARGEST_INT = 2**53  # the whole numbers that every JSON parser keeps exactly
 
--- a/yarrowloom/node/counters.py
+++ b/yarrowloom/node/counters.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..transport.envelope import Kind
+from ..transport.message_kinds import Kind
 
 PATHS_MOST = 64  # kinds of HTTP calls that are counted apart
 
--- a/yarrowloom/node/input_scheduler.py
+++ b/yarrowloom/node/input_scheduler.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..transport.envelope import LANES, Kind, Lane
+from ..transport.message_kinds import LANES, Kind, Lane
 from .busy_time import BusyTime
 
 Input = Callable[[], None]
--- a/yarrowloom/node/messages.py
+++ b/yarrowloom/node/messages.py
@@ -9,8 +9,8 @@
 from ..cluster_state.registry_rows import CoreMember, MinionRow
 from ..common.records import Record
 from ..replication.epoch import Epoch
-from ..transport.envelope import Kind
 from ..transport.message import Message
+from ..transport.message_kinds import Kind
 
 
 class RegistryUpdate(Record, frozen=True, kw_only=True, rename={"version": "mods", "evacuated_zones": "evac"}):
--- a/yarrowloom/node/node_base.py
+++ b/yarrowloom/node/node_base.py
@@ -10,9 +10,10 @@
 from ..common.log import Log
 from ..common.settings import NodeSettings
 from ..replication.epoch import Epoch, addr_of
-from ..transport.envelope import Kind, dump
+from ..transport.envelope import dump
 from ..transport.http_server import Response
 from ..transport.message import Message
+from ..transport.message_kinds import Kind
 from .config_dissemination import ConfigDissemination
 from .config_freshness import Freshness
 from .epochs import KnownEpochs
--- a/yarrowloom/node/outputs.py
+++ b/yarrowloom/node/outputs.py
@@ -4,8 +4,8 @@
 from typing import Any
 
 from ..common.effects import Effect
-from ..transport.envelope import Kind
 from ..transport.http_server import Response
+from ..transport.message_kinds import Kind
 
 
 @dataclass(kw_only=True)
--- a/yarrowloom/node/runtime.py
+++ b/yarrowloom/node/runtime.py
@@ -15,8 +15,8 @@
 from ..common.log import Log
 from ..common.settings import load as load_settings
 from ..storage import RingJournal
-from ..transport.envelope import Kind, Lane
 from ..transport.http_server import Limits, Request, Response, Server, listen
+from ..transport.message_kinds import Kind, Lane
 from ..transport.peer_connections import Messages, PeerConnections
 from .admission_deadline import admission_deadline_s
 from .core import CoreNode
--- a/yarrowloom/simulator/faulty_cluster.py
+++ b/yarrowloom/simulator/faulty_cluster.py
@@ -10,8 +10,8 @@
 
 from ..common.effects import NoEffect
 from ..storage import SNAPSHOT_END
-from ..transport.envelope import LANES, Kind, Lane
 from ..transport.http_server import Response
+from ..transport.message_kinds import LANES, Kind, Lane
 from .cluster import Sim
 from .errors import SimError
 from .events import Answer, Check, Event, Invocation
--- a/yarrowloom/simulator/link_cluster.py
+++ b/yarrowloom/simulator/link_cluster.py
@@ -8,7 +8,7 @@
 
 from ..common.settings import NodeSettings
 from ..node.edge import EdgeNode
-from ..transport.envelope import LANES, Kind, Lane
+from ..transport.message_kinds import LANES, Kind, Lane
 from .cluster import Sim
 from .errors import SimError
 from .machines.process import Proc
--- a/yarrowloom/simulator/machines/frames.py
+++ b/yarrowloom/simulator/machines/frames.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from ...transport.envelope import Lane
+from ...transport.message_kinds import Lane
 from ...transport.sequence_tracker import SequenceTracker
 
 
--- a/yarrowloom/simulator/machines/machine_set.py
+++ b/yarrowloom/simulator/machines/machine_set.py
@@ -15,8 +15,8 @@
 from ...node.recovery import recover
 from ...node.runtime import TICK_CORE_S
 from ...storage import SNAPSHOT_END
-from ...transport.envelope import Kind, Lane
 from ...transport.http_server import Response
+from ...transport.message_kinds import Kind, Lane
 from ..digest import RunDigest
 from ..errors import SimError
 from .process import Disk, Proc
--- a/yarrowloom/testbed/virtual_testbed.py
+++ b/yarrowloom/testbed/virtual_testbed.py
@@ -21,8 +21,8 @@
 from ..node.core import CoreNode
 from ..node.edge import EdgeNode
 from ..replication.epoch import addr_of
-from ..transport.envelope import Kind
 from ..transport.http_server import Request, Response
+from ..transport.message_kinds import Kind
 from .callers import HOST
 from .fleet import Crew
 from .judge import Judge
--- a/yarrowloom/transport/envelope.py
+++ b/yarrowloom/transport/envelope.py
@@ -9,10 +9,7 @@
 import orjson
 
 from ..common.records import Record
-from .message_kinds import LANE_NUMBERS
-from .message_kinds import LANES as LANES
-from .message_kinds import Kind as Kind
-from .message_kinds import Lane as Lane
+from .message_kinds import LANE_NUMBERS, Kind, Lane
 
 MAX_FRAME_BYTES = 32 * 1024 * 1024
 _LEN = struct.Struct(">I")
--- a/yarrowloom/transport/message.py
+++ b/yarrowloom/transport/message.py
@@ -3,7 +3,7 @@
 from typing import ClassVar
 
 from ..common.records import Record
-from .envelope import Kind
+from .message_kinds import Kind
 
 
 class Message(Record, frozen=True, kw_only=True):
