--- a/yarrowloom/agent/agent.py
+++ b/yarrowloom/agent/agent.py
@@ -226,7 +226,7 @@
     def _scan_watched(self, *, claims: AttachmentClaims) -> None:
         table = self._table
         for minion in [self.minions[minion_id] for minion_id in sorted(table.watched) if minion_id in self.minions]:
-            if minion.phase is not Phase.KNOWN or len(minion.attachments) < len(table.group_ids):
+            if minion.phase is not Phase.KNOWN or len(minion.attachments) < table.group_count:
                 self._look_after(minion, claims=claims)
                 continue
             self._serve(minion)
@@ -235,7 +235,8 @@
 
     def _serve(self, minion: Minion) -> None:
         """What is due soonest: reports of ends, and the response to a heartbeat that waited long enough."""
-        self._ends.report(minion)
+        if minion.ends:
+            self._ends.report(minion)
         pending = minion.pending_heartbeat
         if pending is not None and self.environment.now >= pending.respond_at:
             self._responder.respond_if_due(minion)
@@ -255,5 +256,5 @@
                 self._runs.reject_unsent(minion)  # they go elsewhere, long before the minion counts as lost
             self._serve(minion)
             is_waiting = bool(minion.ends) or minion.pending_heartbeat is not None
-            if is_waiting or len(minion.attachments) < len(table.group_ids):
+            if is_waiting or len(minion.attachments) < table.group_count:
                 table.watched.add(minion.minion_id)
--- a/yarrowloom/agent/minion.py
+++ b/yarrowloom/agent/minion.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from msgspec import UnsetType
+from msgspec import UNSET
 
 from ..common.resources import NO_RESOURCES, Resources
 from .heartbeat import DRAINING, ListedRun, MinionHeartbeat
@@ -231,11 +231,11 @@
         """Take over what a heartbeat tells."""
         self.last_heartbeat_at, self.retry_after_s = now, 0.0
         self.last_call_number = self.call_number_of(heartbeat)
-        if not isinstance(heartbeat.service, UnsetType):
+        if heartbeat.service is not UNSET:
             self.service = heartbeat.service
-        if not isinstance(heartbeat.zone, UnsetType):
+        if heartbeat.zone is not UNSET:
             self.zone = heartbeat.zone
-        if not isinstance(heartbeat.labels, UnsetType):
+        if heartbeat.labels is not UNSET:
             self.labels = heartbeat.labels
         self.capacity = heartbeat.capacity.resources
         if heartbeat.state == DRAINING:
@@ -249,7 +249,7 @@
     def call_number_of(self, heartbeat: MinionHeartbeat) -> int:
         """The number of a heartbeat; one without a number counts as the next."""
         number = heartbeat.call_number
-        return self.last_call_number + 1 if isinstance(number, UnsetType) else number
+        return self.last_call_number + 1 if number is UNSET else number
 
     def skip_acknowledged_ends(self) -> None:
         """Move `last_acknowledged_end` over ends that are acknowledged.
@@ -266,8 +266,11 @@
 
     def has_listed_end(self, *, task: str, run: int) -> bool:
         """Whether heartbeats listed an end of this run that is not yet acknowledged."""
-        return any(end.task == task and end.run == run for end in self.ends.values())
+        for end in self.ends.values():
+            if end.task == task and end.run == run:
+                return True
+        return False
 
     def has_unacknowledged_end(self) -> bool:
         """Whether an end is listed that its group has not acknowledged."""
-        return any(number not in self.acknowledged_ends for number in self.ends)
+        return not self.ends.keys() <= self.acknowledged_ends
--- a/yarrowloom/agent/minion_table.py
+++ b/yarrowloom/agent/minion_table.py
@@ -12,6 +12,7 @@
         environment: The node.
         timing: Times from the settings.
         group_ids: All job groups.
+        group_count: How many they are.
         minions: Owned minions, by their IDs.
         watched: Minions that are looked at in every tick, not only in every full scan.
         capacity_changed: Minions whose free capacity, or being open, may differ from what schedulers were told.
@@ -22,6 +23,7 @@
         self.environment = environment
         self.timing = timing
         self.group_ids = tuple(environment.groups())
+        self.group_count = len(self.group_ids)
         self.minions: dict[str, Minion] = {}
         self.watched: set[str] = set()
         self.capacity_changed: set[str] = set()
@@ -44,7 +46,7 @@
 
     def was_attached_by_all(self, minion: Minion) -> bool:
         """Whether every group has attached the minion once under its fence: then all that it should run is known."""
-        return len(minion.once_attached) == len(self.group_ids)
+        return len(minion.once_attached) == self.group_count
 
     def is_overdue(self, minion: Minion) -> bool:
         """Whether a heartbeat that should have come has not: the minion may be cut off or dead.
--- a/yarrowloom/common/records.py
+++ b/yarrowloom/common/records.py
@@ -95,9 +95,12 @@
         Raises:
             MalformedRecordError: The tag is unknown, or a field is missing or of another type.
         """
-        tag = document.get(self._tag_field) if isinstance(document, dict) else None
-        record_type = self._types.get(tag) if isinstance(tag, str) else None
-        if record_type is None:
+        try:
+            record_type = self._types[document[self._tag_field]]
+        except (KeyError, TypeError) as error:  # no such tag, or no document with a tag at all
+            tag = document.get(self._tag_field) if isinstance(document, dict) else None
             known = ", ".join(map(repr, self._types))
-            raise MalformedRecordError(text=f"unknown tag {tag!r} at `$.{self._tag_field}`: expected {known}")
+            raise MalformedRecordError(
+                text=f"unknown tag {tag!r} at `$.{self._tag_field}`: expected {known}"
+            ) from error
         return decode(document, into=record_type)
--- a/yarrowloom/common/resources.py
+++ b/yarrowloom/common/resources.py
@@ -34,6 +34,8 @@
         >>> Resources(-1, 2, 0).above_zero()
         Resources(millicores=0, memory_mb=2, gpus=0)
         """
+        if self.millicores >= 0 and self.memory_mb >= 0 and self.gpus >= 0:
+            return self
         return Resources(max(self.millicores, 0), max(self.memory_mb, 0), max(self.gpus, 0))
 
     def holds(self, other: "Resources") -> bool:
--- a/yarrowloom/jobs/task_name.py
+++ b/yarrowloom/jobs/task_name.py
@@ -1,8 +1,11 @@
 """Names of tasks, as agents, minions and callers use them."""
 
+import re
 from typing import NamedTuple
 
 MOST_DIGITS = 18  # of the numbers in a name
+_NUMBER = f"[0-9]{{1,{MOST_DIGITS}}}"
+_TASK_NAME = re.compile(rf"([^.]*)\.({_NUMBER}\.{_NUMBER})\.({_NUMBER})")
 
 
 class TaskAddress(NamedTuple):
@@ -36,11 +39,8 @@
     >>> parse_task_name("nonsense") is None, parse_task_name("ab.0.1.\u00b3") is None
     (True, True)
     """
-    parts = name.split(".")
-    if len(parts) != 4 or not all(_is_number(part) for part in parts[1:]):
+    match = _TASK_NAME.fullmatch(name)
+    if match is None:
         return None
-    return TaskAddress(job_id=parts[0], unit_key=f"{parts[1]}.{parts[2]}", task_index=int(parts[3]))
-
-
-def _is_number(text: str) -> bool:
-    return text.isascii() and text.isdigit() and len(text) <= MOST_DIGITS
+    job_id, unit_key, index = match.groups()
+    return TaskAddress(job_id=job_id, unit_key=unit_key, task_index=int(index))
--- a/yarrowloom/node/config_dissemination.py
+++ b/yarrowloom/node/config_dissemination.py
@@ -93,7 +93,7 @@
     @property
     def proven_version(self) -> int:
         """The same, but 0 also while the configuration is known to be out of date."""
-        return 0 if self.needs_full_config else self.config_version
+        return 0 if self.needs_full_config or self.table is None else self.table.config_version
 
     def versions_held(self) -> VersionsHeld:
         """What this node holds of the cluster's state."""
--- a/yarrowloom/node/core.py
+++ b/yarrowloom/node/core.py
@@ -132,7 +132,8 @@
 
     def _flush(self) -> None:
         for replica in self.replicas.values():
-            replica.flush()
+            if replica.pipeline.pending_events:
+                replica.flush()
 
     def on_message(self, *, node_id: str, kind: Kind, body: object) -> None:
         """Take one message of a node; `body` is parsed, and the node's from now on.
--- a/yarrowloom/node/messages.py
+++ b/yarrowloom/node/messages.py
@@ -52,7 +52,7 @@
     @property
     def is_empty(self) -> bool:
         """Whether it tells nothing."""
-        return all(part is UNSET for part in (self.config, self.config_delta, self.registry, self.epochs))
+        return self.config is UNSET and self.config_delta is UNSET and self.registry is UNSET and self.epochs is UNSET
 
 
 class VersionsHeld(
--- a/yarrowloom/node/node_base.py
+++ b/yarrowloom/node/node_base.py
@@ -3,6 +3,7 @@
 from collections.abc import Sequence
 from typing import Any
 
+import msgspec
 import orjson
 from msgspec import UNSET
 
@@ -25,6 +26,8 @@
 
 JOB_GROUPS = 1
 
+_encode = msgspec.json.Encoder().encode  # prepared once: each message passes it
+
 
 class NodeBase:
     """A node of either kind, as a state machine without sockets, disk or clocks.
@@ -71,7 +74,7 @@
 
     def send_message(self, *, node_id: str, message: Message) -> None:
         """Send a message to another node, or to this one."""
-        self.out.sends.append((addr_of(node_id=node_id), message.KIND, message.encoded()))
+        self.out.sends.append((addr_of(node_id=node_id), message.KIND, _encode(message)))
 
     def respond(self, *, call: object, response: Response) -> None:
         """Answer an HTTP call."""
@@ -120,7 +123,8 @@
 
     def route(self, *, name: str) -> Route | None:
         """The route of a queue."""
-        return self.table.routes.get(name) if self.table is not None else None
+        table = self.dissemination.table
+        return table.routes.get(name) if table is not None else None
 
     def select(self, *, host: str, path: str) -> str:
         """The queue that a path belongs to by the configuration in force here; empty: none."""
--- a/yarrowloom/scheduling/capacity.py
+++ b/yarrowloom/scheduling/capacity.py
@@ -43,6 +43,7 @@
         warm_rank: See `warm_reserved`.
         warm_until: See `warm_reserved`; monotonic seconds.
         avoid_until: Nothing new is placed on it before this time, monotonic seconds.
+        rack: By its labels, which never change; empty if they tell none.
     """
 
     minion_id: str
@@ -67,6 +68,7 @@
     warm_rank: int = 0
     warm_until: float = 0.0
     avoid_until: float = 0.0
+    rack: str = field(init=False)
 
     def reattached(self, *, attachment: int, now: float) -> "MinionCapacity":
         """The same minion under a new attachment: what was known of its resources, and leases on it, are void."""
@@ -85,10 +87,9 @@
             attached_at=now,
         )
 
-    @property
-    def rack(self) -> str:
+    def __post_init__(self) -> None:
         """By the published order, a minion's kind is its first label and its rack the second."""
-        return self.labels[1] if len(self.labels) > 1 else ""
+        self.rack = self.labels[1] if len(self.labels) > 1 else ""
 
 
 @dataclass(slots=True)
@@ -133,7 +134,9 @@
 
     def add_free(self, *, minion: MinionCapacity, free: Resources) -> None:
         """Count what is free on a minion."""
-        rack = self.racks.setdefault(minion.rack, RackCapacity())
+        rack = self.racks.get(minion.rack)
+        if rack is None:
+            rack = self.racks[minion.rack] = RackCapacity()
         rack.free = rack.free.plus(free.above_zero())
         rack.minion_ids.add(minion.minion_id)
 
@@ -253,13 +256,11 @@
     def _reindex(self, minion: MinionCapacity) -> None:
         """Work out what is free on a minion, and keep index, sums and `grown` in step with it."""
         old_free, old_key = minion.free, minion.index_key
+        reported, idle, returned, in_flight = minion.reported, minion.idle_leased, minion.returned, minion.in_flight
         free = minion.free = Resources(
-            *(
-                reported + idle + returned - in_flight
-                for reported, idle, returned, in_flight in zip(
-                    minion.reported, minion.idle_leased, minion.returned, minion.in_flight, strict=True
-                )
-            )
+            reported.millicores + idle.millicores + returned.millicores - in_flight.millicores,
+            reported.memory_mb + idle.memory_mb + returned.memory_mb - in_flight.memory_mb,
+            reported.gpus + idle.gpus + returned.gpus - in_flight.gpus,
         )
         key = (max(free.gpus, 0), free.millicores) if minion.is_open else None
         if key == old_key and free == old_free:
@@ -277,7 +278,7 @@
                 service.insert_key(minion_id=minion.minion_id, key=key)
             if old_key is None:
                 service.add(minion=minion)
-            if old_key is None or any(new > old for new, old in zip(free, old_free, strict=True)):
+            if old_key is None or not old_free.holds(free):
                 self.grown.setdefault(minion.service, {})[minion.minion_id] = free
         elif old_key is not None:
             service.racks[minion.rack].minion_ids.discard(minion.minion_id)
