--- a/yarrowloom/testbed/local.py
+++ b/yarrowloom/testbed/local.py
@@ -21,7 +21,7 @@
 MOST_MINIONS = 4000
 
 
-class Interrupted(YarrowError):
+class InterruptedRunError(YarrowError):
     """A signal asked for the end; the exit code is the shell's for it."""
 
     code = "interrupted"
@@ -59,7 +59,7 @@
         raise known from group
     finally:
         if got:
-            raise Interrupted(num=got[0])
+            raise InterruptedRunError(num=got[0])
 
 
 def show(*, what: str, **fields: object) -> None:
