--- a/yarrowloom/cli.py
+++ b/yarrowloom/cli.py
@@ -108,9 +108,10 @@
         digest: bool = False,
         more_faults: bool = False,
     ) -> None:
-        """Play one simulated run of SIZE core nodes with faults from a file (TOML) or drawn from the seed; exits 1 if
-        a rule was broken. --digest also prints, as the last line, a SHA-256 over all frames, disk records and HTTP
-        responses of the run; --more-faults also draws kinds of faults that are not drawn as a rule.
+        """Play one simulated run of SIZE core nodes with faults from a file (TOML) or drawn from the seed.
+
+        Exits 1 if a rule was broken. --digest also prints, as the last line, a SHA-256 over all frames, disk records
+        and HTTP responses of the run; --more-faults also draws kinds of faults that are not drawn as a rule.
         """
         from .simulator.command import simulate
 
@@ -128,8 +129,10 @@
         replay: str = "",
         more_faults: bool = False,
     ) -> None:
-        """Play many simulated runs until MOST of them broke a rule, shrink and tell these, keep them as files in OUT;
-        or REPLAY such a file step by step. --more-faults as with `simulate`. Exits 1 if a rule was broken.
+        """Play many simulated runs until MOST of them broke a rule, or REPLAY a recorded run step by step.
+
+        The runs that broke a rule are shrunk, reported and kept as files in OUT, which REPLAY reads. --more-faults
+        as with `simulate`. Exits 1 if a rule was broken.
         """
         from .simulator.command import hunting
         from .simulator.command import replay as again
--- a/yarrowloom/loadgen/generator.py
+++ b/yarrowloom/loadgen/generator.py
@@ -65,11 +65,13 @@
         """Send all, wait for all."""
         rng = random.Random(self.seed)
         rows = [(self.job(rng=rng), rng.choice(self.addresses)) for _ in range(self.jobs)]
-        async with httpcore.AsyncConnectionPool(max_connections=100, network_backend=None) as pool:
-            async with trio.open_nursery() as nursery:
-                for (job_id, document), address in rows:
-                    nursery.start_soon(self._one, pool, address, job_id, document)
-                    await trio.sleep(1 / self.rate)
+        async with (
+            httpcore.AsyncConnectionPool(max_connections=100, network_backend=None) as pool,
+            trio.open_nursery() as nursery,
+        ):
+            for (job_id, document), address in rows:
+                nursery.start_soon(self._one, pool, address, job_id, document)
+                await trio.sleep(1 / self.rate)
         if self.unreached and not self.accept_ms and not self.refused:
             raise UsageError(
                 text="no target answered",
--- a/yarrowloom/testbed/callers.py
+++ b/yarrowloom/testbed/callers.py
@@ -2,8 +2,9 @@
 
 import random
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, TypedDict, Unpack
 
+import httpcore
 import orjson
 import trio
 
@@ -89,7 +90,9 @@
     steps: float = 0.3
     lines: dict[str, list[Line]] = field(default_factory=dict)
 
-    async def _call(self, *, pool: Any, address: str, method: str, job_id: str, body: bytes = b"") -> tuple[int, Any]:
+    async def _call(
+        self, *, pool: httpcore.AsyncConnectionPool, address: str, method: str, job_id: str, body: bytes = b""
+    ) -> tuple[int, Any]:
         """As the load's own, on a connection that is free or a new one."""
         idle = self.lines.setdefault(address, [])
         line = idle.pop() if idle else Line()
@@ -127,6 +130,16 @@
         return job_id, document
 
 
+class LoadOptions(TypedDict, total=False):
+    """Fields of `HollowLoad` that a caller of `loads` may set for all queues alike."""
+
+    task_ms: tuple[int, int]
+    tasks: tuple[int, ...]
+    gangs: float
+    steps: float
+    poll_s: float
+
+
 def loads(
     *,
     addresses: list[str],
@@ -137,7 +150,7 @@
     queues: tuple[Queue, ...] = QUEUES,
     wait_s: float = 60.0,
     kind: type[HollowLoad] = HollowLoad,
-    **more: Any,
+    **more: Unpack[LoadOptions],
 ) -> dict[str, HollowLoad]:
     """One load a queue, by shares; jobs that the shares leave over go to the first that has one."""
     whole = sum(q.share for q in queues)
--- a/yarrowloom/testbed/cluster.py
+++ b/yarrowloom/testbed/cluster.py
@@ -50,8 +50,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Shape:
-    """Sizes of a cluster. `port` 0: free ones are found; else `port` to `port` + 18 are used. `net`: the first three
-    numbers of its addresses, drawn if empty.
+    """Sizes and addresses of a cluster.
+
+    With `port` 0, free ports are found; otherwise `port` to `port` + 18 are used. `net` holds the first three
+    numbers of the cluster's IPv4 addresses; they are drawn at random if it is empty.
     """
 
     cores: int = 3
@@ -276,7 +278,7 @@
     # -- calls
 
     async def call(
-        self, *, method: str, address: str, path: str, document: Any = None, **heads: str
+        self, *, method: str, address: str, path: str, document: object = None, **heads: str
     ) -> tuple[int, Any]:
         """One call; status 0: not reached."""
         try:
--- a/yarrowloom/testbed/experiment.py
+++ b/yarrowloom/testbed/experiment.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+import httpcore
 import orjson
 import trio
 from hdrh.histogram import HdrHistogram
@@ -44,7 +45,9 @@
 
     begun: dict[str, float] = field(default_factory=dict)
 
-    async def _one(self, pool: Any, address: str, job_id: str, document: dict[str, Any]) -> None:
+    async def _one(
+        self, pool: httpcore.AsyncConnectionPool, address: str, job_id: str, document: dict[str, Any]
+    ) -> None:
         self.begun[job_id] = trio.current_time()
         await super()._one(pool, address, job_id, document)
 
--- a/yarrowloom/testbed/judge.py
+++ b/yarrowloom/testbed/judge.py
@@ -20,8 +20,10 @@
 
 @dataclass(kw_only=True)
 class Judge:
-    """Each entry of `broken` begins with a rule's name. Invariant: `alive` lists the runs on minions that are up,
-    `needs` what each of their tasks takes.
+    """The rules' violations, and the state of jobs and runs that is needed to find them.
+
+    Each entry of `broken` begins with the name of the violated rule. Invariant: `alive` lists the runs on minions
+    that are up, `needs` the resources that each of their tasks takes.
     """
 
     jobs: dict[str, Told] = field(default_factory=dict)
@@ -41,7 +43,7 @@
     def started(self, *, m: Hollow, task: str, run: int, spec: str, saved: str) -> None:
         """A task began."""
         self.starts += 1
-        job_id, k, s, _ = task.split(".")
+        job_id, _, s, _ = task.split(".")
         told = self.jobs.get(job_id)
         if told is None or spec != told.document["task-spec"]:
             self.broken.append(f"UNASKED {task}")
@@ -50,6 +52,14 @@
             self.broken.append(f"REFUSED {task}")
         stages = told.document["stages"]
         row = stages[int(s)]
+        self._check_run(told=told, row=row, m=m, task=task, run=run, saved=saved)
+        self._check_order(stages=stages, row=row, task=task)
+        self._check_route(row=row, m=m, task=task)
+        self._limit(m=m, task=task, row=row)
+        self.alive.setdefault(task, []).append((m.minion_id, run))
+
+    def _check_run(self, *, told: Told, row: dict[str, Any], m: Hollow, task: str, run: int, saved: str) -> None:
+        """A run resumes from its own progress, alone, before the task's end is noted and within its tries."""
         if saved and saved[8:] != mark(name=unit_of(task=task) if row.get("gang") else task):
             self.broken.append(f"UNASKED {task} with the progress of another")
         if self.alive.get(task):
@@ -58,17 +68,22 @@
             self.broken.append(f"TWICE {task} run {run} after its end was noted")
         if self.failed.get(task, 0) >= told.tries:
             self.broken.append(f"BUDGET {task}")
+
+    def _check_order(self, *, stages: list[dict[str, Any]], row: dict[str, Any], task: str) -> None:
+        """The stages that this one depends on are done; of a gang, one member's end is enough."""
+        job_id, k, _, _ = task.split(".")
         for d in row.get("depends-on", []):
             ends = [f"{job_id}.{k}.{d}.{i}" in self.done for i in range(stages[d]["task-count"])]
             if not (any(ends) if stages[d].get("gang") else all(ends)):
                 self.broken.append(f"ORDER {task}")
+
+    def _check_route(self, *, row: dict[str, Any], m: Hollow, task: str) -> None:
+        """The minion has the required label and fewer tasks of the unit than the anti-affinity limit."""
         if row.get("requires") and row["requires"] not in m.labels:
             self.broken.append(f"ROUTE {task}")
         apart = row.get("anti-affinity", 0)
         if apart and sum(unit_of(task=t) == unit_of(task=task) for t in m.running) >= apart:
             self.broken.append(f"ROUTE {task} apart")
-        self._limit(m=m, task=task, row=row)
-        self.alive.setdefault(task, []).append((m.minion_id, run))
 
     def _limit(self, *, m: Hollow, task: str, row: dict[str, Any]) -> None:
         """What runs there and the new one must fit; a task that nobody asked for takes nothing."""
--- a/yarrowloom/testbed/pipeline.py
+++ b/yarrowloom/testbed/pipeline.py
@@ -7,8 +7,10 @@
 
 
 class Line:
-    """A connection of a minion or caller, kept from call to call. It reads only what the system writes (a status, a
-    length, a body): with an HTTP library one process could not carry the beats of a thousand minions.
+    """A connection of a minion or caller, kept open from call to call.
+
+    It reads only what the system writes (a status, a length, a body): with an HTTP library one process could not
+    carry the heartbeats of a thousand minions.
     """
 
     def __init__(self) -> None:
--- a/yarrowloom/testbed/plan.py
+++ b/yarrowloom/testbed/plan.py
@@ -21,8 +21,10 @@
 
 
 class Fault(TypedDict):
-    """One thing that goes wrong `at` seconds after the callers begin. `node` names a process; `crash` takes `count`
-    minions; `span` is how long a freeze or a dead process lasts, 0: it stays dead.
+    """One fault, injected `at` seconds after the callers begin.
+
+    `node` names a process; `crash` takes `count` minions; `span` is how many seconds a frozen or killed process
+    stays so, with 0 for a process that is not started again.
     """
 
     at: float
@@ -117,7 +119,7 @@
         return int(self.callers["rate"] * self.duration)
 
 
-def _value(*, val: Any, kind: type, low: float, high: float) -> str:
+def _value(*, val: object, kind: type, low: float, high: float) -> str:
     """What is wrong with a value; nothing if it may be used."""
     if kind is bool or kind is str:
         return "" if isinstance(val, kind) else f"not {'true or false' if kind is bool else 'a text'}"
@@ -128,12 +130,12 @@
             and all(isinstance(v, int) and not isinstance(v, bool) and low <= v <= high for v in val)
         )
         return "" if good else f"not a list of whole numbers from {low:g} to {high:g}"
-    if isinstance(val, bool) or not isinstance(val, int if kind is int else (int, float)):
+    if isinstance(val, bool) or not isinstance(val, (int, float)) or (kind is int and not isinstance(val, int)):
         return "not a whole number" if kind is int else "not a number"
     return "" if low <= val <= high else f"not from {low:g} to {high:g}"
 
 
-def _table(*, document: Any, place: str, name: str, bad: list[Finding]) -> dict[str, Any]:
+def _table(*, document: object, place: str, name: str, bad: list[Finding]) -> dict[str, Any]:
     keys = _KEYS[name]
     if not isinstance(document, dict):
         bad.append(Finding(place=place or "(file)", text="not a table"))
@@ -176,7 +178,7 @@
         bad.append(Finding(place=f"{place}.at-s", text="ends after the experiment"))
 
 
-def check(*, document: Any, half_mb: float = 0.0) -> Plan:
+def check(*, document: object, half_mb: float = 0.0) -> Plan:
     """The plan, or every finding; `half_mb` is what it may use of memory, 0: not looked at.
 
     >>> try:
@@ -187,22 +189,37 @@
     """
     bad: list[Finding] = []
     top = _table(document=document, place="", name="", bad=bad)
-    document = document if isinstance(document, dict) else {}
+    tables = document if isinstance(document, dict) else {}
     parts = {
-        name: _table(document=document.get(name, {}), place=name, name=name, bad=bad)
+        name: _table(document=tables.get(name, {}), place=name, name=name, bad=bad)
         for name in ("cluster", "minions", "callers", "changes")
     }
-    queues, faults = (_rows(document=document, name=name, bad=bad) for name in ("queues", "faults"))
-    clu, span = parts["cluster"], parts["callers"]["task-ms"]
+    queues, faults = (_rows(document=tables, name=name, bad=bad) for name in ("queues", "faults"))
+    _check_mix(top=top, callers=parts["callers"], bad=bad)
+    cluster = parts["cluster"]
+    names = {f"core-{i}" for i in range(cluster["cores"])} | {f"edge-{i}" for i in range(cluster["edges"])}
+    for i, row in enumerate(faults):
+        _fault(row=row, place=f"faults[{i}]", names=names, top=top, bad=bad)
+    _check_queues(queues=queues, bad=bad)
+    _check_size(cluster=cluster, minions=parts["minions"]["count"], half_mb=half_mb, bad=bad)
+    if bad:
+        raise InvalidPlanError(text="the experiment cannot be run", findings=bad)
+    return _plan(top=top, parts=parts, queues=queues, faults=faults)
+
+
+def _check_mix(*, top: dict[str, Any], callers: dict[str, Any], bad: list[Finding]) -> None:
+    """The experiment's name and the mix of jobs."""
+    span = callers["task-ms"]
     if top["name"] is not None and not str(top["name"]).replace("-", "").isalnum():
         bad.append(Finding(place="name", text="not letters, digits and hyphens"))
     if len(span) != 2 or span[0] > span[1]:
         bad.append(Finding(place="callers.task-ms", text="not two rising numbers"))
-    if parts["callers"]["gangs"] + parts["callers"]["steps"] > 1:
+    if callers["gangs"] + callers["steps"] > 1:
         bad.append(Finding(place="callers.gangs", text="gangs and steps together above 1"))
-    names = {f"core-{i}" for i in range(clu["cores"])} | {f"edge-{i}" for i in range(clu["edges"])}
-    for i, row in enumerate(faults):
-        _fault(row=row, place=f"faults[{i}]", names=names, top=top, bad=bad)
+
+
+def _check_queues(*, queues: list[dict[str, Any]], bad: list[Finding]) -> None:
+    """Queues have names of their own, and at least one has a share."""
     seen: set[str] = set()
     for i, row in enumerate(queues):
         if row["name"] in seen:
@@ -211,13 +228,22 @@
             seen.add(row["name"])
     if queues and not any(row["share"] for row in queues):
         bad.append(Finding(place="queues", text="no queue has a share"))
-    if clu["cores"] + clu["edges"] > MOST_PROCS:
+
+
+def _check_size(*, cluster: dict[str, Any], minions: int, half_mb: float, bad: list[Finding]) -> None:
+    """The processes and their memory fit on this machine; `half_mb` 0: memory is not checked."""
+    processes = cluster["cores"] + cluster["edges"]
+    if processes > MOST_PROCS:
         bad.append(Finding(place="cluster", text=f"more than {MOST_PROCS} processes"))
-    need = (clu["cores"] + clu["edges"]) * NODE_MB + parts["minions"]["count"] * MINION_MB + SELF_MB
+    need = processes * NODE_MB + minions * MINION_MB + SELF_MB
     if half_mb and need > half_mb:
         bad.append(Finding(place="cluster", text=f"may need {need:.0f} MB; half of this machine has {half_mb:.0f} MB"))
-    if bad:
-        raise InvalidPlanError(text="the experiment cannot be run", findings=bad)
+
+
+def _plan(
+    *, top: dict[str, Any], parts: dict[str, dict[str, Any]], queues: list[dict[str, Any]], faults: list[dict[str, Any]]
+) -> Plan:
+    """The plan of checked tables."""
     return Plan(
         name=top["name"],
         about=top["about"],
--- a/yarrowloom/testbed/report.py
+++ b/yarrowloom/testbed/report.py
@@ -1,6 +1,7 @@
 """The report of an experiment: Markdown with plots beside it, drawn by matplotlib, which is imported only here."""
 
 import pathlib
+from itertools import pairwise
 from typing import Any
 
 import matplotlib
@@ -8,6 +9,8 @@
 matplotlib.use("Agg")
 
 from matplotlib import pyplot as plt
+from matplotlib.axes import Axes
+from matplotlib.figure import Figure
 
 PLOTS = (
     ("cpu-s", "processor", "cores", 1.0),
@@ -31,7 +34,7 @@
     fig, axes = plt.subplots(figsize=(8, 4))
     for name, rows in sorted(results["series"].items()):
         xs, ys = [], []
-        for a, b in zip(rows, rows[1:], strict=False):
+        for a, b in pairwise(rows):
             if a["pid"] == b["pid"] and b["at"] > a["at"] and key in a and key in b:
                 xs.append(b["at"])
                 ys.append((b[key] - a[key]) / (b["at"] - a["at"]) * scale)
@@ -39,7 +42,7 @@
     _close(fig=fig, axes=axes, results=results, label=label, path=path)
 
 
-def _close(*, fig: Any, axes: Any, results: dict[str, Any], label: str, path: pathlib.Path) -> None:
+def _close(*, fig: Figure, axes: Axes, results: dict[str, Any], label: str, path: pathlib.Path) -> None:
     for fault in results["plan"]["faults"]:
         axes.axvline(fault["at"], color="grey", linestyle=":")
     axes.set_xlabel("s since the callers began")
@@ -63,7 +66,7 @@
         axes.plot([r["at"] for r in rows], [r["rss"] / 1e6 for r in rows], label=name, linewidth=1)
     _close(fig=fig, axes=axes, results=results, label="MB resident", path=folder / "memory.svg")
     fig, axes = plt.subplots(figsize=(8, 4))
-    keys = [k for k in ("p50-ms", "p90-ms", "p99-ms", "p99.9-ms", "p100-ms")]
+    keys = ["p50-ms", "p90-ms", "p99-ms", "p99.9-ms", "p100-ms"]
     for name, row in results["latencies"].items():
         if row["count"]:
             axes.plot(range(len(keys)), [row[k] for k in keys], marker="o", label=f"{name} ({row['count']})")
--- a/yarrowloom/testbed/simulated_minion.py
+++ b/yarrowloom/testbed/simulated_minion.py
@@ -75,8 +75,10 @@
 
 @dataclass(kw_only=True)
 class Run:
-    """A run on a minion. Invariants: `at` is when its phase ends by itself; while it works, `ready` is when the
-    work itself began and `base` what had been done before, in seconds of `size` in all.
+    """A run on a minion.
+
+    Invariants: `at` is when its phase ends by itself; while it works, `ready` is when the work itself began and
+    `base` what had been done before, in seconds of `size` in all.
     """
 
     task: str
@@ -138,8 +140,10 @@
 
 
 class Hollow:
-    """Invariants: at most one beat is open; a number of `ends` is used once in a life; `top` holds the highest run
-    started or stopped of each task; nothing runs beyond `hold`.
+    """A simulated minion, which sends heartbeats and keeps runs without executing anything.
+
+    Invariants: at most one heartbeat is open; a number of `ends` is used once in an incarnation; `top` holds the
+    highest run started or stopped of each task; nothing runs beyond `hold`.
     """
 
     def __init__(
--- a/yarrowloom/testbed/slopes.py
+++ b/yarrowloom/testbed/slopes.py
@@ -20,6 +20,7 @@
 from ..transport.http_server import Request, Response, Server
 from .callers import QUEUES, HollowLoad, config
 from .fleet import Crew
+from .simulated_minion import Hollow
 from .state_cost import Row, clock_us, jobs_state, routes_state
 from .virtual_testbed import Bed, Cost, Seat
 from .work import write
@@ -163,9 +164,9 @@
     first: dict[str, float] = {}
     whole = bed.judge.started
 
-    def started(**kw: Any) -> None:
-        first.setdefault(kw["task"][:16], bed.now)
-        whole(**kw)
+    def started(*, m: Hollow, task: str, run: int, spec: str, saved: str) -> None:
+        first.setdefault(task[:16], bed.now)
+        whole(m=m, task=task, run=run, spec=spec, saved=saved)
 
     bed.judge.started = started  # type: ignore[method-assign]
     bed.run(seconds=seconds)
--- a/yarrowloom/testbed/virtual_testbed.py
+++ b/yarrowloom/testbed/virtual_testbed.py
@@ -34,7 +34,7 @@
 TICK_S = {"core": 0.05, "edge": 0.1}
 
 
-def take(node: Any, *, node_id: str, kind: Kind, body: bytes) -> None:
+def take(node: CoreNode | EdgeNode, *, node_id: str, kind: Kind, body: bytes) -> None:
     """Give a node one message."""
     node.on_message(node_id=node_id, kind=kind, body=orjson.loads(body))
 
@@ -240,7 +240,7 @@
         )
 
     def ask(
-        self, *, ip: str, method: str, path: str, document: Any = None, limit: float = 10.0, **heads: str
+        self, *, ip: str, method: str, path: str, document: object = None, limit: float = 10.0, **heads: str
     ) -> tuple[int, Any]:
         """Call and wait; status 0: no answer."""
         got: list[Response] = []
--- a/yarrowloom/testbed/work.py
+++ b/yarrowloom/testbed/work.py
@@ -9,8 +9,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Work:
-    """One step's work. `ms` below 0 never ends by itself; `gang` above 0 is the count of its members; `near` is
-    the rack of its data.
+    """The work of a task of one step.
+
+    `ms` below 0 never ends by itself; `gang` above 0 is the count of its members; `near` is the rack of its data.
     """
 
     ms: int = 500
