--- a/yarrowloom/simulator/cluster.py
+++ b/yarrowloom/simulator/cluster.py
@@ -22,12 +22,13 @@
 
 
 class Sim(Machines):
-    """Frames between machines, and HTTP calls to them. Invariant: frames of one lane arrive in the order in which they
-    were sent.
+    """Simulated machines connected by a network that carries frames and HTTP calls.
+
+    Invariant: frames of one lane between two processes arrive in the order in which they were sent.
     """
 
     def _send(self, ip: str, proc: Proc, dst: str, kind: Kind | None, body: bytes) -> None:
-        """One frame per message; without a kind, only a mark that tells the lane's sequence."""
+        """Send one frame; without a kind, only a mark that tells the receiver the lane's sequence number."""
         lane = LANES[kind] if kind is not None else Lane.WORK
         key = (ip, dst, proc.life, lane)
         seq = self.seq[key] = self.seq.get(key, 0) + 1
@@ -35,7 +36,6 @@
         head = Header(
             ip=ip, node_id=node.node_id, incarnation=node.incarnation, connection=proc.life, lane=lane, seq=seq
         )
-        node_id = head.node_id
         if ip != dst and ((ip, dst) in self.cuts or self.rng.random() < self.loss):
             if lane is Lane.WORK and dst not in proc.owing:
                 proc.owing.add(dst)
@@ -44,31 +44,34 @@
         due = self.now if ip == dst else self.now + 0.001 + self.rng.random() * 0.002
         due = self.last[ip, dst, lane] = max(due, self.last.get((ip, dst, lane), 0.0) + 1e-7)  # in order
 
-        def arrive() -> None:
-            to = self.procs.get(dst)
-            if to is None or not to.up:
-                return
+        self.at(delay=due - self.now, fn=lambda: self._arrive(dst, head, kind, body))
 
-            def take() -> None:
-                fresh, lost = head.taken(seen=to.seen)
-                if not fresh:
-                    return
-                if lost and lane is Lane.WORK and ip != dst:
-                    to.node.on_frames_lost(node_id=node_id)
-                elif lost and lane is Lane.URGENT and ip != dst:
-                    to.node.on_urgent_frames_lost(node_id=node_id)
-                if kind is not None:
-                    to.node.on_message(node_id=node_id, kind=kind, body=orjson.loads(body))
-
-            if to.input_scheduler is None:
-                self.step(dst, to, take)
-            else:
-                self._queue(dst, to, head, kind, body)
+    def _arrive(self, dst: str, head: Header, kind: Kind | None, body: bytes) -> None:
+        """A frame reaches its destination; it is lost if no process runs there."""
+        to = self.procs.get(dst)
+        if to is None or not to.up:
+            return
+        if to.input_scheduler is None:
+            self.step(dst, to, lambda: self._take(dst, to, head, kind, body))
+        else:
+            self._queue(dst, to, head, kind, body)
 
-        self.at(delay=due - self.now, fn=arrive)
+    def _take(self, dst: str, to: Proc, head: Header, kind: Kind | None, body: bytes) -> None:
+        """Give a frame to a node; frames missing before it are reported to the node first."""
+        node_id = head.node_id
+        fresh, lost = head.taken(seen=to.seen)
+        if not fresh:
+            return
+        if lost and head.ip != dst:
+            if head.lane is Lane.WORK:
+                to.node.on_frames_lost(node_id=node_id)
+            elif head.lane is Lane.URGENT:
+                to.node.on_urgent_frames_lost(node_id=node_id)
+        if kind is not None:
+            to.node.on_message(node_id=node_id, kind=kind, body=orjson.loads(body))
 
     def _queue(self, dst: str, to: Proc, head: Header, kind: Kind | None, body: bytes) -> None:
-        """A frame for a process that charges its time: as the runtime takes it."""
+        """Queue a frame for a process whose processor time is charged, as the runtime does."""
         ip, node_id, lane = head.ip, head.node_id, head.lane
         fresh, lost = head.taken(seen=to.seen)
         if lost and lane is Lane.WORK and ip != dst:
@@ -110,7 +113,7 @@
         src: str,
         method: str,
         path: str,
-        document: Any = None,
+        document: object = None,
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
         back: Callable[[Response], None],
@@ -147,7 +150,7 @@
         ip: str,
         method: str,
         path: str,
-        document: Any = None,
+        document: object = None,
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
         limit: float = 6.0,
--- a/yarrowloom/simulator/command.py
+++ b/yarrowloom/simulator/command.py
@@ -3,7 +3,6 @@
 import sys
 from dataclasses import replace
 from pathlib import Path
-from typing import Any
 
 from ..common.errors import Finding, UsageError
 from .digest import RunDigest
@@ -16,7 +15,7 @@
 MOST_JOBS = 256
 
 
-def _whole(*, name: str, value: Any, low: int, high: int, bad: list[Finding]) -> int:
+def _whole(*, name: str, value: object, low: int, high: int, bad: list[Finding]) -> int:
     """A whole number from a flag, or a finding."""
     if isinstance(value, bool) or not isinstance(value, int) or not low <= value <= high:
         bad.append(Finding(place=f"--{name}", text=f"{value!r} is not a whole number from {low} to {high}"))
@@ -24,14 +23,14 @@
     return value
 
 
-def _seconds(*, value: Any, bad: list[Finding]) -> float:
+def _seconds(*, value: object, bad: list[Finding]) -> float:
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not 1 <= value <= MOST_S:
         bad.append(Finding(place="--seconds", text=f"{value!r} is not a number from 1 to {MOST_S:g}"))
         return 1.0
     return float(value)
 
 
-def _settings(*, seed: Any, seconds: Any, size: Any, bad: list[Finding]) -> RunSettings:
+def _settings(*, seed: object, seconds: object, size: object, bad: list[Finding]) -> RunSettings:
     return RunSettings(
         seed=_whole(name="seed", value=seed, low=0, high=MOST_SEED, bad=bad),
         seconds=_seconds(value=seconds, bad=bad),
@@ -44,11 +43,11 @@
         raise UsageError(text="flags that cannot be used", findings=bad)
 
 
-def _from_plan(*, plan: Plan, seed: Any, seconds: Any, size: Any) -> RunSettings:
+def _from_plan(*, plan: Plan, seed: object, seconds: object, size: object) -> RunSettings:
     """Flags come before the file, the file before what is usual."""
     usual, bad = RunSettings(), list[Finding]()
 
-    def pick(flag: Any, filed: Any, default: Any) -> Any:
+    def pick(flag: object, filed: object, default: object) -> object:
         return flag if flag is not None else filed if filed is not None else default
 
     settings = _settings(
@@ -61,16 +60,33 @@
     return RunSettings(seed=settings.seed, seconds=settings.seconds, size=settings.size, faults=plan.faults)
 
 
-def _switch(*, name: str, value: Any) -> bool:
+def _switch(*, name: str, value: object) -> bool:
     """A flag without a value; another value is refused."""
     if not isinstance(value, bool):
         _refuse(bad=[Finding(place=f"--{name}", text=f"{value!r} is neither True nor False")])
     return bool(value)
 
 
-def simulate(*, seed: Any, seconds: Any, size: Any, faults: Any, digest: Any = False, more_faults: Any = False) -> int:
-    """Play one run and print its report, and its digest if asked to; return the exit code. `more_faults` has no effect
-    beside a file.
+def simulate(
+    *, seed: object, seconds: object, size: object, faults: object, digest: object = False, more_faults: object = False
+) -> int:
+    """Play one run, print its report and, if asked to, its digest.
+
+    Args:
+        seed: Seed of the run; None for the one of the file or the default.
+        seconds: Simulated seconds of load; None as above.
+        size: Number of core machines; None as above.
+        faults: Path of a file of faults; if empty, faults are generated from the seed.
+        digest: Whether to print the digest of the run as the last line.
+        more_faults: Whether kinds of faults that are generated only on request are included; has no effect together
+            with a file.
+
+    Returns:
+        The exit code: 1 if a rule was broken, otherwise 0.
+
+    Raises:
+        UsageError: If a flag's value cannot be used.
+        FaultsError: If the file of faults cannot be used.
     """
     more_faults = _switch(name="more-faults", value=more_faults)
     run_digest = RunDigest() if _switch(name="digest", value=digest) else None
@@ -96,7 +112,15 @@
 
 
 def hunting(
-    *, runs: Any, jobs: Any, seed: Any, seconds: Any, size: Any, most: Any, out: str, more_faults: Any = False
+    *,
+    runs: object,
+    jobs: object,
+    seed: object,
+    seconds: object,
+    size: object,
+    most: object,
+    out: str,
+    more_faults: object = False,
 ) -> int:
     """Play many runs; shrink and print those that broke a rule; return the exit code."""
     bad: list[Finding] = []
--- a/yarrowloom/simulator/digest.py
+++ b/yarrowloom/simulator/digest.py
@@ -1,7 +1,6 @@
 """A digest of a simulated run: versions of the product that send, store and answer the same have the same digest."""
 
 import hashlib
-from typing import Any
 
 import orjson
 
@@ -9,7 +8,7 @@
 _TEXT_OF_OBJECT = b'"{'  # how a string that holds a JSON object begins in encoded form
 
 
-def decoded(*, body: bytes) -> Any:
+def decoded(*, body: bytes) -> object:
     """What a body says, whatever the order of its keys. What is not JSON stands for itself, byte by byte.
 
     >>> decoded(body=b'{"a":[1.5]}'), decoded(body=b""), decoded(body=b"no")
@@ -22,7 +21,7 @@
     return _with_texts_decoded(value) if _TEXT_OF_OBJECT in body else value
 
 
-def _with_texts_decoded(value: Any) -> Any:
+def _with_texts_decoded(value: object) -> object:
     """Decode the strings that hold a JSON object, such as the state inside a checkpoint."""
     if isinstance(value, dict):
         return {key: _with_texts_decoded(item) for key, item in value.items()}
@@ -34,8 +33,10 @@
 
 
 class RunDigest:
-    """A SHA-256 over all frames, disk records and HTTP responses of a run, in the order in which they are sent or
-    written. Each is hashed as one line of JSON with sorted keys; simulated times are hashed in full precision.
+    """A SHA-256 over all frames, disk records and HTTP responses of a run.
+
+    They are hashed in the order in which they are sent or written, each as one line of JSON with sorted keys.
+    Simulated times are hashed in full precision.
     """
 
     def __init__(self) -> None:
@@ -66,5 +67,5 @@
         """The digest of all that was added so far: 64 hexadecimal digits."""
         return self._hash.hexdigest()
 
-    def _add(self, *fields: Any) -> None:
+    def _add(self, *fields: object) -> None:
         self._hash.update(orjson.dumps(fields, option=orjson.OPT_SORT_KEYS | orjson.OPT_APPEND_NEWLINE))
--- a/yarrowloom/simulator/events.py
+++ b/yarrowloom/simulator/events.py
@@ -65,8 +65,13 @@
         return []
 
     def about(self, *, text: str, last: int) -> list[Event]:
-        """What has to do with a breach: all events that are not about a single job, those of the breach's job, and
-        of these the last ones.
+        """Return the last events that are relevant to a breach.
+
+        Relevant are the events of the jobs that `text` names, and all events that are not about a single job.
+
+        Args:
+            text: The description of the breach.
+            last: The number of events to return at most.
         """
         words = {word.split(".")[0] for word in text.split()}
         keep = [e for e in self.events if not isinstance(e, JobEvent) or e.job in words]
--- a/yarrowloom/simulator/faults/cluster_faults.py
+++ b/yarrowloom/simulator/faults/cluster_faults.py
@@ -1,5 +1,7 @@
-"""Faults that hit several machines together, or one machine periodically: disks lost beside a power loss, a core split
-into halves, losses that overlap beyond the budget, and a processor quota.
+"""Faults of several machines at once, and the processor quota.
+
+The faults of several machines are lost disks during a power failure, a core partitioned into two halves, and crashes
+that overlap beyond the budget of failures.
 
 Each function begins a fault and returns the callback that ends it. What a fault leaves open (which disk, which half,
 when each machine goes and returns) comes from the cluster's own random numbers, so a seed fixes it.
@@ -20,8 +22,9 @@
 
 
 def lose_disks(fault: Fault, *, sim: TroubledSim) -> EndFault:
-    """As many core machines as the budget allows lose their disks; at the same moment all others lose power: the core
-    machines, with `all-machines` the edge machines too. All return when the fault ends.
+    """Cut the power of all machines and lose as many disks of core machines as the failure budget allows.
+
+    The fault hits the core machines, with `all-machines` the edge machines too. All restart when the fault ends.
     """
     with_edges = fault.where == Role.ALL_MACHINES
     hit = _running(sim=sim, addresses=[*sim.core_ips, *(sim.edge_ips if with_edges else ())])
@@ -39,8 +42,9 @@
 
 
 def split_core(fault: Fault, *, sim: TroubledSim) -> EndFault:
-    """Half of the core machines are cut off from the other half; all other machines, minions, callers and operators
-    reach both halves.
+    """Partition the core machines into two halves.
+
+    All other machines, minions, callers and operators reach both halves.
     """
     half = frozenset(sim.rng.sample(sim.core_ips, len(sim.core_ips) // 2))
     sim.note(who="fault", text=f"one half: {', '.join(sorted(half))}")
@@ -48,8 +52,10 @@
 
 
 def overlapping_losses(fault: Fault, *, sim: TroubledSim) -> EndFault:
-    """Each core machine goes down in the first half of the fault and returns in the second, so that all are down at its
-    middle; as many as the budget allows lose their disks, the others are killed or lose power.
+    """Stop every core machine in the first half of the fault and restart it in the second half.
+
+    All are down in the middle of the fault. As many as the failure budget allows lose their disks; the others are
+    killed or lose power.
     """
     running = _running(sim=sim, addresses=sim.core_ips)
     wiped = _disks_to_lose(sim=sim)
@@ -63,9 +69,10 @@
 
 
 def limit_processor(fault: Fault, *, sim: TroubledSim) -> EndFault:
-    """A quota: in each tenth of a second a process runs at full speed until it has spent its share (`strength`), then
-    not at all. Where the cluster charges no processor time, a process is taken to spend its share at the beginning of
-    each period.
+    """Limit the processor time of core machines to the share `strength` of each period of `QUOTA_PERIOD_S`.
+
+    A process runs at full speed until it has spent its share of a period, then not at all. Where the simulation charges
+    no processor time, a process is assumed to spend its share at the beginning of each period.
     """
     ips = list(sim.core_ips) if fault.where == Role.ALL_CORES else [_address(sim=sim, name=fault.where)]
     if sim.speed:
--- a/yarrowloom/simulator/faults/model.py
+++ b/yarrowloom/simulator/faults/model.py
@@ -110,8 +110,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Fault:
-    """One thing that goes wrong. `where`: a name (`core-0`, `edge-1`, `minion-2`, `all-cores`, `all-machines`, `links`)
-    or a link.
+    """One fault of a run.
+
+    Attributes:
+        kind: What goes wrong.
+        at_s: When it begins, in simulated seconds from the start of the load.
+        for_s: How long it lasts, in seconds.
+        where: The place: `core-0`, `edge-1`, `minion-2`, `all-cores`, `all-machines`, `links`, or two names joined by
+            a slash for the link between them.
+        strength: The degree, within the range of `RULES` for the kind; 0 for kinds without degrees.
     """
 
     kind: FaultKind
@@ -180,7 +187,7 @@
     return None
 
 
-def _where(*, kind: FaultKind, where: Any, place: str, bad: list[Finding]) -> None:
+def _where(*, kind: FaultKind, where: object, place: str, bad: list[Finding]) -> None:
     """Check a fault's place."""
     if not isinstance(where, str):
         bad.append(Finding(place=f"{place}.where", text="missing" if where is None else "not a text"))
@@ -196,7 +203,7 @@
             bad.append(Finding(place=f"{place}.where", text=f"{name!r} is none of {fit}"))
 
 
-def _fault(*, document: Any, place: str, bad: list[Finding]) -> Fault | None:
+def _fault(*, document: object, place: str, bad: list[Finding]) -> Fault | None:
     """One checked entry; None, with findings, if it cannot be used."""
     if not isinstance(document, dict):
         bad.append(Finding(place=place, text="not a table"))
--- a/yarrowloom/simulator/faults/shrink.py
+++ b/yarrowloom/simulator/faults/shrink.py
@@ -13,8 +13,15 @@
 
 
 def shrink(*, report: Report, runs: int = MOST_RUNS, told: Callable[[Report], None] = lambda report: None) -> Report:
-    """A run with fewer and shorter faults that breaks one of the rules that the first one broke. `told` hears of each
-    run that was smaller and still broke it.
+    """Find a run with fewer and shorter faults that breaks one of the rules that `report` broke.
+
+    Args:
+        report: The run to shrink; at least one rule was broken in it.
+        runs: The number of accepted steps at most.
+        told: Called with the report of each smaller run that still broke a rule.
+
+    Returns:
+        The report of the smallest run that was found.
     """
     best = report
     for _ in range(runs):
--- a/yarrowloom/simulator/faulty_cluster.py
+++ b/yarrowloom/simulator/faulty_cluster.py
@@ -1,10 +1,11 @@
-"""The cluster with what faults need: links that stand still, slow disks, clocks that drift, processes that end by
-themselves, and events for whoever watches.
+"""The simulated cluster with the hooks that faults need.
+
+These are blocked links, slow disks, drifting clocks, crashed processes, and events for observers.
 """
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
+from typing import Unpack
 
 import orjson
 
@@ -15,6 +16,7 @@
 from .cluster import Sim
 from .errors import SimError
 from .events import Answer, Check, Event, Invocation
+from .machines.machine_set import ClusterOptions
 from .machines.network import Cut, Cuts, Hold
 from .machines.process import Proc
 
@@ -45,11 +47,13 @@
 
 
 class TroubledSim(Sim):
-    """Invariants: held frames keep their order and overtake none that were sent before them; a machine's steady clock
-    never goes back, whatever its drift.
+    """A simulated cluster in which faults can be injected.
+
+    Invariants: frames held on a blocked link keep their order and overtake no frame that was sent before them; a
+    machine's steady clock never goes back, whatever its drift.
     """
 
-    def __init__(self, *, seed: int, checks: tuple[Check, ...] = (), **kw: Any) -> None:
+    def __init__(self, *, seed: int, checks: tuple[Check, ...] = (), **kw: Unpack[ClusterOptions]) -> None:
         self.checks = checks
         self.started_s = 0.0  # simulated time that counts as 0 in events
         self.clocks: dict[str, SteadyClock] = {}
@@ -205,7 +209,7 @@
         src: str,
         method: str,
         path: str,
-        document: Any = None,
+        document: object = None,
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
         back: Callable[[Response], None],
--- a/yarrowloom/simulator/hunt.py
+++ b/yarrowloom/simulator/hunt.py
@@ -30,8 +30,14 @@
     most: int = 1,
     progress: Callable[[Report], None] = lambda report: None,
 ) -> Hunt:
-    """Play the seeds from `settings.seed` on in `jobs` processes; after `most` runs that broke a rule no more are
-    begun. Each run's report goes to `progress`.
+    """Play `runs` runs with consecutive seeds from `settings.seed` on.
+
+    Args:
+        settings: The settings of the first run; the others differ from it in the seed.
+        runs: The number of runs at most.
+        jobs: The number of processes that play runs at the same time.
+        most: No more runs are begun after so many have broken a rule.
+        progress: Called with the report of each run that ended.
     """
     seeds = iter(range(settings.seed, settings.seed + runs))
     ended, broken = 0, list[Report]()
--- a/yarrowloom/simulator/judges/history.py
+++ b/yarrowloom/simulator/judges/history.py
@@ -77,9 +77,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Operation(Generic[ArgumentT]):
-    """One call. Times are seconds of the recorder's clock; `returned_s` is when the answer came, or when the caller
-    gave up, and `NEVER_S` if neither happened. `status` is the answer's, 0 for none. `nonce` is what the request
-    carried to be recognized by, `echo` what came back of it (None: the answer has no room for it).
+    """One call of a history. Times are in seconds of the recorder's clock.
+
+    Attributes:
+        number: Unique number of the call within its history.
+        process: The caller.
+        argument: What was asked for.
+        invoked_s: When the request was sent.
+        returned_s: When the response came or the caller gave up; `NEVER_S` if neither happened.
+        outcome: Whether the call took effect, as far as the caller knows.
+        status: The HTTP status of the response; 0 if there was none.
+        seen: The value that the response showed, if any.
+        state: The state of a job that the response showed; empty if none.
+        nonce: A value in the request that identifies it.
+        echo: The nonce as the response repeats it; None if the response has no field for it.
     """
 
     number: int
@@ -109,8 +120,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Breach:
-    """A rule that a history breaks, and the operations that contradict each other: a smallest set of them, the rest
-    of the history's answers left out.
+    """A violated rule of a history.
+
+    Attributes:
+        rule: The name of the rule.
+        text: What contradicts it.
+        operations: A minimal set of operations that contradict each other.
     """
 
     rule: str
--- a/yarrowloom/simulator/judges/history_checks.py
+++ b/yarrowloom/simulator/judges/history_checks.py
@@ -29,8 +29,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class JobBounds:
-    """Figures of the rules, in seconds: how soon after an acknowledgement all must know of a job or of its
-    cancelling, and for how long at least an ended job is shown.
+    """Time limits of the rules on jobs.
+
+    Attributes:
+        visible_s: Seconds after its acknowledgement within which every node must show a job or its cancellation.
+        status_s: Seconds for which the state of an ended job is shown at least.
     """
 
     visible_s: float = 3.0
--- a/yarrowloom/simulator/judges/job_rules.py
+++ b/yarrowloom/simulator/judges/job_rules.py
@@ -28,9 +28,11 @@
 
 
 class Judge(Oracle):
-    """Invariants: `alive` holds what runs on minions that are up; `done` what ended so on a minion, noted or not;
-    `noted` and `fails` only what a `last-seen` reached while the minion's hold stood; `texts` every checkpoint that a
-    minion ever made, with whose it is.
+    """Checks the rules on jobs against what minions and callers observe.
+
+    Invariants: `alive` holds the runs on minions that are up; `done` the tasks that ended successfully on a minion,
+    acknowledged or not; `noted` and `fails` only ends that a `last-seen` acknowledged while the minion's lease was
+    valid; `texts` maps every checkpoint that a minion ever made to its owner.
     """
 
     def __init__(self, *, sim: Sim, tries: int = 3) -> None:
--- a/yarrowloom/simulator/link_cluster.py
+++ b/yarrowloom/simulator/link_cluster.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 from dataclasses import replace
-from typing import Any
+from typing import Any, Unpack
 
 import orjson
 
@@ -11,6 +11,7 @@
 from ..transport.message_kinds import LANES, Kind, Lane
 from .cluster import Sim
 from .errors import SimError
+from .machines.machine_set import ClusterOptions
 from .machines.process import Proc
 from .minions import HOST
 
@@ -18,11 +19,16 @@
 
 
 class LinkSim(Sim):
-    """`mbps`: an edge's link, each way; a core's is 100 times that. `frames`: (time, from, to, kind, size, body) of
-    HEARTOK and NEWS; `lose`: frames for which it is true do not arrive.
+    """A simulated cluster whose links have a bandwidth.
+
+    Attributes:
+        mbps: Bandwidth of an edge machine's link in Mbit/s, each way; that of a core machine is 100 times as much.
+        frames: Time, source, destination, kind, size in bytes and body of each heartbeat acknowledgement and cluster
+            update that was sent.
+        lose: Called with source, destination, kind and body of each of these; if true, the frame is lost.
     """
 
-    def __init__(self, *, seed: int, mbps: float = 2.0, **kw: Any) -> None:
+    def __init__(self, *, seed: int, mbps: float = 2.0, **kw: Unpack[ClusterOptions]) -> None:
         self.mbps = mbps
         self.free: dict[tuple[str, str], float] = {}
         self.frames: list[tuple[float, str, str, Kind, int, dict[str, Any]]] = []
--- a/yarrowloom/simulator/machines/disk.py
+++ b/yarrowloom/simulator/machines/disk.py
@@ -46,8 +46,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Outcome:
-    """What a loss of power leaves: for each unsynced name whether it is as it was last, for each unsynced write how
-    many of its bytes are there. The order is that of `SimDisk.unsynced_names` and `SimDisk.unsynced_writes`.
+    """What a power failure leaves of unsynced changes.
+
+    Attributes:
+        names: For each entry of `SimDisk.unsynced_names`, in its order, whether the latest change is kept.
+        writes: For each entry of `SimDisk.unsynced_writes`, in its order, how many bytes are kept.
     """
 
     names: tuple[bool, ...]
@@ -231,8 +234,12 @@
         return [len(write.data) for file in self._files() for write in file.writes if not write.synced]
 
     def outcomes(self, *, rng: random.Random, most: int, cuts: Callable[[int], list[int]]) -> Iterator[Outcome]:
-        """All outcomes of a loss of power, with writes torn at the bytes that `cuts` names for their length. Where
-        there are more than `most`: the two extremes, and a random choice of the others, `most` together.
+        """Yield the possible outcomes of a power failure.
+
+        Args:
+            rng: Selects among the outcomes if there are more than `most`.
+            most: The number of outcomes at most; the two extremes are always among them.
+            cuts: Returns the positions in bytes at which a write of a given length may be torn.
         """
         names = [(False, True)] * len(self.unsynced_names())
         writes = [sorted({0, length, *cuts(length)}) for length in self.unsynced_writes()]
--- a/yarrowloom/simulator/machines/machine_set.py
+++ b/yarrowloom/simulator/machines/machine_set.py
@@ -5,6 +5,7 @@
 import random
 from collections.abc import Callable
 from functools import partial
+from typing import TypedDict
 
 from ...common.log import Log
 from ...common.settings import NodeSettings
@@ -27,8 +28,24 @@
 BOUNDS = {"max-hold-ms": 6000.0, "stop-grace-ms": 400.0, "spread-factor": 2.0, "status_s": 120.0, "grace-s": 6.0}
 
 
+class ClusterOptions(TypedDict, total=False):
+    """Optional arguments of `Machines`, for subclasses and factories that pass them on."""
+
+    zones: int
+    cores: int
+    edges: int
+    sync_s: float
+    speed: float
+    losses: int
+    digest: RunDigest | None
+
+
 class Machines:
-    """Invariant: events at one time run in the order in which they were planned, so a seed fixes the run."""
+    """The machines of a simulated cluster and its queue of events.
+
+    Invariant: events planned for the same time run in the order in which they were planned, so a seed determines the
+    run.
+    """
 
     def __init__(
         self,
@@ -42,8 +59,17 @@
         losses: int = 1,
         digest: RunDigest | None = None,
     ) -> None:
-        """`speed`: of the processor that each core process has for itself; 0: steps take no time. `losses`: disks
-        that may be lost at once. `digest`: takes all that processes send, write and answer.
+        """Start the processes of all machines.
+
+        Args:
+            seed: Seed of all random numbers of the simulation.
+            zones: Number of zones, over which the machines are distributed in turn.
+            cores: Number of core machines.
+            edges: Number of edge machines.
+            sync_s: Mean duration of a disk sync in seconds.
+            speed: Relative speed of the processor that each core process has for itself; 0 if steps take no time.
+            losses: Number of disks that may be lost at the same time.
+            digest: Receives all frames, disk records and HTTP responses of the processes.
         """
         self.digest = digest
         self.speed = speed
@@ -220,8 +246,15 @@
         mark: tuple[int, int, int] = (0, 0, 0),
         until: float = math.inf,
     ) -> None:
-        """An input: carried out at once, or in its turn where processor time is charged. `mark`: the messages, bytes
-        and HTTP calls that come with it.
+        """Give a process an input: at once, or queued where processor time is charged.
+
+        Args:
+            ip: The machine of the process.
+            proc: The process; nothing happens if it no longer runs.
+            fn: Handles the input.
+            rank: The class of the input, which determines its place in the queue.
+            mark: The messages, bytes and HTTP calls that come with the input, for the cost model.
+            until: Simulated time after which a queued input is dropped.
         """
         if proc.input_scheduler is None:
             self.step(ip, proc, fn)
--- a/yarrowloom/simulator/machines/network.py
+++ b/yarrowloom/simulator/machines/network.py
@@ -6,8 +6,13 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Cut:
-    """What goes out of (`outward`) or into (`inward`) the inside is lost. The outside: `others`, or all that are not
-    inside.
+    """A network partition between the addresses in `inside` and those outside.
+
+    Attributes:
+        inside: The addresses on one side.
+        others: The addresses on the other side; if empty, all that are not in `inside`.
+        outward: Whether frames from the inside to the outside are lost.
+        inward: Whether frames from the outside to the inside are lost.
     """
 
     inside: frozenset[str]
--- a/yarrowloom/simulator/minions.py
+++ b/yarrowloom/simulator/minions.py
@@ -1,15 +1,17 @@
 """Stand-ins for minions and callers in the simulated cluster, and an oracle for the rules on jobs."""
 
-from typing import Any
+from typing import Any, Unpack
 
 import orjson
 
 from ..transport.http_server import Response
 from .cluster import Sim
 from .errors import SimError
+from .machines.machine_set import ClusterOptions
 
 HOST = "h.example"
-SLOW = 1.02
+SLOW = 1.02  # a minion's clock runs so much slower than true time
+STOP_S = 0.2  # a run ends so long after the order to stop
 
 
 def config(*, version: int, guards: bool = False, tries: int = 3, more: int = 0) -> dict[str, Any]:
@@ -62,41 +64,62 @@
         return row
 
     def started(self, *, m: "SimMinion", task: str, run: int, spec: str, saved: str) -> None:
-        """A minion begins a task."""
-        job_id, k, s, _ = task.split(".")
+        """Check the start of a task on a minion."""
+        job_id = task.split(".")[0]
         job = self.jobs.get(job_id)
         if job is None or spec != job["task-spec"]:
             self.broken.append(f"UNASKED {task}")
             return
+        self._check_request(task=task, job_id=job_id)
+        self._check_attempts(m=m, task=task, run=run)
+        self._check_order(task=task, job=job)
+        self._check_constraints(m=m, task=task)
+        self._check_capacity(m=m, task=task)
+        self.alive.setdefault(task, []).append((m.minion_id, run))
+
+    def _check_request(self, *, task: str, job_id: str) -> None:
+        """A task runs only for a job that was accepted and not cancelled."""
         if job_id in self.refused and job_id not in self.accepted:
             self.broken.append(f"REFUSED {task}")
         if job_id in self.cancelled and self.sim.now > self.cancelled[job_id] + 3.0:
             self.broken.append(f"UNASKED {task} after cancel")
-        row = self.step_of(task)
+
+    def _check_attempts(self, *, m: "SimMinion", task: str, run: int) -> None:
+        """A task runs on one minion at a time, not after its end, and not more often than the retry limit allows."""
         if self.alive.get(task):
             self.broken.append(f"TWICE {task} run {run} on {m.minion_id}, also {self.alive[task]}")
-        if task in self.noted and not row.get("long-running"):
+        if task in self.noted and not self.step_of(task).get("long-running"):
             self.broken.append(f"TWICE {task} run {run} after its end was noted")
         if self.failed.get(task, 0) >= self.tries:
             self.broken.append(f"BUDGET {task}")
-        for d in row.get("depends-on", []):
+
+    def _check_order(self, *, task: str, job: dict[str, Any]) -> None:
+        """A task runs after the stages that its stage depends on; of a gang, one member's end is enough."""
+        job_id, k, _, _ = task.split(".")
+        for d in self.step_of(task).get("depends-on", []):
             n = job["stages"][d]["task-count"]
             gang = job["stages"][d].get("gang")
             ends = [f"{job_id}.{k}.{d}.{i}" in self.done for i in range(n)]
             if not (any(ends) if gang else all(ends)):
                 self.broken.append(f"ORDER {task}")
+
+    def _check_constraints(self, *, m: "SimMinion", task: str) -> None:
+        """A task runs on a minion with the required label, and its anti-affinity limit holds there."""
+        row = self.step_of(task)
         if row.get("requires") and row["requires"] not in m.labels:
             self.broken.append(f"ROUTE {task}")
         apart = row.get("anti-affinity", 0)
         if apart and sum(t.rsplit(".", 1)[0] == task.rsplit(".", 1)[0] for t in m.running) >= apart:
             self.broken.append(f"ROUTE {task} apart")
+
+    def _check_capacity(self, *, m: "SimMinion", task: str) -> None:
+        """The tasks on a minion fit into its capacity."""
         used = [0, 0, 0]
         for other in [*m.running, task]:
             need = self.step_of(other)
             used = [used[0] + need.get("cpus", 0), used[1] + need.get("mem-mb", 0), used[2] + need.get("gpus", 0)]
         if any(u > c for u, c in zip(used, m.cap, strict=True)):
             self.broken.append(f"LIMIT {m.minion_id} {used} over {m.cap}")
-        self.alive.setdefault(task, []).append((m.minion_id, run))
 
     def ended(self, *, m: "SimMinion", task: str, run: int, how: str) -> None:
         """A minion's run of a task ended."""
@@ -237,7 +260,11 @@
         self.plan(delay=0.1)
 
     def answer(self, *, document: dict[str, Any], sent: float) -> None:
-        """Take the answer to a heartbeat."""
+        """Process the response to a heartbeat that was sent at `sent`.
+
+        A response with a smaller fencing token than one before is ignored, except for when and where the next
+        heartbeat goes.
+        """
         if document.get("beat-target"):
             self.target = document["beat-target"].split(":")[0]
         self.plan(delay=min(document.get("retry-after-ms", 1400), 1400) / 1000)
@@ -249,39 +276,38 @@
             self.hold = max(self.hold, sent + min(document["hold-ms"], 6000) / 1000 * SLOW)
         for n in sorted(self.ends):
             if n <= document.get("last-seen", 0):
-                task, _, how, _, at = self.ends.pop(n)
-                if self.lapsed < at:
-                    self.oracle.note(task=task, how=how)
+                self._end_acknowledged(n)
         for task, run in document.get("stopped", []):
             self.top[task] = max(self.top.get(task, 0), run)
             if task in self.running and self.running[task]["run"] == run:
-                self.sim.at(
-                    delay=0.2,
-                    fn=lambda task=task, run=run: self.finish(  # type: ignore[misc]
-                        task=task, run=run, how="stopped"
-                    ),
-                )
+                self.stop(task=task, run=run)
         for task, run, spec, saved in document.get("started", []):
-            if run <= self.top.get(task, 0):
-                continue
-            self.top[task] = run
-            self.oracle.started(m=self, task=task, run=run, spec=spec, saved=saved)
-            last = self.oracle.step_of(task).get("long-running")
-            how = "failed" if self.sim.rng.random() < self.fail else "done"
-            dur = 1e9 if last else self.work * (0.5 + self.sim.rng.random())
-            begun = self.sim.now
-            self.running[task] = {
-                "run": run,
-                "pct": (lambda at: 50)
-                if last
-                else (lambda at, begun=begun, dur=dur: min(99, int(100 * (at - begun) / dur))),
-            }
-            self.sim.at(
-                delay=dur,
-                fn=lambda task=task, run=run, how=how: self.finish(  # type: ignore[misc]
-                    task=task, run=run, how=how
-                ),
-            )
+            if run > self.top.get(task, 0):
+                self.top[task] = run
+                self.begin(task=task, run=run, spec=spec, saved=saved)
+
+    def _end_acknowledged(self, n: int) -> None:
+        """Forget a listed end that was acknowledged."""
+        task, _, how, _, at = self.ends.pop(n)
+        if self.lapsed < at:
+            self.oracle.note(task=task, how=how)
+
+    def stop(self, *, task: str, run: int) -> None:
+        """Stop a run that was ordered to stop; it ends a little later."""
+        self.sim.at(delay=STOP_S, fn=lambda: self.finish(task=task, run=run, how="stopped"))
+
+    def begin(self, *, task: str, run: int, spec: str, saved: str) -> None:
+        """Start a run of a task; a long-running one ends only by an order."""
+        self.oracle.started(m=self, task=task, run=run, spec=spec, saved=saved)
+        last = self.oracle.step_of(task).get("long-running")
+        how = "failed" if self.sim.rng.random() < self.fail else "done"
+        dur = 1e9 if last else self.work * (0.5 + self.sim.rng.random())
+        begun = self.sim.now
+        self.running[task] = {
+            "run": run,
+            "pct": (lambda at: 50) if last else (lambda at: min(99, int(100 * (at - begun) / dur))),
+        }
+        self.sim.at(delay=dur, fn=lambda: self.finish(task=task, run=run, how=how))
 
     def finish(self, *, task: str, run: int, how: str) -> None:
         """End a run if it still goes on."""
@@ -296,7 +322,7 @@
         self.sim, self.oracle = sim, oracle
         self.n = 0
 
-    def submit(self, *, stages: list[dict[str, Any]], queue: str = "fast", **more: Any) -> str:
+    def submit(self, *, stages: list[dict[str, Any]], queue: str = "fast", **more: object) -> str:
         """Hand a job in; return its ID."""
         self.n += 1
         job_id = f"{self.sim.rng.getrandbits(64):016x}"
@@ -305,7 +331,7 @@
         self._send(job_id=job_id, queue=queue, document=document, left=5)
         return job_id
 
-    def _send(self, *, job_id: str, queue: str, document: Any, left: int) -> None:
+    def _send(self, *, job_id: str, queue: str, document: object, left: int) -> None:
         ip = self.sim.rng.choice(self.sim.edge_ips)
         state = {"done": False}
 
@@ -367,7 +393,7 @@
     work: float = 0.5,
     cap: tuple[int, int, int] = (4000, 8000, 0),
     fail: float = 0.0,
-    **kw: Any,
+    **kw: Unpack[ClusterOptions],
 ) -> tuple[Sim, Oracle, SimCaller, list[SimMinion]]:
     """A configured cluster with minions."""
     sim = Sim(seed=seed, **kw)
--- a/yarrowloom/simulator/observers.py
+++ b/yarrowloom/simulator/observers.py
@@ -84,7 +84,7 @@
                     text=f"serves group {group_id} in epoch {self._epoch(ip=serving[0], group_id=group_id)}",
                 )
 
-    def _epoch(self, *, ip: str, group_id: int) -> Any:
+    def _epoch(self, *, ip: str, group_id: int) -> int | str:
         epoch = self.sim.core(ip).replicas[group_id].epoch
         return "?" if epoch is None else epoch.number
 
--- a/yarrowloom/simulator/operators.py
+++ b/yarrowloom/simulator/operators.py
@@ -1,7 +1,9 @@
-"""Simulated operators: they send configurations, changes, bad orders, evacuations and reads to nodes of their choice,
-send again what had no clear answer, race on one version, repeat what was taken long ago, and record all of it.
+"""Simulated operators that change the cluster's configuration and record their calls.
 
-An operator is a state machine over a `Network`, which tells the time and carries requests. One seed, one run.
+They send configurations, changes, invalid requests, evacuations and reads to nodes of their choice, retry requests
+without a clear response, race on one version, and repeat requests that were accepted long ago.
+
+An operator is a state machine over a `Network`, which tells the time and carries requests. A seed determines a run.
 """
 
 import enum
@@ -126,8 +128,10 @@
 
 
 class Operator:
-    """Invariants: at most `most_under_way` tasks are under way; each call is recorded exactly once, by its answer,
-    when it is given up, or by `close`; an answer that comes after its call was given up counts for nothing.
+    """An operator who carries out several tasks at the same time.
+
+    Invariants: at most `most_under_way` tasks are in progress; each call is recorded exactly once, by its response,
+    when it is given up, or by `close`; a response to a call that was given up is ignored.
     """
 
     def __init__(
--- a/yarrowloom/simulator/run.py
+++ b/yarrowloom/simulator/run.py
@@ -25,8 +25,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RunSettings:
-    """What fixes a run. Without `faults` they are drawn from the seed; with `more_faults` also of the kinds that are
-    not drawn as a rule.
+    """The settings that determine a run.
+
+    Attributes:
+        seed: Seed of all random numbers.
+        seconds: Simulated seconds of load.
+        size: Number of core machines.
+        faults: The faults to inject; None to generate them from the seed.
+        more_faults: Whether generated faults include the kinds that are generated only on request.
     """
 
     seed: int = 1
--- a/yarrowloom/simulator/worker.py
+++ b/yarrowloom/simulator/worker.py
@@ -5,7 +5,7 @@
 
 from .cluster import Sim
 from .judges.job_rules import Judge, owner
-from .minions import SLOW, SimMinion
+from .minions import STOP_S, SimMinion
 
 GANG_WAIT_S = 4.0
 CHECKPOINT_S = 2.0
@@ -18,20 +18,28 @@
 
 @dataclass(kw_only=True)
 class World:
-    """What the tasks are: how long, which fail by their own fault. `made` holds every checkpoint's progress; `present`
-    the members of each gang's run.
+    """Properties of tasks that all workers share.
+
+    Attributes:
+        work: Mean duration of a task in seconds.
+        fail: Probability that a task fails.
+        doomed: Jobs whose tasks always fail.
+        made: By checkpoint: the part of the work that was done when it was made, from 0 to 1.
+        present: By gang and run: the workers on which its members run, by task.
     """
 
     work: float = 0.5
     fail: float = 0.0
-    doomed: set[str] = field(default_factory=set)  # jobs whose tasks fail by their own fault
+    doomed: set[str] = field(default_factory=set)
     made: dict[str, float] = field(default_factory=dict)
     present: dict[tuple[str, int], dict[str, "Worker"]] = field(default_factory=dict)
 
 
 class Worker(SimMinion):
-    """Invariants: a gang's members make progress only while all of one run are present; nothing runs beyond the hold;
-    room counts until the end is listed.
+    """A minion whose tasks make progress, with gangs, checkpoints, failures and draining.
+
+    Invariants: the members of a gang make progress only while all of one run are present; nothing runs after the lease
+    has expired; a task occupies capacity until its end is listed in a heartbeat.
     """
 
     def __init__(
@@ -77,32 +85,22 @@
         super().beat()
 
     def answer(self, *, document: dict[str, Any], sent: float) -> None:
-        """Take the answer to a heartbeat."""
+        """Process the response to a heartbeat; one sent after draining began acknowledges the draining."""
         if self.drained and sent >= self.drained and not self.acked:
             self.acked = self.sim.now
             self.sim.at(delay=LEAVE_S, fn=self.leave)
-        if document.get("beat-target"):
-            self.target = document["beat-target"].split(":")[0]
-        self.plan(delay=min(document.get("retry-after-ms", 1400), 1400) / 1000)
-        fence = document.get("fence-no", 0)
-        if fence < self.fence:
-            return
-        self.fence = fence
-        if "hold-ms" in document:
-            self.hold = max(self.hold, sent + min(document["hold-ms"], 6000) / 1000 * SLOW)
-        for n in sorted(self.ends):
-            if n <= document.get("last-seen", 0):
-                task, run, how, _, at = self.ends.pop(n)
-                self.judge.seen(m=self, num=n, task=task, run=run, how=how, lapsed=self.lapsed >= at)
-        for task, run in document.get("stopped", []):
-            self.top[task] = max(self.top.get(task, 0), run)
-            row = self.running.get(task)
-            if row is not None and row["run"] == run and not row["stop"]:
-                row["stop"] = self.sim.now + 0.2
-        for task, run, spec, saved in document.get("started", []):
-            if run > self.top.get(task, 0):
-                self.top[task] = run
-                self.begin(task=task, run=run, spec=spec, saved=saved)
+        super().answer(document=document, sent=sent)
+
+    def _end_acknowledged(self, n: int) -> None:
+        """Forget a listed end that was acknowledged, and show it to the judge."""
+        task, run, how, _, at = self.ends.pop(n)
+        self.judge.seen(m=self, num=n, task=task, run=run, how=how, lapsed=self.lapsed >= at)
+
+    def stop(self, *, task: str, run: int) -> None:
+        """Stop a run that was ordered to stop; it makes a checkpoint and ends a little later."""
+        row = self.running[task]
+        if not row["stop"]:
+            row["stop"] = self.sim.now + STOP_S
 
     # -- work
 
@@ -183,7 +181,7 @@
         now = self.sim.now
         if now > self.hold:
             self.lapsed = now
-            for task in [t for t in self.running]:
+            for task in list(self.running):
                 if task in self.running:
                     self.end(task=task, how="lapsed")
         for task, row in list(self.running.items()):
--- a/yarrowloom/simulator/workload.py
+++ b/yarrowloom/simulator/workload.py
@@ -1,6 +1,7 @@
 """Callers that ask as they go, and a configured cluster with workers and callers."""
 
-from typing import Any
+from collections.abc import Callable
+from typing import Any, Unpack
 
 import orjson
 
@@ -8,6 +9,7 @@
 from .cluster import Sim
 from .errors import SimError
 from .judges.job_rules import ENDS, Judge
+from .machines.machine_set import ClusterOptions
 from .minions import HOST, SimCaller, config
 from .worker import Worker, World
 
@@ -19,11 +21,11 @@
         super().__init__(sim=sim, oracle=judge)
         self.judge = judge
 
-    def _send(self, *, job_id: str, queue: str, document: Any, left: int) -> None:
+    def _send(self, *, job_id: str, queue: str, document: object, left: int) -> None:
         self.judge.queue[job_id] = queue
         super()._send(job_id=job_id, queue=queue, document=document, left=left)
 
-    def _call(self, *, method: str, job_id: str, back: Any) -> None:
+    def _call(self, *, method: str, job_id: str, back: Callable[[Response], None]) -> None:
         self.sim.http(
             ip=self.sim.rng.choice(self.sim.edge_ips),
             src="caller",
@@ -87,7 +89,7 @@
         racks: int = 3,
         sim: Sim | None = None,
         judge: Judge | None = None,
-        **kw: Any,
+        **kw: Unpack[ClusterOptions],
     ) -> None:
         """`sim`, `judge`: to be used in place of the usual ones, which further arguments are for."""
         self.sim = sim = sim or Sim(seed=seed, **kw)
@@ -230,7 +232,7 @@
         return left()
 
 
-def task(*, n: int = 3, cpus: int = 1000, **more: Any) -> dict[str, Any]:
+def task(*, n: int = 3, cpus: int = 1000, **more: object) -> dict[str, Any]:
     """A step; flags in Python's case."""
     return {
         "task-count": n,
