--- a/yarrowloom/common/__init__.py
+++ b/yarrowloom/common/__init__.py
@@ -1,1 +1,1 @@
-"""base: see docs/design.md."""
+"""What every package uses: errors, logs, settings, and the base classes of records and effects."""
--- a/yarrowloom/node/__init__.py
+++ b/yarrowloom/node/__init__.py
@@ -1,1 +1,1 @@
-"""node: see docs/design.md."""
+"""Core and edge nodes: the state machines of the other packages put together, and the runtime that drives them."""
--- a/yarrowloom/testbed/__init__.py
+++ b/yarrowloom/testbed/__init__.py
@@ -1,4 +1,4 @@
-"""The rig: hollow minions, callers and a small cluster on loopback, for anyone without a bench.
+"""The testbed: simulated minions, clients and a small cluster of real processes on loopback.
 
-Nothing a daemon runs imports this package; plots, samples and histograms need requirements-rig.txt.
+Nothing that a node runs imports this package; plots, samples and histograms need requirements-rig.txt.
 """
--- a/yarrowloom/transport/__init__.py
+++ b/yarrowloom/transport/__init__.py
@@ -1,1 +1,1 @@
-"""wire: see docs/design.md."""
+"""Frames between nodes over TCP, and HTTP/1.1 served to clients, minions and operators."""
