--- a/tests/node/test_recovery.py
+++ b/tests/node/test_recovery.py
@@ -118,7 +118,7 @@
 
     def sent(self: ReplicaStorage, *, with_state: bool) -> list[StoredRecord]:
         assert isinstance(self, Replica)
-        queued = sum(event is not None for event, _ in self.pipeline.pending_events)
+        queued = sum(pending.event is not None for pending in self.pipeline.pending_events)
         return [
             replace(record, last_applied=record.last_applied - queued) if isinstance(record, StateRecord) else record
             for record in records(self, with_state=with_state)
@@ -200,7 +200,8 @@
 
     def waits() -> bool:
         sim.run(seconds=0.0005)
-        return any(event is not None and event["t"] == "start" for event, _ in node.replicas[1].pipeline.pending_events)
+        pending_events = [pending.event for pending in node.replicas[1].pipeline.pending_events]
+        return any(event is not None and event["t"] == "start" for event in pending_events)
 
     assert any(waits() for _ in range(4000))
     journal = [*node.snapshot_records(), SNAPSHOT_END]
--- a/tests/replication/test_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -165,7 +165,7 @@
     real = Replica.snapshot_records
 
     def snapshot_records(self: Replica) -> list[StoredRecord]:
-        waiting = sum(1 for event, _ in self.pipeline.pending_events if event is not None)
+        waiting = sum(1 for pending in self.pipeline.pending_events if pending.event is not None)
         applied = self.last_applied - waiting
         return [
             msgspec.structs.replace(record, last_applied=applied) if isinstance(record, StateRecord) else record
--- a/tests/replication/test_snapshot_any_order.py
+++ b/tests/replication/test_snapshot_any_order.py
@@ -152,7 +152,8 @@
 
     def sent(self: ReplicaStorage, *, with_state: bool) -> list[StoredRecord]:
         out = records(self, with_state=with_state)
-        queued = sum(event is not None for event, _ in self.pipeline.pending_events)  # type: ignore[attr-defined]
+        pending_events = self.pipeline.pending_events  # type: ignore[attr-defined]
+        queued = sum(pending.event is not None for pending in pending_events)
         applied = self.last_applied - queued
         return [replace(record, last_applied=applied) if isinstance(record, StateRecord) else record for record in out]
 
--- a/yarrowloom/jobs/state_machine.py
+++ b/yarrowloom/jobs/state_machine.py
@@ -245,7 +245,7 @@
     def _lose_minion(self, event: MinionLost) -> list[JobEffect]:
         effects: list[JobEffect] = []
         for address in sorted(self.running_by_minion.get(event.minion_id, ())):
-            job_id, unit_key, index = address
+            job_id, unit_key, index = address.job_id, address.unit_key, address.task_index
             task = task_name(job_id=job_id, unit_key=unit_key, index=index)
             run_id = self.jobs[job_id].units[unit_key].run_ids[index]
             if event.runs is not None and (task, run_id) not in event.runs:
--- a/yarrowloom/jobs/task_name.py
+++ b/yarrowloom/jobs/task_name.py
@@ -1,14 +1,15 @@
 """Names of tasks, as agents, minions and callers use them."""
 
 import re
-from typing import NamedTuple
+
+import msgspec
 
 MOST_DIGITS = 18  # of the numbers in a name
 _NUMBER = f"[0-9]{{1,{MOST_DIGITS}}}"
 _TASK_NAME = re.compile(rf"([^.]*)\.({_NUMBER}\.{_NUMBER})\.({_NUMBER})")
 
 
-class TaskAddress(NamedTuple):
+class TaskAddress(msgspec.Struct, frozen=True, order=True):
     """Where a task stands in the state of its job group.
 
     Attributes:
--- a/yarrowloom/replication/batch.py
+++ b/yarrowloom/replication/batch.py
@@ -1,12 +1,14 @@
 """Events on their way to the disks of all holders."""
 
 from dataclasses import dataclass, field
-from typing import Any, NamedTuple
+from typing import Any
+
+import msgspec
 
 from ..common.effects import Effect
 
 
-class PendingEvent(NamedTuple):
+class PendingEvent(msgspec.Struct, frozen=True):
     """Something that waits for the next batch.
 
     Attributes:
--- a/yarrowloom/scheduling/attachment.py
+++ b/yarrowloom/scheduling/attachment.py
@@ -77,7 +77,8 @@
         """Tell the agent what the record has on a minion."""
         runs: list[RecordedRun] = []
         stops: list[StoppedRun] = []
-        for job_id, unit_key, index in sorted(self.context.jobs.running_by_minion.get(minion.minion_id, ())):
+        for address in sorted(self.context.jobs.running_by_minion.get(minion.minion_id, ())):
+            job_id, unit_key, index = address.job_id, address.unit_key, address.task_index
             job = self.context.jobs.jobs[job_id]
             step, run = job.step_of(unit_key=unit_key), job.units[unit_key].run_ids[index]
             task = task_name(job_id=job_id, unit_key=unit_key, index=index)
@@ -139,7 +140,8 @@
         context = self.context
         context.leases.cache.forget(minion_id=minion_id)
         context.capacity.remove(minion_id=minion_id)
-        for job_id, unit_key, index in sorted(context.jobs.running_by_minion.get(minion_id, ())):
+        for address in sorted(context.jobs.running_by_minion.get(minion_id, ())):
+            job_id, unit_key, index = address.job_id, address.unit_key, address.task_index
             task = task_name(job_id=job_id, unit_key=unit_key, index=index)
             context.leases.by_task.pop(task, None)
             context.running.ended(task=task, run=context.jobs.jobs[job_id].units[unit_key].run_ids[index])
--- a/yarrowloom/scheduling/scheduling_pass.py
+++ b/yarrowloom/scheduling/scheduling_pass.py
@@ -323,8 +323,9 @@
     def stop_overdue_runs(self) -> None:
         """Runs far beyond their expected time go on elsewhere from their checkpoint."""
         for service, victim in self.context.preemptor.overdue_runs(now=self.context.environment.now):
-            name = parse_task_name(victim.task)
-            group = self.context.queue.groups.get(name[:2]) if name is not None else None
+            address = parse_task_name(victim.task)
+            unit_id = (address.job_id, address.unit_key) if address is not None else None
+            group = self.context.queue.groups.get(unit_id) if unit_id is not None else None
             if group is not None:
                 group.failed_minion_ids.add(victim.minion_id)
             self._stop(victims=[victim], awaited_by="")
--- a/yarrowloom/scheduling/task_ends.py
+++ b/yarrowloom/scheduling/task_ends.py
@@ -5,7 +5,7 @@
 from ..agent.messages import AcknowledgedEnd, RejectedOrder, TaskEnd, TaskEndsAcknowledged, TaskEndsReport
 from ..jobs.events import RunOutcome, TaskEnded
 from ..jobs.model import Job
-from ..jobs.task_name import parse_task_name
+from ..jobs.task_name import TaskAddress, parse_task_name
 from ..transport.effects import SendMessage
 from .context import SchedulerContext
 from .job_queue import JobQueue
@@ -34,12 +34,12 @@
         self.context.replica.barrier(then=SendMessage(node_id=node_id, message=message))
 
     def _note(self, *, minion_id: str, end: TaskEnd) -> None:
-        name = parse_task_name(end.task)
-        job = self.context.jobs.jobs.get(name[0]) if name is not None else None
+        address = parse_task_name(end.task)
+        job = self.context.jobs.jobs.get(address.job_id) if address is not None else None
         lease = self.context.leases.by_task.pop(end.task, None)
-        if name is not None and job is not None and not job.is_trimmed:
-            job_id, unit_key, index = name
-            self._learn(minion_id=minion_id, job=job, name=name, end=end)
+        if address is not None and job is not None and not job.is_trimmed:
+            job_id, unit_key, index = address.job_id, address.unit_key, address.task_index
+            self._learn(minion_id=minion_id, job=job, address=address, end=end)
             self.context.running.ended(task=end.task, run=end.run)
             self.job_queue.commit(
                 TaskEnded(
@@ -56,9 +56,9 @@
         if lease is not None:
             self.context.leases.cache.put(lease=lease, now=self.context.environment.now)
 
-    def _learn(self, *, minion_id: str, job: Job, name: tuple[str, str, int], end: TaskEnd) -> None:
+    def _learn(self, *, minion_id: str, job: Job, address: TaskAddress, end: TaskEnd) -> None:
         """What an end tells of its minion."""
-        job_id, unit_key, index = name
+        job_id, unit_key, index = address.job_id, address.unit_key, address.task_index
         environment, capacity = self.context.environment, self.context.capacity
         if end.outcome == RunOutcome.ALONE:
             environment.note(event="gang-member-alone", task=end.task, run=end.run)
@@ -82,22 +82,22 @@
         """Runs whose orders were not carried out and never will be: their tasks wait again."""
         for order in orders:
             minion = self.context.capacity.current(minion_id=order.minion_id, attachment=order.attachment)
-            name = parse_task_name(order.task)
-            if name is None or minion is None:
+            address = parse_task_name(order.task)
+            if address is None or minion is None:
                 continue
             lease = self.context.leases.by_task.pop(order.task, None)
             if lease is not None:
                 self.context.leases.give_back([lease])
-            job_id, unit_key, index = name
+            job_id, unit_key, index = address.job_id, address.unit_key, address.task_index
             job = self.context.jobs.jobs.get(job_id)
             unit = job.units.get(unit_key) if job is not None else None
             if unit is None or not unit.is_running(index=index, run_id=order.run):
                 continue
             if unit.minion_ids[index] == order.minion_id:
-                self._note_never_started(order=order, name=name)
+                self._note_never_started(order=order, address=address)
 
-    def _note_never_started(self, *, order: RejectedOrder, name: tuple[str, str, int]) -> None:
-        job_id, unit_key, index = name
+    def _note_never_started(self, *, order: RejectedOrder, address: TaskAddress) -> None:
+        job_id, unit_key, index = address.job_id, address.unit_key, address.task_index
         self.context.running.ended(task=order.task, run=order.run)
         self.job_queue.commit(
             TaskEnded(
