--- a/docs/experiments/growth_collapse.py
+++ b/docs/experiments/growth_collapse.py
@@ -57,24 +57,24 @@
         if not STATE["on"] or not isinstance(proc.node, CoreNode):
             step(self, ip, proc, fn)
             return
-        line = WAIT.setdefault(proc.life, deque())
+        line = WAIT.setdefault(proc.process_number, deque())
         kind = STATE.pop("kind", None)
         if STATE.get("first") and (fn.__name__ == "run" or kind in FIRST):
-            head = STATE.setdefault("heads", {}).setdefault(proc.life, deque())
+            head = STATE.setdefault("heads", {}).setdefault(proc.process_number, deque())
             head.append(fn)
         else:
             line.append(fn)
         drain(self, ip, proc)
 
     def drain(sim: Sim, ip: str, proc: Proc) -> None:
-        line = STATE.get("heads", {}).get(proc.life) or WAIT[proc.life]
-        if not line or sim.now < BUSY.get(proc.life, 0.0) - 1e-9:
+        line = STATE.get("heads", {}).get(proc.process_number) or WAIT[proc.process_number]
+        if not line or sim.now < BUSY.get(proc.process_number, 0.0) - 1e-9:
             return
         fn = line.popleft()
         at = time.process_time()
         step(sim, ip, proc, fn)
         took = (time.process_time() - at) / STATE["share"]
-        BUSY[proc.life] = sim.now + took
+        BUSY[proc.process_number] = sim.now + took
         sim.at(delay=took, fn=lambda: drain(sim, ip, proc))
 
     tick = Sim._tick
@@ -85,11 +85,11 @@
             return
         if not proc.up or self.procs.get(ip) is not proc:
             return
-        if proc.life not in TICK:
-            TICK.add(proc.life)
+        if proc.process_number not in TICK:
+            TICK.add(proc.process_number)
 
             def run() -> None:
-                TICK.discard(proc.life)
+                TICK.discard(proc.process_number)
                 proc.node.tick()
 
             self.step(ip, proc, run)
@@ -240,8 +240,8 @@
         sim.run(seconds=1.0)
         row = [len(oracle.noted) - done, len(oracle.accepted) - acc, caller.n - n]
         done, acc, n = len(oracle.noted), len(oracle.accepted), caller.n
-        lag = max((len(WAIT.get(sim.procs[ip].life, ())) for ip in sim.core_ips), default=0)
-        busy = max((BUSY.get(sim.procs[ip].life, 0.0) - sim.now for ip in sim.core_ips), default=0.0)
+        lag = max((len(WAIT.get(sim.procs[ip].process_number, ())) for ip in sim.core_ips), default=0)
+        busy = max((BUSY.get(sim.procs[ip].process_number, 0.0) - sim.now for ip in sim.core_ips), default=0.0)
         ready = max((len(p.ready) for ip in sim.core_ips for p in sim.core(ip).placers.values()), default=0)
         seen = [e[2] for e in EVENTS if e[0] > sim.now - 1.0]
         print(
--- a/tests/integration/test_published_lines.py
+++ b/tests/integration/test_published_lines.py
@@ -106,13 +106,13 @@
     assert old.running
     old.crash()
     day.judge.trouble(seconds=8.0)
-    new = day.hire(minion_id="i-new", zone=old.zone, cap=(2000, 4000, 0), labels=("a", "r9"), address=old.address)
+    new = day.add_minion(minion_id="i-new", zone=old.zone, cap=(2000, 4000, 0), labels=("a", "r9"), address=old.address)
     fits_new = day.job(task(n=5, requires="r9"))
     day.sim.run(seconds=10.0)
     assert day.judge.shows[fits_new] == "complete"
     assert new.fence > 0
     assert day.judge.shows[needs_old] in ("pending", "active")
-    day.hire(minion_id="i-third", zone=old.zone, cap=old.cap, labels=old.labels)
+    day.add_minion(minion_id="i-third", zone=old.zone, cap=old.cap, labels=old.labels)
     day.finish()
     assert day.judge.shows[needs_old] == "complete"
 
@@ -145,7 +145,7 @@
     if how == "crash":
         minion.crash()
         day.judge.trouble()
-        day.hire(minion_id=f"{minion.minion_id}x", zone=minion.zone, cap=minion.cap, labels=minion.labels)
+        day.add_minion(minion_id=f"{minion.minion_id}x", zone=minion.zone, cap=minion.cap, labels=minion.labels)
         return
     for name in list(minion.running):
         minion.end(task=name, how="failed" if how == "fail" else "done")
--- a/tests/node/test_controller.py
+++ b/tests/node/test_controller.py
@@ -14,7 +14,7 @@
 from yarrowloom.node.core_environment import CoreEnvironment
 from yarrowloom.node.messages import Heartbeat
 from yarrowloom.simulator.cluster import Sim
-from yarrowloom.simulator.minion_population import attached, back, herd, loads, serves
+from yarrowloom.simulator.minion_population import attached, back, loads, populated_cluster, serves
 from yarrowloom.simulator.minions import Oracle, SimCaller
 
 TASK: dict[str, Any] = {"task-count": 3, "cpus": 1000, "mem-mb": 100, "estimate-ms": 500}
@@ -44,16 +44,16 @@
 
 def settled(*, n: int, seed: int, **kw: Any) -> tuple[Sim, Oracle, SimCaller]:
     """Minions attached and evened out."""
-    sim, oracle, caller, _ = herd(seed=seed, minions=n, **kw)
+    sim, oracle, caller, _ = populated_cluster(seed=seed, minions=n, **kw)
     back(sim=sim, n=n)
     sim.run(seconds=20.0)
     return sim, oracle, caller
 
 
 def test_a_storm_of_new_minions_makes_few_commits(monkeypatch: pytest.MonkeyPatch) -> None:
-    sim, _, _, _ = herd(seed=31, minions=1)
+    sim, _, _, _ = populated_cluster(seed=31, minions=1)
     made = watch(sim=sim, monkeypatch=monkeypatch)
-    sim, _, _, _ = herd(seed=31, minions=350)
+    sim, _, _, _ = populated_cluster(seed=31, minions=350)
     back(sim=sim, n=350)
     first = [n for at, n in made if at < 102.2]
     assert sum(first) >= 350
@@ -197,7 +197,7 @@
     """Frames are lost, cores end and freeze, and the controller moves racks between any agents almost all the time."""
     monkeypatch.setattr(minion_rebalancing, "QUIET_S", 0.6)
     monkeypatch.setattr(minion_rebalancing, "QUIET_AFTER_JOIN_S", 0.3)
-    sim, oracle, caller, fleet = herd(seed=60 + seed, minions=24, cores=5, rack=4)
+    sim, oracle, caller, fleet = populated_cluster(seed=60 + seed, minions=24, cores=5, rack=4)
 
     def any_moves(self: OwnerSelector, *, max_moves: int) -> list[MinionMove]:
         there = sim.rng.choice(list(self.ownership.minions_by_domain.values()))
--- a/tests/simulator/test_cluster_faults.py
+++ b/tests/simulator/test_cluster_faults.py
@@ -10,12 +10,19 @@
 
 from yarrowloom.simulator.errors import FaultsError
 from yarrowloom.simulator.events import Answer, Event
-from yarrowloom.simulator.faults.generator import CATCH_UP_S, DISK_LOSSES, RECOVERY_S, Shape, draw, draw_more
+from yarrowloom.simulator.faults.generator import (
+    CATCH_UP_S,
+    DISK_LOSSES,
+    RECOVERY_S,
+    Shape,
+    generate_faults,
+    generate_more_faults,
+)
 from yarrowloom.simulator.faults.injector import Injector
 from yarrowloom.simulator.faults.model import MORE_KINDS, RULES, Fault, FaultKind, Role, check
-from yarrowloom.simulator.faulty_cluster import TroubledSim
+from yarrowloom.simulator.faulty_cluster import FaultyCluster
 from yarrowloom.simulator.machines.processor import QUOTA_PERIOD_S, Quota
-from yarrowloom.simulator.run import Run, RunSettings, play
+from yarrowloom.simulator.run import Run, RunSettings, run_simulation
 
 SIZES = (3, 4, 5, 7)
 SHAPE = Shape(cores=3, edges=1, minions=9, losses=1, seconds=30.0)
@@ -171,7 +178,7 @@
     """The same load on the same processor takes less of it under a quota, and none beyond the quota in any period."""
 
     def spent(share: float) -> list[float]:
-        sim = TroubledSim(seed=5, speed=0.02)
+        sim = FaultyCluster(seed=5, speed=0.02)
         sim.run(seconds=3.0)
         if share:
             sim.quotas = {ip: Quota(share=share) for ip in sim.core_ips}
@@ -222,17 +229,17 @@
 
 @pytest.mark.parametrize("seed", range(60))
 def test_these_kinds_are_drawn_on_request_only(seed: int) -> None:
-    assert not any(f.kind in MORE_KINDS for f in draw(seed=seed, shape=SHAPE))
+    assert not any(f.kind in MORE_KINDS for f in generate_faults(seed=seed, shape=SHAPE))
     settings = RunSettings(seed=seed)
-    assert settings.planned() == draw(seed=seed, shape=settings.shape)
-    assert replace(settings, more_faults=True).planned() == draw_more(seed=seed, shape=settings.shape)
+    assert settings.planned() == generate_faults(seed=seed, shape=settings.shape)
+    assert replace(settings, more_faults=True).planned() == generate_more_faults(seed=seed, shape=settings.shape)
 
 
 @pytest.mark.parametrize("seed", range(60))
 def test_no_disk_is_lost_near_losses_beyond_the_budget(seed: int) -> None:
-    faults = draw_more(seed=seed, shape=SHAPE)
+    faults = generate_more_faults(seed=seed, shape=SHAPE)
     (more,) = (f for f in faults if f.kind in MORE_KINDS)
-    assert set(faults) - {more} <= set(draw(seed=seed, shape=SHAPE))
+    assert set(faults) - {more} <= set(generate_faults(seed=seed, shape=SHAPE))
     assert list(faults) == sorted(faults, key=lambda f: f.at_s)
     if more.kind is FaultKind.CPU_QUOTA:
         return
@@ -241,7 +248,7 @@
 
 
 def test_each_kind_is_drawn_by_some_seed() -> None:
-    drawn = {f.kind for seed in range(60) for f in draw_more(seed=seed, shape=SHAPE)}
+    drawn = {f.kind for seed in range(60) for f in generate_more_faults(seed=seed, shape=SHAPE)}
     assert set(MORE_KINDS) <= drawn
 
 
@@ -269,7 +276,7 @@
 @pytest.mark.parametrize("plan", PLANS)
 def test_no_rule_is_broken_under_each_fault(plan: str, size: int, seed: int) -> None:
     run = run_of(PLANS[plan](seed), seconds=12.0, size=size, seed=seed)
-    assert run.play().breaches == ()
+    assert run.execute().breaches == ()
     assert_accepted_jobs_ended(run)
 
 
@@ -301,7 +308,7 @@
     trigger = AfterAcknowledgement(kind=kind, after_s=5.0, method=method)
     run = Run(settings=RunSettings(seed=seed, seconds=10.0, size=size, faults=()), checks=(trigger,))
     trigger.run = run
-    assert run.play().breaches == ()
+    assert run.execute().breaches == ()
     assert trigger.begun_s >= 5.0
     return run
 
@@ -318,7 +325,7 @@
 
 @pytest.mark.parametrize("seed", [1000, 1001, 1002, 1003])
 def test_drawn_runs_with_more_faults_break_no_rule(seed: int) -> None:
-    report = play(settings=RunSettings(seed=seed, seconds=20.0, size=5, more_faults=True))
+    report = run_simulation(settings=RunSettings(seed=seed, seconds=20.0, size=5, more_faults=True))
     assert any(f.kind in MORE_KINDS for f in report.faults)
     assert report.breaches == ()
 
--- a/tests/simulator/test_digest.py
+++ b/tests/simulator/test_digest.py
@@ -10,7 +10,7 @@
 import pytest
 
 from yarrowloom.simulator.digest import NO_KIND, RunDigest
-from yarrowloom.simulator.run import RunSettings, play
+from yarrowloom.simulator.run import RunSettings, run_simulation
 from yarrowloom.transport.message_kinds import Kind
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -31,7 +31,7 @@
 
 def digest_of_run(*, seed: int) -> str:
     digest = RunDigest()
-    play(settings=RunSettings(seed=seed, seconds=3.0), digest=digest)
+    run_simulation(settings=RunSettings(seed=seed, seconds=3.0), digest=digest)
     return digest.hexdigest()
 
 
@@ -79,7 +79,7 @@
 
 def test_the_digest_does_not_change_the_run() -> None:
     settings = RunSettings(seed=5, seconds=3.0)
-    plain, digested = play(settings=settings), play(settings=settings, digest=RunDigest())
+    plain, digested = run_simulation(settings=settings), run_simulation(settings=settings, digest=RunDigest())
     assert plain.lines() == digested.lines()
     assert list(map(str, plain.story.events)) == list(map(str, digested.story.events))
 
@@ -88,7 +88,7 @@
     """Frames of processes and marks of lanes; records of boots, of steps and of a journal that moves on; responses to
     each kind of caller."""
     taken = Recorder()
-    play(settings=RunSettings(seed=4137, seconds=20.0, size=5), digest=taken)
+    run_simulation(settings=RunSettings(seed=4137, seconds=20.0, size=5), digest=taken)
     assert {int(Kind.HEARTBEAT), int(Kind.ACCEPT), int(Kind.CALL), NO_KIND} <= taken.kinds
     assert taken.checkpoint_ends > 5  # more than the one that each of five core nodes writes at its boot
     assert {"op", "caller"} < taken.callers
--- a/tests/simulator/test_faults.py
+++ b/tests/simulator/test_faults.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from yarrowloom.simulator.errors import FaultsError, SimError
-from yarrowloom.simulator.faults.generator import CATCH_UP_S, Shape, draw
+from yarrowloom.simulator.errors import FaultsError, SimulationError
+from yarrowloom.simulator.faults.generator import CATCH_UP_S, Shape, generate_faults
 from yarrowloom.simulator.faults.model import RULES, Fault, FaultKind, Plan, Role, check, dump, load
 from yarrowloom.simulator.machines.network import Cut, Cuts
 from yarrowloom.simulator.run import Run, RunSettings
@@ -89,7 +89,7 @@
     """Core machines that are lost together, each for the time after its return as well, are not more than allowed;
     and what is drawn can be written down and read again."""
     shape = Shape(cores=3 + seed % 3 * 3, edges=2, minions=9, losses=1 + (seed % 3 == 2), seconds=30.0)
-    faults = draw(seed=seed, shape=shape)
+    faults = generate_faults(seed=seed, shape=shape)
     assert check(document=tomllib.loads(dump(plan=Plan(faults=faults, seed=seed)))).faults == faults
     lost = [f for f in faults if f.kind in LOST and f.where.startswith("core-")]
     for one in lost:
@@ -100,8 +100,8 @@
 
 
 def test_a_fault_on_a_machine_that_is_not_there_is_refused() -> None:
-    with pytest.raises(SimError, match=r"faults\[0\].where: there are 3 of core, no core-7"):
-        run_of(fault(FaultKind.KILL, "core-7")).play()
+    with pytest.raises(SimulationError, match=r"faults\[0\].where: there are 3 of core, no core-7"):
+        run_of(fault(FaultKind.KILL, "core-7")).execute()
 
 
 def test_cuts_cover_one_way_and_pairs() -> None:
@@ -129,7 +129,7 @@
         FaultKind.CPU_QUOTA: 0.5,
     }.get(kind, 0.0)
     run = run_of(fault(kind, where, strength=strength), seconds=5.0)
-    report = run.play()
+    report = run.execute()
     assert report.breaches == ()
     assert any(e.who == "fault" and f"{kind} of {where}" in e.text for e in report.story.events)
     sim = run.sim
@@ -148,7 +148,7 @@
 def test_a_replaced_machine_comes_back_empty_at_another_address() -> None:
     run = run_of(fault(FaultKind.REPLACE, "core-1"))
     old = run.sim.core_ips[1]
-    assert run.play().breaches == ()
+    assert run.execute().breaches == ()
     assert run.sim.core_ips[1] != old
     assert run.sim.procs[run.sim.core_ips[1]].up
     assert not run.sim.procs[old].up
--- a/tests/simulator/test_found_plans.py
+++ b/tests/simulator/test_found_plans.py
@@ -5,7 +5,7 @@
 import pytest
 
 from yarrowloom.simulator.faults.model import load
-from yarrowloom.simulator.run import RunSettings, play
+from yarrowloom.simulator.run import RunSettings, run_simulation
 
 FOUND = sorted((Path(__file__).parent / "found").glob("*.toml"))
 
@@ -16,5 +16,7 @@
     assert plan.seed is not None
     assert plan.seconds is not None
     assert plan.size is not None
-    report = play(settings=RunSettings(seed=plan.seed, seconds=plan.seconds, size=plan.size, faults=plan.faults))
+    report = run_simulation(
+        settings=RunSettings(seed=plan.seed, seconds=plan.seconds, size=plan.size, faults=plan.faults)
+    )
     assert report.breaches == ()
--- a/tests/simulator/test_simulator.py
+++ b/tests/simulator/test_simulator.py
@@ -13,8 +13,8 @@
 from yarrowloom.simulator.events import Answer, Event, Invocation, JobEvent, Story
 from yarrowloom.simulator.faults import shrink as shrinking
 from yarrowloom.simulator.faults.model import Fault, FaultKind, Plan, load
-from yarrowloom.simulator.hunt import hunt, plan_of, tale
-from yarrowloom.simulator.run import Report, Run, RunSettings, play
+from yarrowloom.simulator.hunt import history_lines, hunt, plan_of
+from yarrowloom.simulator.run import Report, Run, RunSettings, run_simulation
 
 ROOT = Path(__file__).resolve().parents[2]
 ASK = "from tests.simulator.test_simulator import digest; print(digest())"
@@ -25,7 +25,7 @@
 
 
 def digest() -> str:
-    report = play(settings=RunSettings(seed=11, seconds=12.0, size=5))
+    report = run_simulation(settings=RunSettings(seed=11, seconds=12.0, size=5))
     return hashlib.sha256("\n".join(map(str, [*report.story.events, *report.lines()])).encode()).hexdigest()
 
 
@@ -61,7 +61,7 @@
 
 def test_a_check_sees_each_call_with_its_answer_in_order_of_time() -> None:
     check = Recorder()
-    report = play(settings=RunSettings(seed=2, seconds=4.0, faults=()), checks=(check,))
+    report = run_simulation(settings=RunSettings(seed=2, seconds=4.0, faults=()), checks=(check,))
     assert report.breaches == ()
     load_begun = check.events
     assert load_begun == sorted(load_begun, key=lambda e: e.at_s)
@@ -74,7 +74,9 @@
 
 
 def test_a_breach_of_a_check_ends_the_run() -> None:
-    report = play(settings=RunSettings(seed=2, seconds=8.0, faults=()), checks=(Recorder(breach="REGISTER odd"),))
+    report = run_simulation(
+        settings=RunSettings(seed=2, seconds=8.0, faults=()), checks=(Recorder(breach="REGISTER odd"),)
+    )
     assert report.rules == {"REGISTER"}
     assert report.simulated_s < 4.0
 
@@ -90,7 +92,7 @@
         real(self)
 
     monkeypatch.setattr(CoreNode, "tick", tick)
-    report = run.play()
+    report = run.execute()
     assert report.breaches[0].startswith(f"ENDED {ip} by itself: ValueError made up in tick")
     assert not run.sim.procs[ip].up
 
@@ -99,7 +101,7 @@
     run = Run(settings=RunSettings(seed=4, seconds=6.0, faults=()))
     both = run.sim.core_ips[:2]
     monkeypatch.setattr(run.sim, "serving", lambda *, group_id: both)
-    assert run.play().rules == {"PRIMARY"}
+    assert run.execute().rules == {"PRIMARY"}
 
 
 def test_a_confirmed_configuration_that_is_gone_is_a_breach() -> None:
@@ -111,13 +113,13 @@
         real()
 
     run.operator.read_back = forget  # type: ignore[method-assign]
-    assert run.play().rules == {"CONFIG"}
+    assert run.execute().rules == {"CONFIG"}
 
 
 def test_jobs_that_never_end_are_a_breach() -> None:
     """Two of three core machines go for good: nothing is served any more, and that is said."""
     faults = tuple(Fault(kind=FaultKind.REMOVE, at_s=1.0, for_s=0.0, where=f"core-{i}") for i in range(2))
-    report = play(settings=RunSettings(seed=4, seconds=4.0, faults=faults))
+    report = run_simulation(settings=RunSettings(seed=4, seconds=4.0, faults=faults))
     assert report.rules & {"UNFINISHED", "LOST"}
 
 
@@ -147,7 +149,7 @@
 
 
 def test_shrinking_leaves_what_the_breach_needs(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(shrinking, "play", lambda *, settings: fake_report(settings))
+    monkeypatch.setattr(shrinking, "run_simulation", lambda *, settings: fake_report(settings))
     faults = tuple(kill(at_s=float(i), where=f"core-{i % 3}", for_s=8.0) for i in range(9))
     small = shrinking.shrink(report=fake_report(RunSettings(faults=faults)))
     assert [(f.where, f.for_s) for f in small.faults] == [("core-1", 0.5)]
@@ -157,7 +159,7 @@
     def other(*, settings: RunSettings) -> Report:
         return replace(fake_report(settings), breaches=("OTHER",))
 
-    monkeypatch.setattr(shrinking, "play", other)
+    monkeypatch.setattr(shrinking, "run_simulation", other)
     first = fake_report(RunSettings(faults=(kill(at_s=1.0, where="core-1"), kill(at_s=2.0))))
     assert shrinking.shrink(report=first) is first
 
@@ -176,8 +178,8 @@
 
 
 def test_what_a_hunt_tells_can_be_played_again(tmp_path: Path) -> None:
-    report = play(settings=RunSettings(seed=7, seconds=5.0, faults=(kill(at_s=1.5),)))
-    rows = tale(report=report)
+    report = run_simulation(settings=RunSettings(seed=7, seconds=5.0, faults=(kill(at_s=1.5),)))
+    rows = history_lines(report=report)
     begin = rows.index("seed = 7")
     path = tmp_path / "again.toml"
     path.write_text("\n".join(rows[begin : rows.index("", rows.index("[[faults]]"))]))
--- a/yarrowloom/simulator/cluster.py
+++ b/yarrowloom/simulator/cluster.py
@@ -13,7 +13,7 @@
 from ..transport.peer_connections import PROBE_INTERVAL_S
 from ..transport.send_queue import PROBES_AFTER_LOSS
 from .digest import NO_KIND
-from .errors import SimError
+from .errors import SimulationError
 from .machines.frames import Header
 from .machines.machine_set import BOUNDS, BUSY, PORTS, Machines
 from .machines.process import Proc
@@ -30,11 +30,16 @@
     def _send(self, ip: str, proc: Proc, dst: str, kind: Kind | None, body: bytes) -> None:
         """Send one frame; without a kind, only a mark that tells the receiver the lane's sequence number."""
         lane = LANES[kind] if kind is not None else Lane.WORK
-        key = (ip, dst, proc.life, lane)
+        key = (ip, dst, proc.process_number, lane)
         seq = self.seq[key] = self.seq.get(key, 0) + 1
         node = proc.node
         head = Header(
-            ip=ip, node_id=node.node_id, incarnation=node.incarnation, connection=proc.life, lane=lane, seq=seq
+            ip=ip,
+            node_id=node.node_id,
+            incarnation=node.incarnation,
+            connection=proc.process_number,
+            lane=lane,
+            seq=seq,
         )
         if ip != dst and ((ip, dst) in self.cuts or self.rng.random() < self.loss):
             if lane is Lane.WORK and dst not in proc.owing:
@@ -169,7 +174,7 @@
         """The core node of a machine."""
         node = self.procs[ip].node
         if not isinstance(node, CoreNode):
-            raise SimError(text=f"{ip} is no core node")
+            raise SimulationError(text=f"{ip} is no core node")
         return node
 
     def serving(self, *, group_id: int) -> list[str]:
--- a/yarrowloom/simulator/command.py
+++ b/yarrowloom/simulator/command.py
@@ -7,8 +7,8 @@
 from ..common.errors import Finding, UsageError
 from .digest import RunDigest
 from .faults.model import MOST_S, MOST_SIZE, Plan, dump, load
-from .hunt import hunt, plan_of, shrunk, tale
-from .run import Report, RunSettings, play
+from .hunt import history_lines, hunt, plan_of, shrunk
+from .run import Report, RunSettings, run_simulation
 
 MOST_SEED = (1 << 63) - 1
 MOST_RUNS = 1_000_000
@@ -95,7 +95,7 @@
     else:
         settings = _from_plan(plan=Plan(faults=()), seed=seed, seconds=seconds, size=size)
         settings = replace(settings, faults=None, more_faults=more_faults)
-    report = play(settings=settings, digest=run_digest)
+    report = run_simulation(settings=settings, digest=run_digest)
     print("\n".join(report.lines()))
     if run_digest is not None:
         print(run_digest.hexdigest())
@@ -105,7 +105,7 @@
 def replay(*, path: str) -> int:
     """Play a file's run again and print all that happens; return the exit code."""
     settings = _from_plan(plan=load(path=path), seed=None, seconds=None, size=None)
-    report = play(settings=settings)
+    report = run_simulation(settings=settings)
     print("\n".join(str(event) for event in report.story.events))
     print("\n".join(report.lines()))
     return 1 if report.breaches else 0
@@ -134,12 +134,12 @@
 
     with tqdm(total=runs, unit="run", file=sys.stderr, disable=None) as bar:
 
-        def told(report: Report) -> None:
+        def progress(report: Report) -> None:
             bar.update()
             if report.breaches:
                 bar.write(f"seed {report.settings.seed}: {report.breaches[0]}", file=sys.stderr)
 
-        found = hunt(settings=settings, runs=runs, jobs=jobs, most=most, progress=told)
+        found = hunt(settings=settings, runs=runs, jobs=jobs, most=most, progress=progress)
     print(f"runs {found.runs}, with a breach {len(found.broken)}")
     for report in found.broken:
         print()
@@ -152,8 +152,8 @@
     from tqdm import tqdm
 
     with tqdm(desc=f"shrinking seed {report.settings.seed}", unit="step", file=sys.stderr, disable=None) as bar:
-        small = shrunk(report=report, told=lambda _: bar.update() and None)
-    rows = [f"shrunk from {len(report.faults)} faults to {len(small.faults)}", *tale(report=small)]
+        small = shrunk(report=report, progress=lambda _: bar.update() and None)
+    rows = [f"shrunk from {len(report.faults)} faults to {len(small.faults)}", *history_lines(report=small)]
     if out:
         path = Path(out) / f"seed-{report.settings.seed}-size-{report.settings.size}.toml"
         try:
--- a/yarrowloom/simulator/errors.py
+++ b/yarrowloom/simulator/errors.py
@@ -3,7 +3,7 @@
 from ..common.errors import YarrowError
 
 
-class SimError(YarrowError):
+class SimulationError(YarrowError):
     """The simulation cannot go on, or was asked for what it does not hold."""
 
     code = "simulation"
--- a/yarrowloom/simulator/faults/cluster_faults.py
+++ b/yarrowloom/simulator/faults/cluster_faults.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from ..faulty_cluster import TroubledSim
+from ..faulty_cluster import FaultyCluster
 from ..machines.network import Cut
 from ..machines.processor import QUOTA_PERIOD_S, Quota
 from .model import Fault, Role
@@ -21,7 +21,7 @@
 EndFault = Callable[[], None]
 
 
-def lose_disks(fault: Fault, *, sim: TroubledSim) -> EndFault:
+def lose_disks(fault: Fault, *, sim: FaultyCluster) -> EndFault:
     """Cut the power of all machines and lose as many disks of core machines as the failure budget allows.
 
     The fault hits the core machines, with `all-machines` the edge machines too. All restart when the fault ends.
@@ -41,7 +41,7 @@
     return end
 
 
-def split_core(fault: Fault, *, sim: TroubledSim) -> EndFault:
+def split_core(fault: Fault, *, sim: FaultyCluster) -> EndFault:
     """Partition the core machines into two halves.
 
     All other machines, minions, callers and operators reach both halves.
@@ -51,7 +51,7 @@
     return sim.isolate(cut=Cut(inside=half, others=frozenset(sim.core_ips) - half))
 
 
-def overlapping_losses(fault: Fault, *, sim: TroubledSim) -> EndFault:
+def overlapping_losses(fault: Fault, *, sim: FaultyCluster) -> EndFault:
     """Stop every core machine in the first half of the fault and restart it in the second half.
 
     All are down in the middle of the fault. As many as the failure budget allows lose their disks; the others are
@@ -68,7 +68,7 @@
     return lambda: None
 
 
-def limit_processor(fault: Fault, *, sim: TroubledSim) -> EndFault:
+def limit_processor(fault: Fault, *, sim: FaultyCluster) -> EndFault:
     """Limit the processor time of core machines to the share `strength` of each period of `QUOTA_PERIOD_S`.
 
     A process runs at full speed until it has spent its share of a period, then not at all. Where the simulation charges
@@ -83,7 +83,7 @@
     return lambda: None
 
 
-def _charge_quota(*, sim: TroubledSim, ips: list[str], share: float) -> EndFault:
+def _charge_quota(*, sim: FaultyCluster, ips: list[str], share: float) -> EndFault:
     """Let a quota slow what steps take, as counted by the cluster."""
     quotas = {ip: Quota(share=share) for ip in ips}
     sim.quotas.update(quotas)
@@ -96,7 +96,7 @@
     return end
 
 
-def _begin_period(*, sim: TroubledSim, ip: str, share: float, until_s: float) -> None:
+def _begin_period(*, sim: FaultyCluster, ip: str, share: float, until_s: float) -> None:
     """One period of a quota, and the next one after it."""
     if sim.now >= until_s:
         return
@@ -105,7 +105,7 @@
     sim.at(delay=QUOTA_PERIOD_S, fn=partial(_begin_period, sim=sim, ip=ip, share=share, until_s=until_s))
 
 
-def _pause(*, sim: TroubledSim, ip: str, seconds: float) -> None:
+def _pause(*, sim: FaultyCluster, ip: str, seconds: float) -> None:
     """The quota is spent: the process stands still, unless it does so already."""
     process = sim.procs[ip]
     if seconds <= 0.0 or not process.up or sim.now < process.frozen_till:
@@ -114,29 +114,29 @@
     sim.at(delay=seconds + TIMER_DELAY_S, fn=lambda: sim.step(ip, process, process.node.tick))
 
 
-def _running(*, sim: TroubledSim, addresses: list[str]) -> list[str]:
+def _running(*, sim: FaultyCluster, addresses: list[str]) -> list[str]:
     return [ip for ip in addresses if sim.procs[ip].up]
 
 
-def _disks_to_lose(*, sim: TroubledSim) -> list[str]:
+def _disks_to_lose(*, sim: FaultyCluster) -> list[str]:
     """Running core machines, drawn by lot, as many as may lose their disks at once."""
     running = _running(sim=sim, addresses=sim.core_ips)
     return sim.rng.sample(running, min(sim.losses, len(running)))
 
 
-def _take_down(*, sim: TroubledSim, ip: str, power: bool, lose_disk: bool) -> None:
+def _take_down(*, sim: FaultyCluster, ip: str, power: bool, lose_disk: bool) -> None:
     if sim.procs[ip].up:
         sim.kill(ip=ip, power=power or lose_disk)
     if lose_disk:
         _lose_disk(sim=sim, ip=ip)
 
 
-def _lose_disk(*, sim: TroubledSim, ip: str) -> None:
+def _lose_disk(*, sim: FaultyCluster, ip: str) -> None:
     sim.wipe(ip=ip)
     sim.note(who=ip, text="the disk is lost")
 
 
-def _address(*, sim: TroubledSim, name: str) -> str:
+def _address(*, sim: FaultyCluster, name: str) -> str:
     """The address of the node that stands at a name, `core-1` or `edge-0`."""
     role, _, number = name.partition("-")
     return (sim.core_ips if role == Role.CORE else sim.edge_ips)[int(number)]
--- a/yarrowloom/simulator/faults/generator.py
+++ b/yarrowloom/simulator/faults/generator.py
@@ -13,7 +13,7 @@
 DISK_LOSSES = (FaultKind.LOSE_DISK, FaultKind.REPLACE)
 QUOTA_SHARES = (0.3, 0.5, 0.7)
 
-# What makes a core machine count as lost: kind, relative frequency, shortest and longest time, strengths to draw from.
+# What makes a core machine count as lost: kind, relative frequency, shortest and longest time, strengths.
 _LOST: tuple[tuple[FaultKind, int, float, float, tuple[float, ...]], ...] = (
     (FaultKind.KILL, 3, 0.3, 3.0, (0.0,)),
     (FaultKind.POWER_LOSS, 3, 0.3, 3.0, (0.0,)),
@@ -46,11 +46,11 @@
     seconds: float
 
 
-def draw(*, seed: int, shape: Shape) -> tuple[Fault, ...]:
+def generate_faults(*, seed: int, shape: Shape) -> tuple[Fault, ...]:
     """Faults in the order of their times; all are over when the load ends.
 
     >>> shape = Shape(cores=3, edges=1, minions=9, losses=1, seconds=30.0)
-    >>> draw(seed=5, shape=shape) == draw(seed=5, shape=shape)
+    >>> generate_faults(seed=5, shape=shape) == generate_faults(seed=5, shape=shape)
     True
     """
     rng = random.Random(f"faults {seed}")
@@ -61,25 +61,25 @@
     return tuple(sorted(faults, key=lambda f: (f.at_s, f.where, f.kind)))
 
 
-def draw_more(*, seed: int, shape: Shape) -> tuple[Fault, ...]:
-    """The faults that `draw` gives for a seed, with one of those kinds beside them that it never draws.
+def generate_more_faults(*, seed: int, shape: Shape) -> tuple[Fault, ...]:
+    """The faults that `generate_faults` gives for a seed, with one of those kinds beside them that it never draws.
 
     No disk is lost near a fault that takes more core machines away than the budget allows, so that no more disks are
     lost together than it allows; losses of other kinds may overlap.
 
     >>> shape = Shape(cores=3, edges=1, minions=9, losses=1, seconds=30.0)
-    >>> len([f for f in draw_more(seed=5, shape=shape) if f.kind in MORE_KINDS])
+    >>> len([f for f in generate_more_faults(seed=5, shape=shape) if f.kind in MORE_KINDS])
     1
     """
     rng = random.Random(f"more faults {seed}")
     more = _more(rng=rng, shape=shape)
-    usual = draw(seed=seed, shape=shape)
+    usual = generate_faults(seed=seed, shape=shape)
     kept = [f for f in usual if f.kind not in DISK_LOSSES or not _disks_clash(loss=f, more=more)]
     return tuple(sorted([*kept, more], key=lambda f: (f.at_s, f.where, f.kind)))
 
 
 def _more(*, rng: random.Random, shape: Shape) -> Fault:
-    """One fault that `draw` never draws."""
+    """One fault that `generate_faults` never draws."""
     kind = rng.choice(MORE_KINDS)
     if kind is FaultKind.CPU_QUOTA:
         share = rng.choice(QUOTA_SHARES)
--- a/yarrowloom/simulator/faults/injector.py
+++ b/yarrowloom/simulator/faults/injector.py
@@ -5,8 +5,8 @@
 
 from ...node.core import CoreNode
 from ...node.edge import EdgeNode
-from ..errors import SimError
-from ..faulty_cluster import TroubledSim
+from ..errors import SimulationError
+from ..faulty_cluster import FaultyCluster
 from ..judges.job_rules import EARLY_S
 from ..machines.network import Cut
 from ..machines.process import Disk
@@ -25,7 +25,7 @@
 class Injector:
     """Invariant: what a fault began its end undoes, also where faults overlap."""
 
-    def __init__(self, *, day: Day, sim: TroubledSim) -> None:
+    def __init__(self, *, day: Day, sim: FaultyCluster) -> None:
         self.day = day
         self.sim = sim
         self.addresses = 0
@@ -75,7 +75,7 @@
         many = {"core": len(self.sim.core_ips), "edge": len(self.sim.edge_ips), "minion": len(self.minions)}
         role, _, number = name.partition("-")
         if role in many and int(number) >= many[role]:
-            raise SimError(text=f"{place}: there are {many[role]} of {role}, no {name}")
+            raise SimulationError(text=f"{place}: there are {many[role]} of {role}, no {name}")
 
     def _run(self, fault: Fault) -> None:
         self.day.judge.trouble(seconds=fault.for_s)
@@ -256,7 +256,7 @@
     def _hire(self, old: Worker) -> None:
         """Another minion takes the place of one that is gone, under a new ID."""
         if old in self.minions and not old.up:
-            self.minions[self.minions.index(old)] = self.day.hire(
+            self.minions[self.minions.index(old)] = self.day.add_minion(
                 minion_id=f"{old.minion_id}x", zone=old.zone, cap=old.cap, labels=old.labels, service=old.service
             )
 
--- a/yarrowloom/simulator/faults/model.py
+++ b/yarrowloom/simulator/faults/model.py
@@ -104,7 +104,7 @@
     FaultKind.CPU_QUOTA: Rule(roles=(*_NODES, Role.ALL_CORES), low=0.05, high=1.0),
 }
 
-# Not drawn for a seed by itself, only on request: see `draw_more` in generator.py.
+# Not drawn for a seed by itself, only on request: see `generate_more_faults` in generator.py.
 MORE_KINDS = (FaultKind.LOSE_DISKS, FaultKind.SPLIT, FaultKind.OVERLAPPING_LOSSES, FaultKind.CPU_QUOTA)
 
 
--- a/yarrowloom/simulator/faults/shrink.py
+++ b/yarrowloom/simulator/faults/shrink.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import replace
 
-from ..run import Report, play
+from ..run import Report, run_simulation
 from .model import Fault
 
 MOST_RUNS = 80
@@ -12,13 +12,15 @@
 Faults = tuple[Fault, ...]
 
 
-def shrink(*, report: Report, runs: int = MOST_RUNS, told: Callable[[Report], None] = lambda report: None) -> Report:
+def shrink(
+    *, report: Report, runs: int = MOST_RUNS, progress: Callable[[Report], None] = lambda report: None
+) -> Report:
     """Find a run with fewer and shorter faults that breaks one of the rules that `report` broke.
 
     Args:
         report: The run to shrink; at least one rule was broken in it.
         runs: The number of accepted steps at most.
-        told: Called with the report of each smaller run that still broke a rule.
+        progress: Called with the report of each smaller run that still broke a rule.
 
     Returns:
         The report of the smallest run that was found.
@@ -29,14 +31,14 @@
         if smaller is None:
             break
         best = smaller
-        told(best)
+        progress(best)
     return best
 
 
 def _next(*, best: Report, rules: frozenset[str], candidates: Iterator[Faults]) -> Report | None:
     """The first candidate that still breaks a rule; None: the list is as small as it gets."""
     for faults in candidates:
-        tried = play(settings=replace(best.settings, faults=faults))
+        tried = run_simulation(settings=replace(best.settings, faults=faults))
         if tried.rules & rules:
             return tried
     return None
--- a/yarrowloom/simulator/faulty_cluster.py
+++ b/yarrowloom/simulator/faulty_cluster.py
@@ -14,7 +14,7 @@
 from ..transport.http_server import Response
 from ..transport.message_kinds import LANES, Kind, Lane
 from .cluster import Sim
-from .errors import SimError
+from .errors import SimulationError
 from .events import Answer, Check, Event, Invocation
 from .machines.machine_set import ClusterOptions
 from .machines.network import Cut, Cuts, Hold
@@ -46,7 +46,7 @@
         return self.value + (now - self.since) * (1.0 + self.drift)
 
 
-class TroubledSim(Sim):
+class FaultyCluster(Sim):
     """A simulated cluster in which faults can be injected.
 
     Invariants: frames held on a blocked link keep their order and overtake no frame that was sent before them; a
@@ -151,14 +151,14 @@
 
     def _move_journal(self, ip: str, proc: Proc) -> None:
         """Every so many records a file is full: a checkpoint of what the node holds now begins the next one."""
-        written = self.journal.get((ip, proc.life), 0) + len(proc.disk)
+        written = self.journal.get((ip, proc.process_number), 0) + len(proc.disk)
         if written > JOURNAL_RECORDS:
             written = 0
             head = [*self.core(ip).snapshot_records(), SNAPSHOT_END]
             self._digest_records(ip=ip, bodies=head)
             proc.disk = [(body, NoEffect()) for body in head] + proc.disk
             self.disks[ip].pending[:0] = head
-        self.journal[ip, proc.life] = written
+        self.journal[ip, proc.process_number] = written
 
     # -- links
 
@@ -197,7 +197,7 @@
 
     def _cuts(self) -> Cuts:
         if not isinstance(self.cuts, Cuts):
-            raise SimError(text="the cluster's cuts were replaced")
+            raise SimulationError(text="the cluster's cuts were replaced")
         return self.cuts
 
     # -- calls
--- a/yarrowloom/simulator/hunt.py
+++ b/yarrowloom/simulator/hunt.py
@@ -8,7 +8,7 @@
 
 from .faults.model import Plan, dump
 from .faults.shrink import shrink
-from .run import Report, RunSettings, play
+from .run import Report, RunSettings, run_simulation
 
 STORY_LINES = 60
 AHEAD = 2  # runs planned for each process
@@ -35,7 +35,7 @@
     Args:
         settings: The settings of the first run; the others differ from it in the seed.
         runs: The number of runs at most.
-        jobs: The number of processes that play runs at the same time.
+        jobs: The number of processes that execute runs at the same time.
         most: No more runs are begun after so many have broken a rule.
         progress: Called with the report of each run that ended.
     """
@@ -48,7 +48,7 @@
                 seed = next(seeds, None)
                 if seed is None:
                     break
-                waiting.add(pool.submit(play, settings=replace(settings, seed=seed)))
+                waiting.add(pool.submit(run_simulation, settings=replace(settings, seed=seed)))
             if not waiting:
                 break
             done, waiting = wait(waiting, return_when=FIRST)
@@ -71,12 +71,12 @@
     return Plan(faults=report.faults, seed=run.seed, seconds=run.seconds, size=run.size)
 
 
-def tale(*, report: Report, last: int = STORY_LINES) -> list[str]:
+def history_lines(*, report: Report, last: int = STORY_LINES) -> list[str]:
     """The faults of a run as a file, and the story of its first breach."""
     events = report.story.about(text=report.breaches[0], last=last) if report.breaches else report.story.events
     return [*report.lines(), "", *dump(plan=plan_of(report=report)).splitlines(), "", *(str(event) for event in events)]
 
 
-def shrunk(*, report: Report, told: Callable[[Report], None] = lambda report: None) -> Report:
+def shrunk(*, report: Report, progress: Callable[[Report], None] = lambda report: None) -> Report:
     """The smallest run found that breaks the same rule."""
-    return shrink(report=report, told=told)
+    return shrink(report=report, progress=progress)
--- a/yarrowloom/simulator/link_cluster.py
+++ b/yarrowloom/simulator/link_cluster.py
@@ -10,7 +10,7 @@
 from ..node.edge import EdgeNode
 from ..transport.message_kinds import LANES, Kind, Lane
 from .cluster import Sim
-from .errors import SimError
+from .errors import SimulationError
 from .machines.machine_set import ClusterOptions
 from .machines.process import Proc
 from .minions import HOST
@@ -54,7 +54,7 @@
             m = orjson.loads(body)
             self.frames.append((self.now, ip, dst, kind, size, m))
             if self.lose(ip, dst, kind, m):
-                key = (ip, dst, proc.life, LANES[kind])
+                key = (ip, dst, proc.process_number, LANES[kind])
                 self.seq[key] = self.seq.get(key, 0) + 1
                 return
         super()._send(ip, proc, dst, kind, body)
@@ -65,7 +65,7 @@
         for ip in self.edge_ips:
             node = self.procs[ip].node
             if not isinstance(node, EdgeNode):
-                raise SimError(text=f"{ip} is no edge node")
+                raise SimulationError(text=f"{ip} is no edge node")
             node.now = self.now
             out.append(node)
         return out
@@ -138,4 +138,4 @@
         if status == 200:
             return
         sim.run(seconds=0.2)
-    raise SimError(text=f"the configuration was answered {status}")
+    raise SimulationError(text=f"the configuration was answered {status}")
--- a/yarrowloom/simulator/machines/machine_set.py
+++ b/yarrowloom/simulator/machines/machine_set.py
@@ -19,7 +19,7 @@
 from ...transport.http_server import Response
 from ...transport.message_kinds import Kind, Lane
 from ..digest import RunDigest
-from ..errors import SimError
+from ..errors import SimulationError
 from .process import Disk, Proc
 from .processor import Meter, Quota, cost
 
@@ -91,7 +91,7 @@
         self.stalls: dict[str, float] = {}
         self.seq: dict[tuple[str, str, int, Lane], int] = {}
         self.last: dict[tuple[str, str, Lane], float] = {}
-        self.lives = 0
+        self.process_count = 0
         self.calls: dict[int, Callable[[Response], None]] = {}
         self.callers: dict[int, str] = {}  # by call: who waits for its response
         self.ncall = 0
@@ -118,7 +118,9 @@
             self.now, _, fn = heapq.heappop(self.heap)
             mark, count = (mark, count + 1) if self.now < mark + 0.01 else (self.now, 0)
             if count >= BUSY:
-                raise SimError(text=f"{count} events in 10 ms at {self.now:.4f}: something goes round without end")
+                raise SimulationError(
+                    text=f"{count} events in 10 ms at {self.now:.4f}: something goes round without end"
+                )
             fn()
         self.now = end
 
@@ -161,7 +163,7 @@
 
     def boot(self, *, ip: str, first: bool = False) -> None:
         """Start a machine's process from what its disk holds."""
-        self.lives += 1
+        self.process_count += 1
         core = ip.split(".")[2] != "1"
         st = self.settings(ip=ip, first=first)
         log = Log(name="sim", level="error")
@@ -174,16 +176,16 @@
                 log=log,
                 now=self.clock(ip),
                 rand=self.rng.random(),
-                token=f"{self.lives:x}x",
+                token=f"{self.process_count:x}x",
             )
             node_id = node.node_id
             disk.synced = [*node.snapshot_records(), SNAPSHOT_END]
             self._digest_records(ip=ip, bodies=disk.synced)
         else:
-            node_id = f"{ip}:7001#{self.lives:x}"
+            node_id = f"{ip}:7001#{self.process_count:x}"
             node = EdgeNode(settings=st, node_id=node_id, incarnation=FIRST_INCARNATION, log=log)
         self.node_ids[ip] = node_id
-        proc = Proc(node=node, life=self.lives)
+        proc = Proc(node=node, process_number=self.process_count)
         self.procs[ip] = proc
         if core and self.speed:
             pulse = self.core(ip).pulse
--- a/yarrowloom/simulator/machines/process.py
+++ b/yarrowloom/simulator/machines/process.py
@@ -20,9 +20,9 @@
 class Proc:
     """One process of a node."""
 
-    def __init__(self, *, node: CoreNode | EdgeNode, life: int) -> None:
+    def __init__(self, *, node: CoreNode | EdgeNode, process_number: int) -> None:
         self.node = node
-        self.life = life
+        self.process_number = process_number
         self.up = True
         self.frozen_till = 0.0
         self.disk_busy = False
--- a/yarrowloom/simulator/minion_population.py
+++ b/yarrowloom/simulator/minion_population.py
@@ -2,11 +2,11 @@
 
 from ..agent.minion import Phase
 from .cluster import Sim
-from .errors import SimError
+from .errors import SimulationError
 from .minions import Oracle, SimCaller, SimMinion, config
 
 
-def herd(
+def populated_cluster(
     *, seed: int, minions: int, cores: int = 5, edges: int = 2, rack: int = 12, **kw: float
 ) -> tuple[Sim, Oracle, SimCaller, list[SimMinion]]:
     """A configured cluster whose minions all call within the first second; `rack` of them share a rack."""
@@ -31,7 +31,7 @@
         ip=sim.core_ips[0], method="PUT", path="/config", document=config(version=3), headers={"if-match": "0"}
     )
     if status != 200:
-        raise SimError(text=f"the configuration was answered {status}")
+        raise SimulationError(text=f"the configuration was answered {status}")
     return sim, oracle, SimCaller(sim=sim, oracle=oracle), fleet
 
 
@@ -68,8 +68,8 @@
     """Seconds from now until every group is served, and until `n` minions are attached."""
     t0 = sim.now
     if not sim.until(cond=lambda: serves(sim=sim), limit=limit):
-        raise SimError(text=f"not all groups are served after {limit:g} s")
+        raise SimulationError(text=f"not all groups are served after {limit:g} s")
     minion_id = sim.now - t0
     if not sim.until(cond=lambda: len(attached(sim=sim)) >= n, limit=limit):
-        raise SimError(text=f"{len(attached(sim=sim))} of {n} minions are attached after {limit:g} s")
+        raise SimulationError(text=f"{len(attached(sim=sim))} of {n} minions are attached after {limit:g} s")
     return minion_id, sim.now - t0
--- a/yarrowloom/simulator/minions.py
+++ b/yarrowloom/simulator/minions.py
@@ -6,7 +6,7 @@
 
 from ..transport.http_server import Response
 from .cluster import Sim
-from .errors import SimError
+from .errors import SimulationError
 from .machines.machine_set import ClusterOptions
 
 HOST = "h.example"
@@ -417,6 +417,6 @@
         if status == 200:
             break
     if status != 200:
-        raise SimError(text=f"the configuration was answered {status}")
+        raise SimulationError(text=f"the configuration was answered {status}")
     sim.run(seconds=2.0)
     return sim, oracle, SimCaller(sim=sim, oracle=oracle), fleet
--- a/yarrowloom/simulator/observers.py
+++ b/yarrowloom/simulator/observers.py
@@ -7,7 +7,7 @@
 from ..node.node_base import JOB_GROUPS
 from ..transport.http_server import Response
 from .events import JobEvent
-from .faulty_cluster import TroubledSim
+from .faulty_cluster import FaultyCluster
 from .judges.job_rules import Judge
 from .minions import HOST, SimMinion
 
@@ -17,10 +17,10 @@
 FIRST_VERSION = 3
 
 
-class TellingJudge(Judge):
+class ReportingJudge(Judge):
     """The judge, telling what it sees."""
 
-    def __init__(self, *, sim: TroubledSim, tries: int = 3) -> None:
+    def __init__(self, *, sim: FaultyCluster, tries: int = 3) -> None:
         self.shown_last: dict[str, str] = {}
         self.teller = sim
         super().__init__(sim=sim, tries=tries)
@@ -62,7 +62,7 @@
 class ServingCheck:
     """Notes who serves each group; two at a time are a breach. Looks every `LOOK_S`."""
 
-    def __init__(self, *, sim: TroubledSim) -> None:
+    def __init__(self, *, sim: FaultyCluster) -> None:
         self.sim = sim
         self.groups = 1 + JOB_GROUPS
         self.last: dict[int, str] = {}
@@ -92,7 +92,7 @@
 class Operator:
     """Changes the configuration again and again; an order without a clear answer is sent again as it was."""
 
-    def __init__(self, *, sim: TroubledSim) -> None:
+    def __init__(self, *, sim: FaultyCluster) -> None:
         self.sim = sim
         self.version = FIRST_VERSION
         self.changes = 0
--- a/yarrowloom/simulator/run.py
+++ b/yarrowloom/simulator/run.py
@@ -4,13 +4,13 @@
 from typing import Any
 
 from .digest import RunDigest
-from .errors import SimError
+from .errors import SimulationError
 from .events import Check, Story
-from .faults.generator import Shape, draw, draw_more
+from .faults.generator import Shape, generate_faults, generate_more_faults
 from .faults.injector import Injector
 from .faults.model import Fault
-from .faulty_cluster import TroubledSim
-from .observers import Operator, ServingCheck, TellingJudge
+from .faulty_cluster import FaultyCluster
+from .observers import Operator, ReportingJudge, ServingCheck
 from .workload import Day, task
 
 SITES = 3
@@ -56,7 +56,7 @@
         """The faults of the run."""
         if self.faults is not None:
             return self.faults
-        return (draw_more if self.more_faults else draw)(seed=self.seed, shape=self.shape)
+        return (generate_more_faults if self.more_faults else generate_faults)(seed=self.seed, shape=self.shape)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -100,7 +100,7 @@
         self.story = Story()
         self.checks = checks
         shape = settings.shape
-        self.sim = TroubledSim(
+        self.sim = FaultyCluster(
             seed=settings.seed,
             zones=min(SITES, shape.cores),
             cores=shape.cores,
@@ -110,10 +110,10 @@
             digest=digest,
         )
         self.sim.started_s = self.sim.now + SETUP_S
-        self.judge = TellingJudge(sim=self.sim)
+        self.judge = ReportingJudge(sim=self.sim)
         self.day = Day(seed=settings.seed, minions=shape.minions, work=WORK_S, sim=self.sim, judge=self.judge)
         if self.sim.now > self.sim.started_s:
-            raise SimError(text=f"the cluster was not ready {SETUP_S:g} s after its start")
+            raise SimulationError(text=f"the cluster was not ready {SETUP_S:g} s after its start")
         self.sim.run(seconds=self.sim.started_s - self.sim.now)
         self.serving = ServingCheck(sim=self.sim)
         self.operator = Operator(sim=self.sim)
@@ -125,14 +125,14 @@
         own = [*self.judge.broken, *self.sim.ended, *self.serving.broken, *self.operator.broken, *self.problems]
         return (*own, *(text for check in self.checks for text in check.breaches()))
 
-    def play(self) -> Report:
+    def execute(self) -> Report:
         """Play the run until its end or its first breach."""
         try:
             Injector(day=self.day, sim=self.sim).plan(faults=self.faults)
             self._load()
             if not self.breaches():
                 self._rest()
-        except SimError as err:
+        except SimulationError as err:
             if not self.sim.now > self.sim.started_s:
                 raise
             self.problems.append(f"ENDLESS {err.text}")
@@ -190,6 +190,6 @@
             self.operator.read_back()
 
 
-def play(*, settings: RunSettings, checks: tuple[Check, ...] = (), digest: RunDigest | None = None) -> Report:
+def run_simulation(*, settings: RunSettings, checks: tuple[Check, ...] = (), digest: RunDigest | None = None) -> Report:
     """Play one run; `digest` takes all that its processes send, write and answer."""
-    return Run(settings=settings, checks=checks, digest=digest).play()
+    return Run(settings=settings, checks=checks, digest=digest).execute()
--- a/yarrowloom/simulator/worker.py
+++ b/yarrowloom/simulator/worker.py
@@ -154,9 +154,9 @@
 
     def _apart(self, *, task: str, row: dict[str, Any], how: str) -> None:
         """An end of one member: the others end `done` with it, or `broken`."""
-        mates = self.world.present.get((row["who"], row["run"]), {})
-        mates.pop(task, None)
-        for other, m in list(mates.items()):
+        members = self.world.present.get((row["who"], row["run"]), {})
+        members.pop(task, None)
+        for other, m in list(members.items()):
             if m.up and other in m.running:
                 m.end(task=other, how="done" if how == "done" else "broken")
 
--- a/yarrowloom/simulator/workload.py
+++ b/yarrowloom/simulator/workload.py
@@ -7,7 +7,7 @@
 
 from ..transport.http_server import Response
 from .cluster import Sim
-from .errors import SimError
+from .errors import SimulationError
 from .judges.job_rules import ENDS, Judge
 from .machines.machine_set import ClusterOptions
 from .minions import HOST, SimCaller, config
@@ -99,7 +99,7 @@
         self.fleet: list[Worker] = []
         self.guards = guards
         for i in range(minions):
-            self.hire(
+            self.add_minion(
                 minion_id=f"i-{i}",
                 zone=f"z{i % len(sim.zones)}",
                 cap=cap,
@@ -115,11 +115,11 @@
             sim.ask(ip=ip, method="PUT", path="/config", document=document, headers={"if-match": "0"})[0] == 200
             for ip in sim.core_ips
         ):
-            raise SimError(text="no core node took the configuration")
+            raise SimulationError(text="no core node took the configuration")
         sim.run(seconds=2.0)
         sim.at(delay=0.2, fn=self._poll)
 
-    def hire(
+    def add_minion(
         self,
         *,
         minion_id: str,
@@ -154,7 +154,7 @@
             self.sim.at(delay=down, fn=rise)
 
         def rise() -> None:
-            new = self.hire(
+            new = self.add_minion(
                 minion_id=f"{m.minion_id}x",
                 zone=m.zone,
                 cap=m.cap,
