--- a/yarrowloom/simulator/faulty_cluster.py
+++ b/yarrowloom/simulator/faulty_cluster.py
@@ -35,14 +35,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class SteadyClock:
-    """A steady clock: `value` at the true time `since`, and how much faster than true time it runs."""
+    """A monotonic clock: `value` at the true time `since`, and `drift`, its rate above that of true time."""
 
     since: float
     value: float
     drift: float = 0.0
 
     def read(self, *, now: float) -> float:
-        """What it shows."""
+        """Return what the clock shows at the true time `now`."""
         return self.value + (now - self.since) * (1.0 + self.drift)
 
 
@@ -70,12 +70,12 @@
     # -- events
 
     def tell(self, event: Event) -> None:
-        """Show an event to all checks."""
+        """Pass an event to all checks."""
         for check in self.checks:
             check.observe(event)
 
     def note(self, *, who: str, text: str) -> None:
-        """Something happened now."""
+        """Record that something happened now."""
         self.tell(Event(at_s=self.now - self.started_s, who=who, text=text))
 
     # -- clocks
@@ -86,13 +86,13 @@
         return self.now if clock is None else clock.read(now=self.now)
 
     def drift(self, *, ip: str, rate: float) -> None:
-        """From now on a machine's steady clock runs faster or slower."""
+        """Let a machine's monotonic clock run faster or slower from now on."""
         self.clocks[ip] = SteadyClock(since=self.now, value=self.clock(ip), drift=rate)
 
     # -- processes
 
     def step(self, ip: str, proc: Proc, fn: Callable[[], None]) -> None:
-        """One input; a process that raises has ended by itself."""
+        """Handle one input; a process that raises has crashed and is started again later."""
         live = proc.up and self.procs.get(ip) is proc and self.now >= proc.frozen_till
         if live and ip in self.stand_still:
             self._stand_still(ip, proc, fn)
@@ -103,7 +103,7 @@
             self._ended(ip, proc, err)
 
     def _stand_still(self, ip: str, proc: Proc, fn: Callable[[], None]) -> None:
-        """The step is taken now, what it wants done is done when the process goes on."""
+        """Handle an input now and carry out its effects only when the process continues."""
         seconds = self.stand_still.pop(ip)
         node = proc.node
         node.now, node.wall_now = self.clock(ip), self.wall0 + self.now + self.skew.get(ip, 0.0)
@@ -150,7 +150,7 @@
         self.sync_s = usual
 
     def _move_journal(self, ip: str, proc: Proc) -> None:
-        """Every so many records a file is full: a checkpoint of what the node holds now begins the next one."""
+        """Begin a new journal file with a snapshot of the node after every `JOURNAL_RECORDS` records."""
         written = self.journal.get((ip, proc.process_number), 0) + len(proc.disk)
         if written > JOURNAL_RECORDS:
             written = 0
@@ -174,13 +174,13 @@
         super()._send(ip, proc, dst, kind, body)
 
     def isolate(self, *, cut: Cut) -> Callable[[], None]:
-        """Begin a cut; call the answer to end it."""
+        """Begin a network partition; the returned function ends it."""
         whole = self._cuts().whole
         whole.append(cut)
         return lambda: whole.remove(cut)
 
     def hold(self, *, cut: Cut, deliver: bool) -> Callable[[], None]:
-        """Frames stand still on links; call the answer to end it, when they arrive late or are lost."""
+        """Block links; the returned function ends it and delivers the held frames, or drops them."""
         hold = Hold(cut=cut)
         self.holds.append(hold)
 
@@ -214,7 +214,7 @@
         headers: dict[str, str] | None = None,
         back: Callable[[Response], None],
     ) -> None:
-        """An HTTP call, shown to all checks with its answer."""
+        """Send an HTTP request; the request and its response are passed to all checks."""
         number = self.ncall + 1
         if not src.startswith("i-"):
             raw = body if body is not None else b"" if document is None else orjson.dumps(document)
--- a/yarrowloom/simulator/hunt.py
+++ b/yarrowloom/simulator/hunt.py
@@ -1,4 +1,4 @@
-"""Many runs in several processes, until one breaks a rule."""
+"""Plays many runs in several processes until one breaks a rule."""
 
 import multiprocessing
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Hunt:
-    """What came of a hunt: how many runs ended, and those that broke a rule."""
+    """The result of a hunt: the number of runs that ended, and the reports of those that broke a rule."""
 
     runs: int
     broken: tuple[Report, ...]
@@ -66,17 +66,17 @@
 
 
 def plan_of(*, report: Report) -> Plan:
-    """The file that plays a run again."""
+    """Return the plan that repeats a run."""
     run = report.settings
     return Plan(faults=report.faults, seed=run.seed, seconds=run.seconds, size=run.size)
 
 
 def history_lines(*, report: Report, last: int = STORY_LINES) -> list[str]:
-    """The faults of a run as a file, and the story of its first breach."""
+    """Return the report, the faults as a file, and the events relevant to the first broken rule, line by line."""
     events = report.story.about(text=report.breaches[0], last=last) if report.breaches else report.story.events
     return [*report.lines(), "", *dump(plan=plan_of(report=report)).splitlines(), "", *(str(event) for event in events)]
 
 
 def shrunk(*, report: Report, progress: Callable[[Report], None] = lambda report: None) -> Report:
-    """The smallest run found that breaks the same rule."""
+    """Return the smallest run found that breaks the same rule."""
     return shrink(report=report, progress=progress)
--- a/yarrowloom/simulator/judges/job_rules.py
+++ b/yarrowloom/simulator/judges/job_rules.py
@@ -1,4 +1,4 @@
-"""The rules on jobs, judged by what minions and callers see; wider than the oracle of `simfleet`."""
+"""The rules on jobs, checked against what minions and callers observe; covers more rules than `minions.Oracle`."""
 
 from typing import Any
 
--- a/yarrowloom/simulator/machines/frames.py
+++ b/yarrowloom/simulator/machines/frames.py
@@ -1,4 +1,4 @@
-"""The envelope of a simulated frame, judged by the rule that real ones are judged by."""
+"""The envelope of a simulated frame, which receivers check by the same rule as a real one."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Header:
-    """What a frame's envelope says. A life's connections have its number: no life opens one after its successor."""
+    """The fields of a frame's envelope.
+
+    Attributes:
+        ip: Address of the sending machine.
+        node_id: Node ID of the sender.
+        incarnation: Incarnation of the sender.
+        connection: Number of the connection; all connections of a process have the number of the process.
+        lane: The lane in which frames keep their order.
+        seq: Sequence number of the frame within its lane and connection, from 1 on.
+    """
 
     ip: str
     node_id: str
@@ -18,7 +27,7 @@
     seq: int
 
     def taken(self, *, seen: SequenceTracker) -> tuple[bool, bool]:
-        """Whether a receiver takes the frame, and whether others before it are missing."""
+        """Return whether a receiver accepts the frame, and whether frames before it are missing."""
         return seen.take(
             source=self.ip,
             lane=self.lane,
--- a/yarrowloom/simulator/machines/network.py
+++ b/yarrowloom/simulator/machines/network.py
@@ -24,7 +24,7 @@
         return end in self.others if self.others else end not in self.inside
 
     def covers(self, *, src: str, dst: str) -> bool:
-        """Whether what goes from one end to the other is hit."""
+        """Return whether frames from `src` to `dst` are lost."""
         return bool(
             (self.outward and src in self.inside and self._outside(dst))
             or (self.inward and dst in self.inside and self._outside(src))
@@ -32,7 +32,7 @@
 
 
 class Cuts(set[tuple[str, str]]):
-    """The pairs that are cut singly, and whole cuts beside them; `in` asks for both."""
+    """The network partitions in force: pairs of addresses and whole `Cut`s; `in` considers both."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Hold:
-    """Frames that wait while a link stands still, in the order in which they were sent."""
+    """Frames held back on blocked links, in the order in which they were sent."""
 
     cut: Cut
     sends: list[Callable[[], None]] = field(default_factory=list)
--- a/yarrowloom/simulator/machines/process.py
+++ b/yarrowloom/simulator/machines/process.py
@@ -10,7 +10,7 @@
 
 
 class Disk:
-    """What a machine keeps. `synced` survives a loss of power; `torn` writes may or may not."""
+    """A machine's disk. `synced` records survive a power failure; of the `pending` ones a random prefix does."""
 
     def __init__(self) -> None:
         self.synced: list[bytes] = []
@@ -18,7 +18,18 @@
 
 
 class Proc:
-    """One process of a node."""
+    """One process of a node.
+
+    Attributes:
+        node: The state machine that the process runs.
+        process_number: Counts all processes of the simulation; a later process has a higher number.
+        up: Whether the process runs.
+        frozen_till: Simulated time until which the process is stopped and its inputs wait in `inbox`.
+        disk_busy: Whether a sync of the disk is in progress.
+        disk: Records that wait for the next sync, with the effects that follow it.
+        busy: Whether a step is in progress; only where processor time is charged.
+        spent: Seconds of processor time used so far; only where it is charged.
+    """
 
     def __init__(self, *, node: CoreNode | EdgeNode, process_number: int) -> None:
         self.node = node
--- a/yarrowloom/simulator/minion_population.py
+++ b/yarrowloom/simulator/minion_population.py
@@ -1,4 +1,4 @@
-"""Many minions in the simulated cluster, and what it takes to have them all back."""
+"""Simulated clusters with many minions, and measurements of how fast all are attached again."""
 
 from ..agent.minion import Phase
 from .cluster import Sim
@@ -9,7 +9,7 @@
 def populated_cluster(
     *, seed: int, minions: int, cores: int = 5, edges: int = 2, rack: int = 12, **kw: float
 ) -> tuple[Sim, Oracle, SimCaller, list[SimMinion]]:
-    """A configured cluster whose minions all call within the first second; `rack` of them share a rack."""
+    """Build a configured cluster in which all minions send heartbeats within a second; `rack` of them share a rack."""
     sim = Sim(seed=seed, cores=cores, edges=edges, **kw)  # type: ignore[arg-type]
     oracle = Oracle(sim=sim)
     fleet = []
@@ -36,7 +36,7 @@
 
 
 def attached(*, sim: Sim) -> dict[str, str]:
-    """By minion: the machine whose agent may act and has all groups on it."""
+    """Return for each minion the machine whose agent is trusted and has attached it to all groups."""
     out: dict[str, str] = {}
     for ip in sim.core_ips:
         if not sim.procs[ip].up:
@@ -51,12 +51,12 @@
 
 
 def serves(*, sim: Sim) -> bool:
-    """Every group is served."""
+    """Return whether every group is served."""
     return all(sim.serving(group_id=group_id) for group_id in range(2))
 
 
 def loads(*, sim: Sim) -> dict[str, int]:
-    """By machine: how many minions its agent has by group 0's record."""
+    """Return for each core machine the number of minions that it owns according to group 0."""
     registry = sim.core(sim.serving(group_id=0)[0]).registry
     return {
         ip: sum(registry.ownership.minion_count(node_id=u) for u in registry.members if u.split(":")[0] == ip)
@@ -65,11 +65,11 @@
 
 
 def back(*, sim: Sim, n: int, limit: float = 40.0) -> tuple[float, float]:
-    """Seconds from now until every group is served, and until `n` minions are attached."""
+    """Run the cluster; return the seconds until every group is served, and until `n` minions are attached."""
     t0 = sim.now
     if not sim.until(cond=lambda: serves(sim=sim), limit=limit):
         raise SimulationError(text=f"not all groups are served after {limit:g} s")
-    minion_id = sim.now - t0
+    served_s = sim.now - t0
     if not sim.until(cond=lambda: len(attached(sim=sim)) >= n, limit=limit):
         raise SimulationError(text=f"{len(attached(sim=sim))} of {n} minions are attached after {limit:g} s")
-    return minion_id, sim.now - t0
+    return served_s, sim.now - t0
--- a/yarrowloom/simulator/minions.py
+++ b/yarrowloom/simulator/minions.py
@@ -1,4 +1,4 @@
-"""Stand-ins for minions and callers in the simulated cluster, and an oracle for the rules on jobs."""
+"""Simulated minions and clients, and an oracle that checks the rules on jobs."""
 
 from typing import Any, Unpack
 
@@ -136,7 +136,11 @@
 
 
 class SimMinion:
-    """Behaves as PROTOCOL says: fences, holds on its own slow clock, ends kept until noted, one beat at a time."""
+    """A minion that follows the published protocol.
+
+    Invariants: responses with an old fencing token are ignored; the lease is measured on the minion's own, slower
+    clock; ends are listed until they are acknowledged; at most one heartbeat is in flight.
+    """
 
     def __init__(
         self,
@@ -207,7 +211,7 @@
         self.sim.at(delay=delay, fn=go)
 
     def account(self, *, seq: int, sent: float) -> dict[str, Any]:
-        """What a beat tells."""
+        """Return the body of the next heartbeat."""
         return {
             "backend": "svc",
             "address": f"{self.minion_id}:1",
@@ -316,14 +320,14 @@
 
 
 class SimCaller:
-    """Hands jobs in as clients do: the same ID again after silence, 502 or 504."""
+    """Submits jobs as clients do, and again under the same ID after a time-out, 502 or 504."""
 
     def __init__(self, *, sim: Sim, oracle: Oracle) -> None:
         self.sim, self.oracle = sim, oracle
         self.n = 0
 
     def submit(self, *, stages: list[dict[str, Any]], queue: str = "fast", **more: object) -> str:
-        """Hand a job in; return its ID."""
+        """Submit a job; return its ID."""
         self.n += 1
         job_id = f"{self.sim.rng.getrandbits(64):016x}"
         document = {"task-spec": f"spec-{job_id}", "stages": stages, **more}
--- a/yarrowloom/simulator/observers.py
+++ b/yarrowloom/simulator/observers.py
@@ -1,4 +1,4 @@
-"""What a run is watched by beside the judge of jobs: its story of jobs, who serves, and the configuration's changes."""
+"""Observers of a run: events about jobs, who serves each group, and an operator who changes the config."""
 
 from typing import Any
 
@@ -18,7 +18,7 @@
 
 
 class ReportingJudge(Judge):
-    """The judge, telling what it sees."""
+    """A judge that also reports what it observes as events of the run."""
 
     def __init__(self, *, sim: FaultyCluster, tries: int = 3) -> None:
         self.shown_last: dict[str, str] = {}
--- a/yarrowloom/simulator/run.py
+++ b/yarrowloom/simulator/run.py
@@ -1,4 +1,4 @@
-"""One run: a cluster under load and faults, judged until it has come to rest."""
+"""One simulated run: a cluster under load and faults, checked until all accepted jobs have ended."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -17,8 +17,8 @@
 MINIONS_EACH = 3  # minions by core
 JOB_GAP_S = 0.5  # a cluster of three gets a job this often; larger ones in proportion more
 WORK_S = 1.2  # a usual task's length
-SETUP_S = 6.0  # the load begins so long after the start; what is told of before has a time below 0
-LOOK_S = 0.2  # breaches are looked for this often
+SETUP_S = 6.0  # the load begins so long after the start; events before it have negative times
+LOOK_S = 0.2  # interval at which a run is checked for broken rules
 SETTLE_S = 45.0  # accepted jobs end within this time after the load
 CANCEL_SHARE = 0.08
 
@@ -61,7 +61,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Report:
-    """What became of a run."""
+    """The result of a run.
+
+    Attributes:
+        settings: The settings of the run.
+        faults: The faults that were injected.
+        jobs: Number of submitted jobs.
+        finished: Number of jobs that were shown as ended.
+        changes: Number of confirmed configuration changes.
+        elections: Number of times that a group changed its primary.
+        simulated_s: Simulated seconds from the start of the load.
+        breaches: Descriptions of broken rules; each begins with the rule's name.
+        story: The events of the run, without calls.
+    """
 
     settings: RunSettings
     faults: tuple[Fault, ...]
@@ -91,7 +103,7 @@
 
 
 class Run:
-    """Sets a run up and plays it."""
+    """A cluster with load generators, fault injector and checks for one run."""
 
     def __init__(
         self, *, settings: RunSettings, checks: tuple[Check, ...] = (), digest: RunDigest | None = None
@@ -160,7 +172,7 @@
             self.sim.run(seconds=min(LOOK_S, max(0.01, next_job_s - self.sim.now)))
 
     def _job(self, *, number: int) -> None:
-        """Hand in the next job of the mix; some are cancelled soon after."""
+        """Submit the next job of the mix; some are cancelled soon after."""
         rng = self.sim.rng
         mix: list[list[dict[str, Any]]] = [
             [task(n=4), task(n=2, depends_on=[0])],
@@ -180,7 +192,7 @@
             self.sim.at(delay=rng.uniform(0.1, 2.0), fn=lambda: self.day.client.drop(job_id=job_id))
 
     def _rest(self) -> None:
-        """The load is over: what was accepted ends, what was confirmed is there."""
+        """After the load: check that accepted jobs end and that confirmed configuration is still there."""
         self.operator.working = False
         left = self.day.settle(limit=SETTLE_S)
         if left and not self.breaches():
--- a/yarrowloom/simulator/workload.py
+++ b/yarrowloom/simulator/workload.py
@@ -1,4 +1,4 @@
-"""Callers that ask as they go, and a configured cluster with workers and callers."""
+"""Clients that poll while a simulation runs, and a configured cluster with workers and clients."""
 
 from collections.abc import Callable
 from typing import Any, Unpack
@@ -129,7 +129,7 @@
         service: str = "svc",
         address: str = "",
     ) -> Worker:
-        """One more minion."""
+        """Add a minion to the cluster and start it."""
         m = Worker(
             sim=self.sim,
             judge=self.judge,
@@ -194,13 +194,13 @@
             self.sim.at(delay=0.2, fn=self._poll)
 
     def job(self, *stages: dict[str, Any], queue: str = "fast") -> str:
-        """Hand a job in."""
+        """Submit a job; return its ID."""
         job_id = self.client.submit(stages=list(stages), queue=queue)
         self.job_ids.append(job_id)
         return job_id
 
     def timed(self, *stages: dict[str, Any], first: float, period: float, count: int, queue: str = "fast") -> str:
-        """Hand a repeated job in whose first time is due in so many seconds."""
+        """Submit a job that repeats `count` times every `period` seconds, first in `first` seconds; return its ID."""
         wall_now = self.sim.wall0 + self.sim.now
         job_id = self.client.submit(
             stages=list(stages),
