--- a/tests/simulator/test_cluster_faults.py
+++ b/tests/simulator/test_cluster_faults.py
@@ -121,7 +121,7 @@
     for ip in sim.core_ips:
         process, running = sim.procs[ip], 0
         for _ in range(1000):
-            running += sim.now >= process.frozen_till
+            running += sim.now >= process.frozen_until
             sim.run(seconds=0.0005)
         shares[ip] = running / 1000
         run = run_of(fault(FaultKind.CPU_QUOTA, "core-1", share=0.3))
@@ -137,7 +137,7 @@
     begin(run)
     run.sim.run(seconds=2.2)
     for _ in range(200):
-        assert all(run.sim.now >= run.sim.procs[ip].frozen_till for ip in run.sim.core_ips)
+        assert all(run.sim.now >= run.sim.procs[ip].frozen_until for ip in run.sim.core_ips)
         run.sim.run(seconds=0.001)
 
 
@@ -147,7 +147,7 @@
     )
     begin(run)
     run.sim.run(seconds=2.4)
-    assert run.sim.procs[run.sim.core_ips[1]].frozen_till == pytest.approx(run.sim.now + 0.1)
+    assert run.sim.procs[run.sim.core_ips[1]].frozen_until == pytest.approx(run.sim.now + 0.1)
 
 
 @pytest.mark.parametrize(
--- a/tests/simulator/test_faults.py
+++ b/tests/simulator/test_faults.py
@@ -139,7 +139,7 @@
     assert not sim.link_delay
     assert not sim.disk_factor
     assert sim.loss == 0.0
-    assert not sim.refusing
+    assert not sim.failing_disks
     assert not any(sim.skew.values())
     up = [ip for ip in sim.core_ips if sim.procs[ip].up]
     assert len(up) == (2 if kind is FaultKind.REMOVE else 3)
@@ -200,7 +200,7 @@
         real(src, *rest)
 
     sim._send = send  # type: ignore[method-assign,assignment]
-    sim.stand_still[ip] = 1.0
+    sim.pause_after_step[ip] = 1.0
     begun = sim.now
     sim.run(seconds=1.5)
     assert not [at for at in sent if begun + 0.1 < at < begun + 1.0]
--- a/yarrowloom/simulator/cluster.py
+++ b/yarrowloom/simulator/cluster.py
@@ -124,8 +124,8 @@
         back: Callable[[Response], None],
     ) -> None:
         """An HTTP call from `src`; `back` may never be called."""
-        self.ncall += 1
-        key = self.ncall
+        self.call_count += 1
+        key = self.call_count
         raw = body if body is not None else b"" if document is None else orjson.dumps(document)
         req = Request(method=method, path=path, headers=headers or {}, body=raw)
 
@@ -182,7 +182,7 @@
         out = []
         for ip in self.procs:
             proc = self.procs[ip]
-            if proc.up and isinstance(proc.node, CoreNode) and self.now >= proc.frozen_till:
+            if proc.up and isinstance(proc.node, CoreNode) and self.now >= proc.frozen_until:
                 proc.node.now = self.clock(ip)
                 if proc.node.replicas[group_id].is_serving():
                     out.append(ip)
--- a/yarrowloom/simulator/faults/cluster_faults.py
+++ b/yarrowloom/simulator/faults/cluster_faults.py
@@ -28,10 +28,10 @@
     """
     with_edges = fault.where == Role.ALL_MACHINES
     hit = _running(sim=sim, addresses=[*sim.core_ips, *(sim.edge_ips if with_edges else ())])
-    wiped = _disks_to_lose(sim=sim)
+    disks_lost = _disks_to_lose(sim=sim)
     for ip in hit:
         sim.kill(ip=ip, power=True)
-    for ip in wiped:
+    for ip in disks_lost:
         _lose_disk(sim=sim, ip=ip)
 
     def end() -> None:
@@ -58,12 +58,12 @@
     killed or lose power.
     """
     running = _running(sim=sim, addresses=sim.core_ips)
-    wiped = _disks_to_lose(sim=sim)
+    disks_lost = _disks_to_lose(sim=sim)
     middle_s = fault.for_s / 2
     for ip in running:
         power = sim.rng.random() < 0.5
         down_s, up_s = sim.rng.uniform(0.0, middle_s), sim.rng.uniform(middle_s, fault.for_s)
-        sim.at(delay=down_s, fn=partial(_take_down, sim=sim, ip=ip, power=power, lose_disk=ip in wiped))
+        sim.at(delay=down_s, fn=partial(_take_down, sim=sim, ip=ip, power=power, lose_disk=ip in disks_lost))
         sim.at(delay=up_s, fn=partial(sim.start, ip=ip))
     return lambda: None
 
@@ -108,7 +108,7 @@
 def _pause(*, sim: FaultyCluster, ip: str, seconds: float) -> None:
     """The quota is spent: the process stands still, unless it does so already."""
     process = sim.procs[ip]
-    if seconds <= 0.0 or not process.up or sim.now < process.frozen_till:
+    if seconds <= 0.0 or not process.up or sim.now < process.frozen_until:
         return
     sim.freeze(ip=ip, seconds=seconds)
     sim.at(delay=seconds + TIMER_DELAY_S, fn=lambda: sim.step(ip, process, process.node.tick))
--- a/yarrowloom/simulator/faults/injector.py
+++ b/yarrowloom/simulator/faults/injector.py
@@ -7,7 +7,7 @@
 from ...node.edge import EdgeNode
 from ..errors import SimulationError
 from ..faulty_cluster import FaultyCluster
-from ..judges.job_rules import EARLY_S
+from ..judges.job_rules import EARLY_S, JUMPS_S
 from ..machines.network import Cut
 from ..machines.process import Disk
 from ..worker import Worker
@@ -19,7 +19,6 @@
 LEAVE_CORE_S = 0.6  # what a core process has after SIGTERM
 LEAVE_EDGE_S = 2.5
 JITTER_S = 0.3  # machines that went together come back within this long of each other
-JUMPS_S = 5.0  # how much earlier a repeated job may start on days on which clocks jump
 
 
 class Injector:
@@ -30,10 +29,10 @@
         self.sim = sim
         self.addresses = 0
         self.minions: list[Worker] = list(day.fleet)
-        self.begin: dict[FaultKind, Callable[[Fault], Callable[[], None] | None]] = {
+        self.handlers: dict[FaultKind, Callable[[Fault], Callable[[], None] | None]] = {
             FaultKind.KILL: partial(self._kill, power=False),
             FaultKind.POWER_LOSS: partial(self._kill, power=True),
-            FaultKind.ROLL: self._roll,
+            FaultKind.ROLL: self._restart_gracefully,
             FaultKind.LOSE_DISK: self._lose_disk,
             FaultKind.REPLACE: self._replace,
             FaultKind.REMOVE: self._remove,
@@ -52,8 +51,8 @@
             FaultKind.CLOCK_DRIFT: self._clock_drift,
             FaultKind.CRASH: self._crash,
             FaultKind.MUTE: self._mute,
-            FaultKind.HANG: partial(self._sick, how="hung"),
-            FaultKind.GREY: partial(self._sick, how="grey"),
+            FaultKind.HANG: partial(self._set_unhealthy, symptom="hung"),
+            FaultKind.GREY: partial(self._set_unhealthy, symptom="grey"),
             FaultKind.CRAWL: self._crawl,
             FaultKind.DRAIN: self._drain,
             FaultKind.LOSE_DISKS: partial(lose_disks, sim=sim),
@@ -66,12 +65,12 @@
         """Plan faults, whose times count from now."""
         for i, fault in enumerate(faults):
             for name in fault.where.split("/"):
-                self._known(name=name, place=f"faults[{i}].where")
+                self._check_target(name=name, place=f"faults[{i}].where")
             if fault.kind is FaultKind.CLOCK_STEP:
                 self.day.judge.early = max(self.day.judge.early, EARLY_S + max(JUMPS_S, abs(fault.strength)))
             self.sim.at(delay=fault.at_s, fn=partial(self._run, fault))
 
-    def _known(self, *, name: str, place: str) -> None:
+    def _check_target(self, *, name: str, place: str) -> None:
         many = {"core": len(self.sim.core_ips), "edge": len(self.sim.edge_ips), "minion": len(self.minions)}
         role, _, number = name.partition("-")
         if role in many and int(number) >= many[role]:
@@ -80,7 +79,7 @@
     def _run(self, fault: Fault) -> None:
         self.day.judge.trouble(seconds=fault.for_s)
         self.sim.note(who="fault", text=f"begins: {fault}")
-        end = self.begin[fault.kind](fault)
+        end = self.handlers[fault.kind](fault)
         if end is not None:
             self.sim.at(delay=max(fault.for_s, 1e-3), fn=partial(self._end, fault, end))
 
@@ -90,7 +89,7 @@
 
     # -- names
 
-    def end_of(self, name: str) -> str:
+    def address_of(self, name: str) -> str:
         """The address of a machine, or the ID of a minion, that stands at a name now."""
         role, _, number = name.partition("-")
         if role == "core":
@@ -100,7 +99,7 @@
         return self.minions[int(number)].minion_id
 
     def _side(self, fault: Fault, *, outward: bool = True, inward: bool = True) -> Cut:
-        ends = [self.end_of(name) for name in fault.where.split("/")]
+        ends = [self.address_of(name) for name in fault.where.split("/")]
         return Cut(inside=frozenset(ends[:1]), others=frozenset(ends[1:]), outward=outward, inward=inward)
 
     def _worker(self, fault: Fault) -> Worker:
@@ -109,7 +108,7 @@
     # -- processes
 
     def _kill(self, fault: Fault, *, power: bool) -> Callable[[], None]:
-        ips = list(self.sim.core_ips) if fault.where == "all-cores" else [self.end_of(fault.where)]
+        ips = list(self.sim.core_ips) if fault.where == "all-cores" else [self.address_of(fault.where)]
         for ip in ips:
             if self.sim.procs[ip].up:
                 self.sim.kill(ip=ip, power=power)
@@ -121,9 +120,9 @@
 
         return back
 
-    def _roll(self, fault: Fault) -> None:
+    def _restart_gracefully(self, fault: Fault) -> None:
         """SIGTERM: the process hands over, ends, and is started again."""
-        ip = self.end_of(fault.where)
+        ip = self.address_of(fault.where)
         proc = self.sim.procs[ip]
         if not proc.up:
             return
@@ -144,7 +143,7 @@
         self.sim.at(delay=wait_s, fn=stop)
 
     def _lose_disk(self, fault: Fault) -> Callable[[], None]:
-        ip = self.end_of(fault.where)
+        ip = self.address_of(fault.where)
         if self.sim.procs[ip].up:
             self.sim.kill(ip=ip, power=True)
         self.sim.wipe(ip=ip)
@@ -152,8 +151,8 @@
 
     def _replace(self, fault: Fault) -> Callable[[], None]:
         """The machine is gone; an empty one takes its place at another address."""
-        old = self.end_of(fault.where)
-        self._gone(ip=old)
+        old = self.address_of(fault.where)
+        self._lose_machine(ip=old)
         self.addresses += 1
         new = f"{old.rsplit('.', 1)[0]}.{100 + self.addresses}"
         self.sim.core_ips[self.sim.core_ips.index(old)] = new
@@ -165,18 +164,18 @@
         return back
 
     def _remove(self, fault: Fault) -> None:
-        self._gone(ip=self.end_of(fault.where))
+        self._lose_machine(ip=self.address_of(fault.where))
 
-    def _gone(self, *, ip: str) -> None:
+    def _lose_machine(self, *, ip: str) -> None:
         if self.sim.procs[ip].up:
             self.sim.kill(ip=ip, power=True)
         self.sim.disks[ip] = Disk()
 
     def _freeze(self, fault: Fault) -> None:
         """Strength above 0: between a step and what the step wants done."""
-        ip = self.end_of(fault.where)
+        ip = self.address_of(fault.where)
         if fault.strength:
-            self.sim.stand_still[ip] = fault.for_s
+            self.sim.pause_after_step[ip] = fault.for_s
         else:
             self.sim.freeze(ip=ip, seconds=fault.for_s)
 
@@ -200,7 +199,7 @@
         return end
 
     def _slow_link(self, fault: Fault) -> Callable[[], None]:
-        ip = self.end_of(fault.where)
+        ip = self.address_of(fault.where)
         self.sim.link_delay[ip] = fault.strength
 
         def end() -> None:
@@ -211,11 +210,11 @@
     # -- disks and clocks
 
     def _disk_stall(self, fault: Fault) -> None:
-        ip = self.end_of(fault.where)
+        ip = self.address_of(fault.where)
         self.sim.stalls[ip] = max(self.sim.stalls.get(ip, 0.0), self.sim.now + fault.for_s)
 
     def _disk_slow(self, fault: Fault) -> Callable[[], None]:
-        ip = self.end_of(fault.where)
+        ip = self.address_of(fault.where)
         self.sim.disk_factor[ip] = fault.strength
 
         def end() -> None:
@@ -224,13 +223,13 @@
         return end
 
     def _disk_refuse(self, fault: Fault) -> Callable[[], None]:
-        ip = self.end_of(fault.where)
+        ip = self.address_of(fault.where)
         self._disk_stall(fault)
-        self.sim.refusing.add(ip)
-        return lambda: self.sim.refusing.discard(ip)
+        self.sim.failing_disks.add(ip)
+        return lambda: self.sim.failing_disks.discard(ip)
 
     def _clock_step(self, fault: Fault) -> Callable[[], None]:
-        ip = self.end_of(fault.where)
+        ip = self.address_of(fault.where)
         self.sim.skew[ip] = self.sim.skew.get(ip, 0.0) + fault.strength
 
         def end() -> None:
@@ -239,7 +238,7 @@
         return end
 
     def _clock_drift(self, fault: Fault) -> Callable[[], None]:
-        ip = self.end_of(fault.where)
+        ip = self.address_of(fault.where)
         self.sim.drift(ip=ip, rate=fault.strength)
         return partial(self.sim.drift, ip=ip, rate=0.0)
 
@@ -251,9 +250,9 @@
         if old.up:
             old.crash()
 
-        return partial(self._hire, old)
+        return partial(self._replace_minion, old)
 
-    def _hire(self, old: Worker) -> None:
+    def _replace_minion(self, old: Worker) -> None:
         """Another minion takes the place of one that is gone, under a new ID."""
         if old in self.minions and not old.up:
             self.minions[self.minions.index(old)] = self.day.add_minion(
@@ -263,9 +262,9 @@
     def _mute(self, fault: Fault) -> None:
         self._worker(fault).mute = self.sim.now + fault.for_s
 
-    def _sick(self, fault: Fault, *, how: str) -> Callable[[], None]:
+    def _set_unhealthy(self, fault: Fault, *, symptom: str) -> Callable[[], None]:
         worker = self._worker(fault)
-        worker.sick = how
+        worker.sick = symptom
 
         def end() -> None:
             worker.sick = ""
@@ -286,4 +285,4 @@
         worker = self._worker(fault)
         if worker.up and not worker.drained:
             worker.drain()
-        return partial(self._hire, worker)
+        return partial(self._replace_minion, worker)
--- a/yarrowloom/simulator/faulty_cluster.py
+++ b/yarrowloom/simulator/faulty_cluster.py
@@ -60,9 +60,9 @@
         self.holds: list[Hold] = []
         self.link_delay: dict[str, float] = {}
         self.disk_factor: dict[str, float] = {}
-        self.refusing: set[str] = set()
+        self.failing_disks: set[str] = set()
         self.journal: dict[tuple[str, int], int] = {}  # by process: records since its journal moved on
-        self.stand_still: dict[str, float] = {}  # seconds to stop after the next step, before its output
+        self.pause_after_step: dict[str, float] = {}  # seconds to stop after the next step, before its output
         self.ended: list[str] = []  # processes that ended by themselves, and why
         super().__init__(seed=seed, **kw)
         self.cuts = Cuts()
@@ -93,18 +93,18 @@
 
     def step(self, ip: str, proc: Proc, fn: Callable[[], None]) -> None:
         """Handle one input; a process that raises has crashed and is started again later."""
-        live = proc.up and self.procs.get(ip) is proc and self.now >= proc.frozen_till
-        if live and ip in self.stand_still:
-            self._stand_still(ip, proc, fn)
+        live = proc.up and self.procs.get(ip) is proc and self.now >= proc.frozen_until
+        if live and ip in self.pause_after_step:
+            self._pause_before_output(ip, proc, fn)
             return
         try:
             super().step(ip, proc, fn)
         except Exception as err:  # the product's fault, whatever it is
             self._ended(ip, proc, err)
 
-    def _stand_still(self, ip: str, proc: Proc, fn: Callable[[], None]) -> None:
+    def _pause_before_output(self, ip: str, proc: Proc, fn: Callable[[], None]) -> None:
         """Handle an input now and carry out its effects only when the process continues."""
-        seconds = self.stand_still.pop(ip)
+        seconds = self.pause_after_step.pop(ip)
         node = proc.node
         node.now, node.wall_now = self.clock(ip), self.wall0 + self.now + self.skew.get(ip, 0.0)
         try:
@@ -135,7 +135,7 @@
 
     def kill(self, *, ip: str, power: bool = False) -> None:
         """End a process; a disk that refuses writes holds nothing of what was not synced."""
-        if ip in self.refusing and ip in self.disks:
+        if ip in self.failing_disks and ip in self.disks:
             self.disks[ip].pending = []
         super().kill(ip=ip, power=power)
 
@@ -215,7 +215,7 @@
         back: Callable[[Response], None],
     ) -> None:
         """Send an HTTP request; the request and its response are passed to all checks."""
-        number = self.ncall + 1
+        number = self.call_count + 1
         if not src.startswith("i-"):
             raw = body if body is not None else b"" if document is None else orjson.dumps(document)
             self.tell(
--- a/yarrowloom/simulator/machines/machine_set.py
+++ b/yarrowloom/simulator/machines/machine_set.py
@@ -94,7 +94,7 @@
         self.process_count = 0
         self.calls: dict[int, Callable[[Response], None]] = {}
         self.callers: dict[int, str] = {}  # by call: who waits for its response
-        self.ncall = 0
+        self.call_count = 0
         self.zones = [f"z{i}" for i in range(zones)]
         self.core_ips = [f"10.{i % zones}.0.{i + 1}" for i in range(cores)]
         self.edge_ips = [f"10.{i % zones}.1.{i + 1}" for i in range(edges)]
@@ -216,7 +216,7 @@
     def freeze(self, *, ip: str, seconds: float) -> None:
         """Let a process stand still."""
         proc = self.procs[ip]
-        proc.frozen_till = self.now + seconds
+        proc.frozen_until = self.now + seconds
 
         def thaw() -> None:
             box, proc.inbox = proc.inbox, []
@@ -277,7 +277,7 @@
             or proc.busy
             or not proc.up
             or self.procs.get(ip) is not proc
-            or self.now < proc.frozen_till
+            or self.now < proc.frozen_until
         ):
             return
         run = scheduler.take(now=self.now)
@@ -313,7 +313,7 @@
         """Give a process one input and carry out what it wants."""
         if not proc.up or self.procs.get(ip) is not proc:
             return
-        if self.now < proc.frozen_till:
+        if self.now < proc.frozen_until:
             proc.inbox.append(lambda: self.step(ip, proc, fn))
             return
         node = proc.node
@@ -341,7 +341,7 @@
     def _tick(self, ip: str, proc: Proc) -> None:
         if not proc.up or self.procs.get(ip) is not proc:
             return
-        if self.now >= proc.frozen_till:
+        if self.now >= proc.frozen_until:
             self.step(ip, proc, proc.node.tick)
         self.at(delay=0.05 + self.rng.random() * 0.01, fn=lambda: self._tick(ip, proc))
 
