--- a/yarrowloom/simulator/cluster.py
+++ b/yarrowloom/simulator/cluster.py
@@ -123,7 +123,7 @@
         headers: dict[str, str] | None = None,
         back: Callable[[Response], None],
     ) -> None:
-        """An HTTP call from `src`; `back` may never be called."""
+        """Send an HTTP request from `src`; `back` gets the response and may never be called."""
         self.call_count += 1
         key = self.call_count
         raw = body if body is not None else b"" if document is None else orjson.dumps(document)
@@ -160,7 +160,7 @@
         headers: dict[str, str] | None = None,
         limit: float = 6.0,
     ) -> tuple[int, Any]:
-        """Call and wait; status 0: no answer."""
+        """Send an HTTP request and run until the response; return status and body, or 0 and None after `limit` s."""
         got: list[Response] = []
         self.http(
             ip=ip, src="op", method=method, path=path, document=document, body=body, headers=headers, back=got.append
@@ -171,14 +171,14 @@
         return got[0].status, orjson.loads(got[0].body) if got[0].body else None
 
     def core(self, ip: str) -> CoreNode:
-        """The core node of a machine."""
+        """Return the core node of a machine."""
         node = self.procs[ip].node
         if not isinstance(node, CoreNode):
             raise SimulationError(text=f"{ip} is no core node")
         return node
 
     def serving(self, *, group_id: int) -> list[str]:
-        """Machines whose process serves a group now."""
+        """Return the machines whose process serves a group now."""
         out = []
         for ip in self.procs:
             proc = self.procs[ip]
--- a/yarrowloom/simulator/faults/cluster_faults.py
+++ b/yarrowloom/simulator/faults/cluster_faults.py
@@ -84,7 +84,7 @@
 
 
 def _charge_quota(*, sim: FaultyCluster, ips: list[str], share: float) -> EndFault:
-    """Let a quota slow what steps take, as counted by the cluster."""
+    """Apply a quota to the processor time that the cluster charges for steps."""
     quotas = {ip: Quota(share=share) for ip in ips}
     sim.quotas.update(quotas)
 
@@ -97,7 +97,7 @@
 
 
 def _begin_period(*, sim: FaultyCluster, ip: str, share: float, until_s: float) -> None:
-    """One period of a quota, and the next one after it."""
+    """Begin a period of a quota and schedule the next one."""
     if sim.now >= until_s:
         return
     running_s = share * QUOTA_PERIOD_S
@@ -119,7 +119,7 @@
 
 
 def _disks_to_lose(*, sim: FaultyCluster) -> list[str]:
-    """Running core machines, drawn by lot, as many as may lose their disks at once."""
+    """Return random running core machines, as many as may lose their disks at the same time."""
     running = _running(sim=sim, addresses=sim.core_ips)
     return sim.rng.sample(running, min(sim.losses, len(running)))
 
--- a/yarrowloom/simulator/faults/generator.py
+++ b/yarrowloom/simulator/faults/generator.py
@@ -1,4 +1,4 @@
-"""Faults drawn from a seed, within what the deployment must bear."""
+"""Generates faults from a seed, within the failure budget of the deployment."""
 
 import random
 from dataclasses import dataclass
@@ -37,7 +37,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Shape:
-    """The deployment that faults are drawn for; `losses`: core machines that may be lost at once."""
+    """The deployment that faults are generated for.
+
+    Attributes:
+        cores: Number of core machines.
+        edges: Number of edge machines.
+        minions: Number of minions.
+        losses: Number of core machines that may be lost at the same time.
+        seconds: Simulated seconds of load.
+    """
 
     cores: int
     edges: int
@@ -47,7 +55,7 @@
 
 
 def generate_faults(*, seed: int, shape: Shape) -> tuple[Fault, ...]:
-    """Faults in the order of their times; all are over when the load ends.
+    """Generate faults in the order of their times; all are over when the load ends.
 
     >>> shape = Shape(cores=3, edges=1, minions=9, losses=1, seconds=30.0)
     >>> generate_faults(seed=5, shape=shape) == generate_faults(seed=5, shape=shape)
@@ -62,7 +70,7 @@
 
 
 def generate_more_faults(*, seed: int, shape: Shape) -> tuple[Fault, ...]:
-    """The faults that `generate_faults` gives for a seed, with one of those kinds beside them that it never draws.
+    """Generate the faults of `generate_faults` for a seed, and one of a kind that it never generates.
 
     No disk is lost near a fault that takes more core machines away than the budget allows, so that no more disks are
     lost together than it allows; losses of other kinds may overlap.
@@ -79,7 +87,7 @@
 
 
 def _more(*, rng: random.Random, shape: Shape) -> Fault:
-    """One fault that `generate_faults` never draws."""
+    """Generate one fault of a kind that `generate_faults` never generates."""
     kind = rng.choice(MORE_KINDS)
     if kind is FaultKind.CPU_QUOTA:
         share = rng.choice(QUOTA_SHARES)
--- a/yarrowloom/simulator/faults/injector.py
+++ b/yarrowloom/simulator/faults/injector.py
@@ -1,4 +1,4 @@
-"""Carries faults out on a simulated day."""
+"""Injects planned faults into a running simulation."""
 
 from collections.abc import Callable
 from functools import partial
@@ -15,14 +15,21 @@
 from .cluster_faults import limit_processor, lose_disks, overlapping_losses, split_core
 from .model import Fault, FaultKind
 
-RESET_S = 0.01  # what is on its way when connections are reset is lost
-LEAVE_CORE_S = 0.6  # what a core process has after SIGTERM
+RESET_S = 0.01  # a reset loses the frames that are sent within this time
+LEAVE_CORE_S = 0.6  # time that a core process has after SIGTERM
 LEAVE_EDGE_S = 2.5
-JITTER_S = 0.3  # machines that went together come back within this long of each other
+JITTER_S = 0.3  # machines that stopped together restart within this time of each other
 
 
 class Injector:
-    """Invariant: what a fault began its end undoes, also where faults overlap."""
+    """Begins and ends faults at their times.
+
+    Invariant: the end of a fault undoes what its beginning did, also where faults overlap.
+
+    Attributes:
+        minions: The workers in the order of the names `minion-0`, `minion-1`, ...; replacements keep the place.
+        handlers: By kind of fault: the function that begins it and returns the one that ends it, if any.
+    """
 
     def __init__(self, *, day: Day, sim: FaultyCluster) -> None:
         self.day = day
@@ -62,7 +69,11 @@
         }
 
     def plan(self, *, faults: tuple[Fault, ...]) -> None:
-        """Plan faults, whose times count from now."""
+        """Schedule faults; their times count from now.
+
+        Raises:
+            SimulationError: If a fault names a machine or minion that the cluster does not have.
+        """
         for i, fault in enumerate(faults):
             for name in fault.where.split("/"):
                 self._check_target(name=name, place=f"faults[{i}].where")
@@ -90,7 +101,7 @@
     # -- names
 
     def address_of(self, name: str) -> str:
-        """The address of a machine, or the ID of a minion, that stands at a name now."""
+        """Return the address of the machine, or the ID of the minion, that has a name now."""
         role, _, number = name.partition("-")
         if role == "core":
             return self.sim.core_ips[int(number)]
@@ -121,7 +132,7 @@
         return back
 
     def _restart_gracefully(self, fault: Fault) -> None:
-        """SIGTERM: the process hands over, ends, and is started again."""
+        """Terminate a process as by SIGTERM: it hands over, ends, and is started again."""
         ip = self.address_of(fault.where)
         proc = self.sim.procs[ip]
         if not proc.up:
@@ -150,7 +161,7 @@
         return partial(self.sim.start, ip=ip)
 
     def _replace(self, fault: Fault) -> Callable[[], None]:
-        """The machine is gone; an empty one takes its place at another address."""
+        """Lose a machine for good; an empty one replaces it at another address."""
         old = self.address_of(fault.where)
         self._lose_machine(ip=old)
         self.addresses += 1
@@ -172,7 +183,7 @@
         self.sim.disks[ip] = Disk()
 
     def _freeze(self, fault: Fault) -> None:
-        """Strength above 0: between a step and what the step wants done."""
+        """Stop a process for a while; with a strength above 0 between its next step and the step's effects."""
         ip = self.address_of(fault.where)
         if fault.strength:
             self.sim.pause_after_step[ip] = fault.for_s
@@ -245,7 +256,7 @@
     # -- minions
 
     def _crash(self, fault: Fault) -> Callable[[], None]:
-        """The minion dies; another one takes its place."""
+        """Crash a minion; another one replaces it."""
         old = self._worker(fault)
         if old.up:
             old.crash()
@@ -253,7 +264,7 @@
         return partial(self._replace_minion, old)
 
     def _replace_minion(self, old: Worker) -> None:
-        """Another minion takes the place of one that is gone, under a new ID."""
+        """Replace a minion that is down by another one with a new ID."""
         if old in self.minions and not old.up:
             self.minions[self.minions.index(old)] = self.day.add_minion(
                 minion_id=f"{old.minion_id}x", zone=old.zone, cap=old.cap, labels=old.labels, service=old.service
@@ -281,7 +292,7 @@
         return end
 
     def _drain(self, fault: Fault) -> Callable[[], None]:
-        """The minion leaves in order."""
+        """Let a minion drain and leave; another one replaces it."""
         worker = self._worker(fault)
         if worker.up and not worker.drained:
             worker.drain()
--- a/yarrowloom/simulator/faults/shrink.py
+++ b/yarrowloom/simulator/faults/shrink.py
@@ -36,7 +36,7 @@
 
 
 def _next(*, best: Report, rules: frozenset[str], candidates: Iterator[Faults]) -> Report | None:
-    """The first candidate that still breaks a rule; None: the list is as small as it gets."""
+    """Return the first candidate that still breaks a rule; None if there is none."""
     for faults in candidates:
         tried = run_simulation(settings=replace(best.settings, faults=faults))
         if tried.rules & rules:
@@ -45,7 +45,7 @@
 
 
 def _candidates(*, faults: Faults) -> Iterator[Faults]:
-    """Smaller lists, the smallest first: halves left out, then single entries, then entries that last half as long."""
+    """Yield smaller lists: without one half, then without one entry, then with an entry half as long."""
     many = len(faults)
     if many > 3:
         yield faults[many // 2 :]
--- a/yarrowloom/simulator/faulty_cluster.py
+++ b/yarrowloom/simulator/faulty_cluster.py
@@ -20,8 +20,8 @@
 from .machines.network import Cut, Cuts, Hold
 from .machines.process import Proc
 
-JOURNAL_RECORDS = 120  # a journal moves on to its next file after so many; a small disk's does under load
-RESTART_S = 1.0  # a process that ended by itself is started again after this long
+JOURNAL_RECORDS = 120  # a journal begins its next file after so many, as one on a small disk does under load
+RESTART_S = 1.0  # a crashed process is started again after this long
 
 
 def _reason(err: Exception) -> str:
@@ -55,15 +55,15 @@
 
     def __init__(self, *, seed: int, checks: tuple[Check, ...] = (), **kw: Unpack[ClusterOptions]) -> None:
         self.checks = checks
-        self.started_s = 0.0  # simulated time that counts as 0 in events
+        self.started_s = 0.0  # simulated time from which the times of events count
         self.clocks: dict[str, SteadyClock] = {}
         self.holds: list[Hold] = []
         self.link_delay: dict[str, float] = {}
         self.disk_factor: dict[str, float] = {}
         self.failing_disks: set[str] = set()
-        self.journal: dict[tuple[str, int], int] = {}  # by process: records since its journal moved on
-        self.pause_after_step: dict[str, float] = {}  # seconds to stop after the next step, before its output
-        self.ended: list[str] = []  # processes that ended by themselves, and why
+        self.journal: dict[tuple[str, int], int] = {}  # by process: records since its current journal file began
+        self.pause_after_step: dict[str, float] = {}  # seconds to stop between the next step and its effects
+        self.ended: list[str] = []  # processes that crashed, and why
         super().__init__(seed=seed, **kw)
         self.cuts = Cuts()
 
@@ -134,7 +134,7 @@
             self.note(who=ip, text="process started")
 
     def kill(self, *, ip: str, power: bool = False) -> None:
-        """End a process; a disk that refuses writes holds nothing of what was not synced."""
+        """End a process; a disk that fails writes keeps no unsynced record."""
         if ip in self.failing_disks and ip in self.disks:
             self.disks[ip].pending = []
         super().kill(ip=ip, power=power)
--- a/yarrowloom/simulator/machines/machine_set.py
+++ b/yarrowloom/simulator/machines/machine_set.py
@@ -1,4 +1,4 @@
-"""Machines in simulated time: their processes, disks and clocks; what connects them is in `cluster`."""
+"""Machines in simulated time with their processes, disks and clocks; `cluster` adds the network."""
 
 import heapq
 import math
@@ -106,7 +106,7 @@
     # -- time
 
     def at(self, *, delay: float, fn: Callable[[], None]) -> None:
-        """Plan an event."""
+        """Schedule an event `delay` seconds from now."""
         self.count += 1
         heapq.heappush(self.heap, (self.now + delay, self.count, fn))
 
@@ -134,13 +134,13 @@
         return cond()
 
     def clock(self, ip: str) -> float:
-        """A machine's steady clock."""
+        """Return the time that a machine's monotonic clock shows."""
         return self.now
 
     # -- machines
 
     def settings(self, *, ip: str, first: bool) -> NodeSettings:
-        """The settings of a machine's process."""
+        """Return the settings of a machine's process; `first` if it bootstraps the cluster."""
         core = ip.split(".")[2] != "1"
         binds = {"control": f"{ip}:8000"} if core else {"front": f"{ip}:8001", "ready": f"{ip}:8002"}
         return NodeSettings(
@@ -200,7 +200,7 @@
         self.at(delay=self.rng.random() * 0.05, fn=lambda: self._tick(ip, proc))
 
     def kill(self, *, ip: str, power: bool = False) -> None:
-        """End a process; without power, what was not synced is lost or in part there."""
+        """End a process; after a power failure only a random prefix of the unsynced records is kept."""
         proc = self.procs[ip]
         proc.up = False
         disk = self.disks.get(ip)
@@ -214,7 +214,7 @@
         self.disks[ip] = Disk()
 
     def freeze(self, *, ip: str, seconds: float) -> None:
-        """Let a process stand still."""
+        """Stop a process for a while; its inputs wait."""
         proc = self.procs[ip]
         proc.frozen_until = self.now + seconds
 
@@ -227,13 +227,13 @@
         self.at(delay=seconds + 1e-6, fn=thaw)
 
     def cut(self, *, a: str, b: str, one_way: bool = False) -> None:
-        """Lose all that goes between two ends."""
+        """Partition two addresses from each other."""
         self.cuts.add((a, b))
         if not one_way:
             self.cuts.add((b, a))
 
     def heal(self) -> None:
-        """End all cuts."""
+        """End all network partitions."""
         self.cuts.clear()
 
     # -- inputs and outputs
@@ -288,7 +288,7 @@
             self.at(delay=scheduler.due_at - self.now + 1e-9, fn=lambda: self._go(ip, proc))
 
     def _step(self, ip: str, proc: Proc, fn: Callable[[], None]) -> None:
-        """One step that takes its time; what it wants done is done at its end."""
+        """Run a step that takes processor time; its effects are carried out at its end."""
         node, out = proc.node, proc.node.out
         node.now, node.wall_now = self.clock(ip), self.wall0 + self.now
         calls = self.meter.run(fn)
@@ -310,7 +310,7 @@
         self.at(delay=spent if quota is None else quota.delay(now=self.now, work_s=spent), fn=end)
 
     def step(self, ip: str, proc: Proc, fn: Callable[[], None]) -> None:
-        """Give a process one input and carry out what it wants."""
+        """Give a process one input and carry out the effects."""
         if not proc.up or self.procs.get(ip) is not proc:
             return
         if self.now < proc.frozen_until:
@@ -394,5 +394,5 @@
         raise NotImplementedError
 
     def core(self, ip: str) -> CoreNode:
-        """The node of a machine of the core."""
+        """Return the core node of a machine."""
         raise NotImplementedError
