--- a/yarrowloom/agent/minion.py
+++ b/yarrowloom/agent/minion.py
@@ -4,6 +4,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
+import msgspec
 from msgspec import UNSET
 
 from ..common.resources import NO_RESOURCES, Resources
@@ -46,8 +47,7 @@
 NOT_ATTACHED = Attachment(0, 0)
 
 
-@dataclass(slots=True, kw_only=True)
-class Lease:
+class Lease(msgspec.Struct, kw_only=True):
     """Resources of one minion, reserved for one group.
 
     Invariants: it counts against the minion until it is removed; it serves one run at a time.
@@ -68,8 +68,7 @@
     is_unknown_to_scheduler: bool = False
 
 
-@dataclass(slots=True, kw_only=True)
-class TaskRun:
+class TaskRun(msgspec.Struct, kw_only=True):
     """A run whose start the group's record holds. It stays until the group has acknowledged its end.
 
     Attributes:
--- a/yarrowloom/node/group_calls.py
+++ b/yarrowloom/node/group_calls.py
@@ -8,9 +8,10 @@
 """
 
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass, field
 from typing import Any, Protocol
 
+import msgspec
+
 from ..common.records import Record, decode
 from ..replication.epoch import Epoch
 from ..transport.message import Message
@@ -23,8 +24,7 @@
 GIVEN_UP = 0  # in place of a status: no response came before the deadline, or no clear one
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class CallResult:
+class CallResult(msgspec.Struct, frozen=True, kw_only=True):
     """How a call ended.
 
     Attributes:
@@ -61,8 +61,7 @@
         """Take note of epochs with their groups."""
 
 
-@dataclass(slots=True, kw_only=True)
-class PendingCall:
+class PendingCall(msgspec.Struct, kw_only=True):
     """A call that has not ended.
 
     Attributes:
@@ -93,7 +92,7 @@
     resend_after_s: float = RESEND_S
     was_sent: bool = False
     asked_primary: tuple[str, int] | None = None
-    open_copies: dict[str, int] = field(default_factory=dict)
+    open_copies: dict[str, int] = msgspec.field(default_factory=dict)
 
     @property
     def receiver(self) -> str:
--- a/yarrowloom/node/heartbeat_routing.py
+++ b/yarrowloom/node/heartbeat_routing.py
@@ -1,10 +1,11 @@
 """Heartbeats and departures of minions: to the agent that owns the minion, on this node or on another."""
 
 import math
-from dataclasses import dataclass
 from functools import partial
 from typing import Any, Protocol
 
+import msgspec
+
 from ..agent import Agent
 from ..agent.heartbeat import MinionHeartbeat, parse_heartbeat
 from ..common.log import Log
@@ -24,8 +25,7 @@
 UNAVAILABLE = 503
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class ForwardedCall:
+class ForwardedCall(msgspec.Struct, frozen=True, kw_only=True):
     """Where the answer to a forwarded heartbeat goes, in place of an HTTP call's key.
 
     Attributes:
--- a/yarrowloom/node/http_exchanges.py
+++ b/yarrowloom/node/http_exchanges.py
@@ -1,7 +1,6 @@
 """HTTP calls that wait for the node's response."""
 
-from dataclasses import dataclass, field
-
+import msgspec
 import trio
 
 from ..transport.http_server import Response
@@ -10,13 +9,12 @@
 _GATEWAY_TIMEOUT = 504
 
 
-@dataclass(slots=True, kw_only=True)
-class _Exchange:
+class _Exchange(msgspec.Struct, kw_only=True):
     """A call that waits; `expires_at` is monotonic time."""
 
     expires_at: float
     response: Response | None = None
-    has_ended: trio.Event = field(default_factory=trio.Event)
+    has_ended: trio.Event = msgspec.field(default_factory=trio.Event)
 
 
 class HttpExchanges:
--- a/yarrowloom/node/http_routes.py
+++ b/yarrowloom/node/http_routes.py
@@ -6,6 +6,7 @@
 from functools import partial
 from typing import Any, Protocol
 
+import msgspec
 import orjson
 
 from ..jobs.state_machine import Jobs
@@ -43,8 +44,7 @@
         """A summary of the node for its operator."""
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class HttpCall:
+class HttpCall(msgspec.Struct, frozen=True, kw_only=True):
     """A call that matched a route.
 
     Attributes:
--- a/yarrowloom/node/in_progress_calls.py
+++ b/yarrowloom/node/in_progress_calls.py
@@ -1,8 +1,9 @@
 """Calls of other nodes that this node has taken: a repeat is carried out once, a refusal stays one."""
 
-from dataclasses import dataclass
 from typing import NamedTuple
 
+import msgspec
+
 IN_PROGRESS_MOST_S = 35.0  # longer than any call lives
 REFUSAL_KEPT_S = 10.0  # longer than the repeats of a refused call are on their way
 
@@ -14,14 +15,12 @@
     request_id: int
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class _InProgressCall:
+class _InProgressCall(msgspec.Struct, frozen=True, kw_only=True):
     group_id: int
     taken_at: float
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class Refusal:
+class Refusal(msgspec.Struct, frozen=True, kw_only=True):
     """The response to a call that was not admitted; it is kept until `expires_at`, by the monotonic clock."""
 
     status: int
--- a/yarrowloom/scheduling/binding.py
+++ b/yarrowloom/scheduling/binding.py
@@ -2,6 +2,7 @@
 
 from dataclasses import dataclass, field
 
+import msgspec
 from msgspec import structs
 
 from ..agent.messages import LeaseGrant, LeaseRequest, MinionCount, RejectedOrder, TaskOrder, TaskOrders
@@ -55,8 +56,7 @@
         return members.pop() if members else None
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class RequestedMinion:
+class RequestedMinion(msgspec.Struct, frozen=True, kw_only=True):
     """Leases asked for on one minion, under the attachment of that time."""
 
     minion_id: str
@@ -64,8 +64,7 @@
     count: int
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class OpenLeaseRequest:
+class OpenLeaseRequest(msgspec.Struct, frozen=True, kw_only=True):
     """A request to one agent that has not been answered.
 
     Attributes:
--- a/yarrowloom/scheduling/effects.py
+++ b/yarrowloom/scheduling/effects.py
@@ -1,14 +1,13 @@
 """Effects of the scheduler: what its node carries out once the events before them are durable."""
 
-from dataclasses import dataclass
+import msgspec
 
 from ..agent.messages import StoppedRun
 from ..common.effects import Effect
 from .lease_cache import HeldLease
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class StartedRun:
+class StartedRun(msgspec.Struct, frozen=True, kw_only=True):
     """A run whose start was recorded, to be ordered on a lease."""
 
     job_id: str
--- a/yarrowloom/scheduling/lease_cache.py
+++ b/yarrowloom/scheduling/lease_cache.py
@@ -3,14 +3,15 @@
 from collections import deque
 from dataclasses import dataclass, field
 
+import msgspec
+
 from ..common.resources import Resources
 from .capacity import ClusterCapacity
 
 MAX_IDLE_S = 0.5  # the default of the design: an idle lease goes back after this long
 
 
-@dataclass(slots=True, kw_only=True)
-class HeldLease:
+class HeldLease(msgspec.Struct, kw_only=True):
     """A lease granted to this scheduler.
 
     Invariant: it is idle in the cache, or bound to one run, or part of a gang's binding attempt; never two of these.
--- a/yarrowloom/transport/http_head.py
+++ b/yarrowloom/transport/http_head.py
@@ -6,9 +6,9 @@
 
 import enum
 import re
-from dataclasses import dataclass
 
 import h11
+import msgspec
 
 from .header_rules import Rule, screen
 
@@ -27,8 +27,7 @@
     NOT_PLAIN = "not-plain"  # h11 is to judge it
 
 
-@dataclass(kw_only=True, slots=True)
-class Head:
+class Head(msgspec.Struct, kw_only=True):
     """A request's head.
 
     Attributes:
--- a/yarrowloom/transport/http_server.py
+++ b/yarrowloom/transport/http_server.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass, field
 
 import h11
+import msgspec
 import orjson
 import trio
 
@@ -44,8 +45,7 @@
     idle_ms: int = 15000
 
 
-@dataclass(kw_only=True)
-class Request:
+class Request(msgspec.Struct, kw_only=True):
     """One request as it arrived; header names are in lower case."""
 
     method: str
@@ -54,8 +54,7 @@
     body: bytes = b""
 
 
-@dataclass(kw_only=True)
-class Response:
+class Response(msgspec.Struct, kw_only=True):
     """The answer to one request."""
 
     status: int
