--- a/tests/mutants/test_state_mutants.py
+++ b/tests/mutants/test_state_mutants.py
@@ -1,6 +1,5 @@
 """Proofs for guards of records, jobs and edges: each test takes one out, and the judge names its rule."""
 
-import dataclasses
 from typing import Any
 
 import pytest
@@ -109,7 +108,7 @@
 
     def remove_guard(patch: pytest.MonkeyPatch) -> None:
         real = edge.job_response
-        patch.setattr(edge, "job_response", lambda *, result: real(result=dataclasses.replace(result, was_sent=False)))
+        patch.setattr(edge, "job_response", lambda *, result: real(result=replace(result, was_sent=False)))
 
     assert_guard_is_needed(rule="REFUSED", scenario=scenario, remove_guard=remove_guard)
 
